--- a/crates/cli/tests/command.rs
+++ b/crates/cli/tests/command.rs
@@ -46,6 +46,20 @@
 }
 "#;
 
+#[path = "../../../tests/support/recorded.rs"]
+mod recorded;
+
+/// Every subcommand and option, as the completions of a shell name them, and the answer to a good settings file.
+#[test]
+fn the_command_line_is_as_recorded() {
+    let completions = run(&["completions", "bash"]);
+    assert_eq!(code(&completions), 0);
+    let root = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("../..");
+    let checked = chalkgap().args(["check", "deploy/ingress.star"]).current_dir(root).output().unwrap();
+    assert_eq!(code(&checked), 0);
+    recorded::check_text("command_line.txt", &(text(&completions.stdout) + &text(&checked.stdout)));
+}
+
 #[test]
 fn complaints_say_what_where_and_what_is_allowed() {
     let cases = [
--- a/crates/core/src/gossip.rs
+++ b/crates/core/src/gossip.rs
@@ -261,42 +261,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn messages_survive_the_way() {
-        let customer = CustomerId((1 << 33) - 7);
-        let (first, width) = (400, 219);
-        let one = Use {
-            customer,
-            plan: 3,
-            total: 65_000,
-            open: 99,
-            level: 200,
-            first,
-            width,
-            ask: true,
-            units: 1.25,
-            short: true,
-        };
-        let uses = vec![one; MOST_USES];
-        let news =
-            vec![News { customer, yours: 9, level: -7.25, rate: 12.5, open: 127, gift: 2.25 }; MOST_NEWS];
-        for body in [Body::Uses(uses), Body::News(9, news), Body::Uses(vec![])] {
-            for count in 0..=MOST_SAMPLES {
-                let one = Sample { tag: tag(77), class: 6, took: Some(0.5) };
-                let bad = Sample { took: None, ..one };
-                let samples = [one, bad, one][..count].to_vec();
-                let message = Message { born: 77, seq: 3, samples, body: body.clone() };
-                let bytes = message.pack();
-                assert!(bytes.len() <= MOST);
-                assert_eq!(Message::unpack(&bytes), Some(message));
-                for cut in 0..bytes.len() {
-                    assert_eq!(Message::unpack(&bytes[..cut]), None, "cut at {cut}");
-                }
-            }
-        }
-        assert_eq!(gone_by(wrap(16_383.0), wrap(16_385.0)), 2.0);
-    }
-}
+mod tests;
--- /dev/null
+++ b/crates/core/tests/decision_trace.rs
@@ -0,0 +1,796 @@
+//! A digest over every decision of simulated fleets, recorded before the code was restructured.
+//!
+//! Each scenario plays a fleet of gateways against model backends through a network that delays, loses, repeats and
+//! reorders messages. Backends start cold, drain, fail, fall silent and disappear; gateways are killed, restarted and
+//! stopped in order. Every [`Event`] occurs. Each [`Action`] that comes back is encoded by this file and hashed, so
+//! that a digest changes with any decision, and with nothing else: names of types and texts of log lines do not count.
+//!
+//! A digest that differs means that the code decides differently. A change that is meant to decide differently records
+//! new digests and says so in its commit.
+
+use chalkgap_core::*;
+use std::cmp::Reverse;
+use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
+
+const SECOND: Micros = 1_000_000;
+const START: Micros = 1_000 * SECOND;
+
+/// What a scenario is made of.
+struct Scenario {
+    gateways: u16,
+    backends: u64,
+    customers: u64,
+    /// Requests a second, over all gateways.
+    request_rate: f64,
+    /// Messages a second that a gateway takes; few of them in a large fleet mean two owners for each customer.
+    gossip_receive_rate: f64,
+    duration: Micros,
+    settings: SettingsKind,
+    seed: u64,
+}
+
+/// What the settings permit.
+#[derive(Clone, Copy, PartialEq)]
+enum SettingsKind {
+    /// Pushed endpoint lists, hedging, capacities of endpoints.
+    Hedging,
+    /// Polled endpoint lists, units settled afterwards, no hedging but cancelling.
+    Polling,
+    /// No cancelling, no hedging, no gossip, no Retry-After.
+    Restricted,
+}
+
+/// Pseudo-random numbers for a seed (splitmix64).
+struct Random(u64);
+
+impl Random {
+    fn next(&mut self) -> u64 {
+        self.0 = self.0.wrapping_add(0x9E37_79B9_7F4A_7C15);
+        let mut z = self.0;
+        z = (z ^ (z >> 30)).wrapping_mul(0xBF58_476D_1CE4_E5B9);
+        z = (z ^ (z >> 27)).wrapping_mul(0x94D0_49BB_1331_11EB);
+        z ^ (z >> 31)
+    }
+
+    fn below(&mut self, limit: u64) -> u64 {
+        self.next() % limit
+    }
+
+    fn chance(&mut self, one_in: u64) -> bool {
+        self.below(one_in) == 0
+    }
+
+    fn unit(&mut self) -> f64 {
+        (self.next() >> 11) as f64 / (1u64 << 53) as f64
+    }
+}
+
+/// A model of a backend: a number of workers, a service time, and the faults of the moment.
+struct Backend {
+    zone: u8,
+    cell: u16,
+    capacity: f64,
+    started: Micros,
+    availability: Availability,
+    in_flight: u32,
+    /// Multiplies service times.
+    slowdown: f64,
+    /// One attempt in so many fails; 0 for none.
+    failing: u64,
+    silent: bool,
+    unreachable: bool,
+}
+
+enum Happening {
+    Arrival,
+    AttemptEnd {
+        gateway: usize,
+        life: u32,
+        id: RequestId,
+        attempt: u16,
+        backend: BackendId,
+        sent: Micros,
+        outcome: Outcome,
+    },
+    FirstByte {
+        gateway: usize,
+        life: u32,
+        id: RequestId,
+        attempt: u16,
+    },
+    ClientLeaves {
+        gateway: usize,
+        life: u32,
+        id: RequestId,
+    },
+    Message {
+        from: u16,
+        to: usize,
+        bytes: Vec<u8>,
+    },
+    Timer {
+        gateway: usize,
+        life: u32,
+        token: u32,
+    },
+    EndpointList {
+        gateway: usize,
+        kind: RosterKind,
+    },
+    Incident,
+    Restart {
+        gateway: usize,
+    },
+}
+
+/// An attempt that a gateway has started and that has not ended.
+struct InFlight {
+    backend: BackendId,
+    sent: Micros,
+}
+
+struct Fleet {
+    scenario: Scenario,
+    random: Random,
+    now: Micros,
+    order: u64,
+    queue: BinaryHeap<Reverse<(Micros, u64)>>,
+    happenings: BTreeMap<u64, Happening>,
+    gateways: Vec<Option<Gateway>>,
+    lives: Vec<u32>,
+    stopping: Vec<bool>,
+    attempts: Vec<BTreeMap<(RequestId, u16), InFlight>>,
+    counts: Vec<BTreeMap<RequestId, u16>>,
+    unanswered: Vec<BTreeSet<RequestId>>,
+    backends: BTreeMap<u64, Backend>,
+    changed: BTreeSet<u64>,
+    next_request: u64,
+    digest: blake3::Hasher,
+    seen: BTreeMap<&'static str, u64>,
+}
+
+fn request_class(repeat: Repeat, aim: Micros, deadline: Micros, stream: bool) -> Class {
+    Class { aim, aim_stretch: 0.0, deadline, worth: 1.0, late_worth: 0.2, repeat, stream }
+}
+
+fn plan(rate: f64, burst: f64, price: f64) -> Plan {
+    Plan {
+        rate,
+        burst,
+        open_cap: 0,
+        ceiling_rate: 0.0,
+        ceiling_burst: 0.0,
+        ceiling_slack: 0.0,
+        price,
+        over_worth: 0.0,
+        over_cost: 1.0,
+    }
+}
+
+fn settings(scenario: &Scenario, gateway: u16) -> Settings {
+    let kind = scenario.settings;
+    let keyed = |group| Repeat::Keyed { group, window: SECOND };
+    let classes = vec![
+        request_class(Repeat::Safe, 400_000, 2 * SECOND, false),
+        request_class(keyed(Group::Cell), 700_000, 3 * SECOND, false),
+        request_class(Repeat::Once, 600_000, 2 * SECOND, false),
+        request_class(keyed(Group::Zone), 500_000, 2 * SECOND, true),
+        request_class(keyed(Group::All), 300_000, SECOND, false),
+    ];
+    let hard_limited = Plan { ceiling_rate: 6.0, ceiling_burst: 10.0, ..plan(12.0, 20.0, 1.0) };
+    let capped = Plan { open_cap: 4, ..plan(0.0, 0.0, 1.3) };
+    let plans = vec![plan(2.0, 6.0, 0.5), plan(15.0, 30.0, 1.0), hard_limited, capped, plan(40.0, 80.0, 1.6)];
+    Settings {
+        gateways: scenario.gateways,
+        me: GatewayNo(gateway),
+        zone: (gateway % 3) as u8,
+        tick: 4_000,
+        classes,
+        plans,
+        limits: Limits {
+            max_attempts: 3,
+            second_copies: kind == SettingsKind::Hedging,
+            cancel: kind != SettingsKind::Restricted,
+            probes: false,
+            peers: kind != SettingsKind::Restricted,
+            peer_in_per_s: scenario.gossip_receive_rate,
+            retry_after: kind != SettingsKind::Restricted,
+            max_retry_after: 2 * SECOND,
+            counter: false,
+            max_open: 10_000,
+        },
+        rules: Rules {
+            answer_slack: 16_000,
+            drain_grace: 250_000,
+            cold_from: 0.2,
+            cold_time: 8 * SECOND,
+            fall_factor: 3.0,
+            fall_time: SECOND,
+            must_ask: 4 * SECOND,
+        },
+        discovery: if kind == SettingsKind::Polling { Discovery::Ask } else { Discovery::Push },
+        sizes: if kind == SettingsKind::Restricted { SizeMeaning::None } else { SizeMeaning::Capacity },
+        meter_period: 0,
+        post_paid: kind == SettingsKind::Polling,
+    }
+}
+
+impl Fleet {
+    fn new(scenario: Scenario) -> Fleet {
+        let mut random = Random(scenario.seed);
+        let backend = |n: u64| Backend {
+            zone: (n % 3) as u8,
+            cell: (n % 5) as u16,
+            capacity: 1.0 + (n % 2) as f64,
+            started: if n % 4 == 0 { START - SECOND } else { 0 },
+            availability: Availability::Ready,
+            in_flight: 0,
+            slowdown: 1.0,
+            failing: 0,
+            silent: false,
+            unreachable: false,
+        };
+        let count = usize::from(scenario.gateways);
+        let gateways = (0..scenario.gateways)
+            .map(|n| Some(Gateway::new(settings(&scenario, n), random.next(), START)))
+            .collect();
+        Fleet {
+            backends: (0..scenario.backends).map(|n| (n, backend(n))).collect(),
+            random,
+            now: START,
+            order: 0,
+            queue: BinaryHeap::new(),
+            happenings: BTreeMap::new(),
+            gateways,
+            lives: vec![0; count],
+            stopping: vec![false; count],
+            attempts: (0..count).map(|_| BTreeMap::new()).collect(),
+            counts: (0..count).map(|_| BTreeMap::new()).collect(),
+            unanswered: (0..count).map(|_| BTreeSet::new()).collect(),
+            changed: BTreeSet::new(),
+            next_request: 1,
+            digest: blake3::Hasher::new(),
+            seen: BTreeMap::new(),
+            scenario,
+        }
+    }
+
+    fn schedule(&mut self, delay: Micros, happening: Happening) {
+        self.order += 1;
+        self.queue.push(Reverse((self.now + delay, self.order)));
+        self.happenings.insert(self.order, happening);
+    }
+
+    fn play(mut self) -> (String, BTreeMap<&'static str, u64>) {
+        for gateway in 0..self.gateways.len() {
+            let kind = if gateway % 2 == 0 { RosterKind::Full } else { RosterKind::Cached };
+            self.schedule(1_000 + gateway as u64 * 700, Happening::EndpointList { gateway, kind });
+        }
+        self.schedule(50_000, Happening::Arrival);
+        self.schedule(2 * SECOND, Happening::Incident);
+        let end = START + self.scenario.duration;
+        while let Some(Reverse((at, order))) = self.queue.pop() {
+            if at > end {
+                break;
+            }
+            self.now = at;
+            let happening = self.happenings.remove(&order).expect("scheduled once");
+            self.happen(happening);
+        }
+        (self.digest.finalize().to_hex().to_string(), self.seen)
+    }
+
+    fn happen(&mut self, happening: Happening) {
+        match happening {
+            Happening::Arrival => self.arrival(),
+            Happening::AttemptEnd { gateway, life, id, attempt, backend, sent, outcome } => {
+                if self.lives[gateway] == life {
+                    self.attempt_ends(gateway, id, attempt, backend, sent, outcome);
+                } else if let Some(model) = self.backends.get_mut(&backend.0) {
+                    model.in_flight = model.in_flight.saturating_sub(1);
+                }
+            }
+            Happening::FirstByte { gateway, life, id, attempt } => {
+                if self.lives[gateway] == life && self.attempts[gateway].contains_key(&(id, attempt)) {
+                    self.handle(gateway, Event::FirstByte { id, attempt });
+                }
+            }
+            Happening::ClientLeaves { gateway, life, id } => {
+                if self.lives[gateway] == life && self.unanswered[gateway].remove(&id) {
+                    self.handle(gateway, Event::Withdrawn(id));
+                }
+            }
+            Happening::Message { from, to, bytes } => {
+                self.handle(to, Event::Peer { from: GatewayNo(from), bytes });
+            }
+            Happening::Timer { gateway, life, token } => {
+                if self.lives[gateway] == life {
+                    self.handle(gateway, Event::Timer(token));
+                }
+            }
+            Happening::EndpointList { gateway, kind } => self.endpoint_list(gateway, kind),
+            Happening::Incident => self.incident(),
+            Happening::Restart { gateway } => self.restart(gateway),
+        }
+    }
+
+    fn arrival(&mut self) {
+        let mean = 1e6 / self.scenario.request_rate;
+        let wait = (-(1.0 - self.random.unit()).ln() * mean) as Micros;
+        self.schedule(wait.max(1), Happening::Arrival);
+        let customer =
+            self.random.below(self.scenario.customers).min(self.random.below(self.scenario.customers));
+        let gateways = u64::from(self.scenario.gateways);
+        let width = 1 + customer % gateways;
+        let first = customer * 7 % gateways;
+        let gateway = ((first + self.random.below(width)) % gateways) as usize;
+        if self.gateways[gateway].is_none() || self.stopping[gateway] {
+            return;
+        }
+        let class = self.random.below(5) as u8;
+        let id = RequestId(self.next_request);
+        self.next_request += 1;
+        let wait_limit = [2, 3, 2, 2, 1][usize::from(class)] * SECOND;
+        let hurried = if self.random.chance(50) { 20 } else { 1 };
+        let request = Request {
+            id,
+            class,
+            plan: (customer % 5) as u16,
+            customer: CustomerId(customer + 1),
+            deadline: self.now + wait_limit / hurried,
+            units: [1.0, 1.0, 1.5, 2.25][self.random.below(4) as usize],
+            width: width as f64,
+            first: first as f64,
+        };
+        self.unanswered[gateway].insert(id);
+        if self.random.chance(25) {
+            let delay = self.random.below(SECOND);
+            let life = self.lives[gateway];
+            self.schedule(delay, Happening::ClientLeaves { gateway, life, id });
+        }
+        self.handle(gateway, Event::Request(request));
+        if self.random.chance(200) {
+            self.handle(gateway, Event::Request(request));
+        }
+    }
+
+    fn attempt_ends(
+        &mut self,
+        gateway: usize,
+        id: RequestId,
+        attempt: u16,
+        backend: BackendId,
+        sent: Micros,
+        outcome: Outcome,
+    ) {
+        if self.attempts[gateway].remove(&(id, attempt)).is_none() {
+            return;
+        }
+        let Some(model) = self.backends.get_mut(&backend.0) else { return };
+        model.in_flight = model.in_flight.saturating_sub(1);
+        let queue = f64::from(model.in_flight.saturating_sub(4));
+        let report = (backend.0 % 2 == 0).then(|| Report { queue: Some(queue), ..Report::default() });
+        let complete = outcome == Outcome::Ok;
+        if complete {
+            self.unanswered[gateway].remove(&id);
+        }
+        let charged = self.random.chance(4).then(|| 1.0 + self.random.below(3) as f64);
+        let took = self.now - sent;
+        let settled =
+            Event::Settled { id, attempt, backend, outcome, complete, took, metered: None, charged, report };
+        self.handle(gateway, settled);
+    }
+
+    fn endpoint_list(&mut self, gateway: usize, kind: RosterKind) {
+        let list: Vec<Listed> = match kind {
+            RosterKind::Failed => Vec::new(),
+            RosterKind::Delta => self.changed.iter().map(|n| self.listed(*n)).collect(),
+            RosterKind::Full | RosterKind::Cached => {
+                let present = |n: &&u64| self.backends[*n].availability != Availability::Gone;
+                self.backends.keys().filter(present).map(|n| self.listed(*n)).collect()
+            }
+        };
+        self.handle(gateway, Event::Roster(kind, list));
+    }
+
+    fn listed(&self, number: u64) -> Listed {
+        let model = &self.backends[&number];
+        Listed {
+            backend: BackendId(number),
+            zone: model.zone,
+            cell: model.cell,
+            kind: 0,
+            availability: model.availability,
+            size: model.capacity,
+            started: model.started,
+        }
+    }
+
+    /// One thing goes wrong or is mended, every 300 ms on average.
+    fn incident(&mut self) {
+        let delay = 100_000 + self.random.below(400_000);
+        self.schedule(delay, Happening::Incident);
+        let number = self.random.below(self.scenario.backends);
+        let gateway = self.random.below(u64::from(self.scenario.gateways)) as usize;
+        let choice = self.random.below(14);
+        let now = self.now;
+        let Some(model) = self.backends.get_mut(&number) else { return };
+        match choice {
+            0 => model.slowdown = 6.0,
+            1 => model.failing = 2,
+            2 => model.silent = true,
+            3 => model.unreachable = true,
+            4..=6 => {
+                (model.slowdown, model.failing) = (1.0, 0);
+                (model.silent, model.unreachable) = (false, false);
+            }
+            7 | 8 => {
+                model.availability = Availability::Draining;
+                self.changed.insert(number);
+                self.announce();
+            }
+            9 | 10 => {
+                model.availability = Availability::Ready;
+                model.started = now;
+                (model.slowdown, model.failing) = (1.0, 0);
+                (model.silent, model.unreachable) = (false, false);
+                self.changed.insert(number);
+                self.announce();
+            }
+            11 => {
+                model.availability = Availability::Gone;
+                self.changed.insert(number);
+                self.announce();
+            }
+            12 => self.stop(gateway),
+            _ => {
+                let there = self.random.chance(2);
+                let peer = GatewayNo(self.random.below(u64::from(self.scenario.gateways) + 1) as u16);
+                self.handle(gateway, Event::Reach { peer, there });
+                let backend = BackendId(number);
+                let probed = Event::Probed { backend, outcome: Outcome::Ok, took: 900, report: None };
+                self.handle(gateway, probed);
+                self.handle(gateway, Event::Counted { name: 7, outcome: Outcome::Ok, total: 3.0 });
+            }
+        }
+    }
+
+    /// Tells every gateway of changed backends, some of them late, some by a whole list, some by a failed call first.
+    fn announce(&mut self) {
+        for gateway in 0..self.gateways.len() {
+            let delay = 5_000 + self.random.below(300_000);
+            let kind = match self.random.below(8) {
+                0 => RosterKind::Full,
+                1 => RosterKind::Failed,
+                _ => RosterKind::Delta,
+            };
+            self.schedule(delay, Happening::EndpointList { gateway, kind });
+            if kind == RosterKind::Failed {
+                self.schedule(delay + 500_000, Happening::EndpointList { gateway, kind: RosterKind::Full });
+            }
+        }
+    }
+
+    /// A gateway takes no new clients, or is killed outright; both come back after a while.
+    fn stop(&mut self, gateway: usize) {
+        if self.gateways[gateway].is_none() || self.stopping[gateway] {
+            return;
+        }
+        if self.random.chance(2) {
+            self.stopping[gateway] = true;
+        } else {
+            self.gateways[gateway] = None;
+            self.lives[gateway] += 1;
+        }
+        let delay = 400_000 + self.random.below(SECOND);
+        self.schedule(delay, Happening::Restart { gateway });
+    }
+
+    fn restart(&mut self, gateway: usize) {
+        self.lives[gateway] += 1;
+        self.stopping[gateway] = false;
+        self.attempts[gateway].clear();
+        self.counts[gateway].clear();
+        self.unanswered[gateway].clear();
+        let settings = settings(&self.scenario, gateway as u16);
+        self.gateways[gateway] = Some(Gateway::new(settings, self.random.next(), self.now));
+        self.endpoint_list(gateway, RosterKind::Cached);
+        self.schedule(200_000, Happening::EndpointList { gateway, kind: RosterKind::Full });
+    }
+
+    fn handle(&mut self, gateway: usize, event: Event) {
+        let name = event_name(&event);
+        let Some(module) = self.gateways[gateway].as_mut() else { return };
+        *self.seen.entry(name).or_default() += 1;
+        let mut actions = Vec::new();
+        module.handle(self.now, event, &mut actions);
+        for action in actions {
+            self.record(gateway, &action);
+            self.carry_out(gateway, action);
+        }
+    }
+
+    fn record(&mut self, gateway: usize, action: &Action) {
+        let mut bytes = Vec::new();
+        bytes.extend_from_slice(&(gateway as u16).to_le_bytes());
+        bytes.extend_from_slice(&self.now.to_le_bytes());
+        *self.seen.entry(encode(action, &mut bytes)).or_default() += 1;
+        self.digest.update(&(bytes.len() as u32).to_le_bytes());
+        self.digest.update(&bytes);
+    }
+
+    fn carry_out(&mut self, gateway: usize, action: Action) {
+        match action {
+            Action::Send { id, backend, .. } => self.start_attempt(gateway, id, backend),
+            Action::Refuse { id, .. } | Action::Fail(id) => {
+                self.unanswered[gateway].remove(&id);
+            }
+            Action::Cancel { id, attempt } => self.cancel(gateway, id, attempt),
+            Action::SetTimer { delay, token } => {
+                // One timer in two hundred is late: the process stood still.
+                let stall = if self.random.chance(200) { 200_000 } else { 0 };
+                let life = self.lives[gateway];
+                self.schedule(delay + stall, Happening::Timer { gateway, life, token });
+            }
+            Action::Tell { to, bytes } => self.deliver(gateway, to, bytes),
+            Action::Watch(_) | Action::FetchRoster => {
+                let kind = if self.random.chance(4) { RosterKind::Failed } else { RosterKind::Full };
+                self.schedule(20_000, Happening::EndpointList { gateway, kind });
+            }
+            Action::Probe(_) | Action::CloseIdle(_) | Action::Count { .. } | Action::Log(_) => {}
+        }
+    }
+
+    fn start_attempt(&mut self, gateway: usize, id: RequestId, backend: BackendId) {
+        let count = self.counts[gateway].entry(id).or_default();
+        let attempt = *count;
+        *count += 1;
+        self.attempts[gateway].insert((id, attempt), InFlight { backend, sent: self.now });
+        let roll = self.random.below(1_000);
+        let spread = 0.4 - 1.2 * (1.0 - self.random.unit()).ln();
+        let overload = self.overload();
+        let Some(model) = self.backends.get_mut(&backend.0) else { return };
+        model.in_flight += 1;
+        let crowding = (f64::from(model.in_flight) / (4.0 * model.capacity)).max(1.0);
+        let service = (25_000.0 * spread * crowding * model.slowdown * overload) as Micros;
+        let (delay, outcome) = if model.unreachable || model.availability == Availability::Gone {
+            (2_000, Outcome::ConnectFailed)
+        } else if model.silent {
+            (1_500_000, Outcome::TimedOut)
+        } else if model.failing > 0 && roll % model.failing == 0 {
+            (service / 4, if roll % 3 == 0 { Outcome::Reset } else { Outcome::Error })
+        } else if f64::from(model.in_flight) > 14.0 * model.capacity {
+            (1_000, Outcome::Full)
+        } else if roll == 999 {
+            (500, Outcome::Moot)
+        } else {
+            (service, Outcome::Ok)
+        };
+        let (life, sent) = (self.lives[gateway], self.now);
+        if outcome == Outcome::Ok && roll % 5 == 0 {
+            self.schedule(delay / 2, Happening::FirstByte { gateway, life, id, attempt });
+        }
+        let end = Happening::AttemptEnd { gateway, life, id, attempt, backend, sent, outcome };
+        self.schedule(delay.max(200), end);
+    }
+
+    /// Every backend is slow for the second quarter of a scenario, so that alerts rise and end.
+    fn overload(&self) -> f64 {
+        let quarter = (self.now - START) * 4 / self.scenario.duration;
+        if quarter == 1 {
+            12.0
+        } else {
+            1.0
+        }
+    }
+
+    fn cancel(&mut self, gateway: usize, id: RequestId, attempt: u16) {
+        if let Some(attempt_in_flight) = self.attempts[gateway].get(&(id, attempt)) {
+            let InFlight { backend, sent } = *attempt_in_flight;
+            let life = self.lives[gateway];
+            let outcome = Outcome::Cancelled;
+            let end = Happening::AttemptEnd { gateway, life, id, attempt, backend, sent, outcome };
+            self.schedule(300, end);
+        }
+    }
+
+    /// One message in twelve is lost, one in thirty comes twice, some are late.
+    fn deliver(&mut self, from: usize, to: Option<GatewayNo>, bytes: Vec<u8>) {
+        let Some(to) = to.map(|to| usize::from(to.0)).filter(|to| *to < self.gateways.len()) else { return };
+        if self.random.chance(12) {
+            return;
+        }
+        let copies = if self.random.chance(30) { 2 } else { 1 };
+        for _ in 0..copies {
+            let late = if self.random.chance(15) { 400_000 } else { 3_000 };
+            let delay = 500 + self.random.below(late);
+            let bytes = bytes.clone();
+            self.schedule(delay, Happening::Message { from: from as u16, to, bytes });
+        }
+    }
+}
+
+fn event_name(event: &Event) -> &'static str {
+    match event {
+        Event::Roster(RosterKind::Full, _) => "event: snapshot",
+        Event::Roster(RosterKind::Delta, _) => "event: delta",
+        Event::Roster(RosterKind::Cached, _) => "event: cached list",
+        Event::Roster(RosterKind::Failed, _) => "event: failed poll",
+        Event::Request(_) => "event: request",
+        Event::Settled { .. } => "event: attempt ended",
+        Event::FirstByte { .. } => "event: first byte",
+        Event::Withdrawn(_) => "event: client left",
+        Event::Timer(_) => "event: timer",
+        Event::Probed { .. } => "event: health check",
+        Event::Peer { .. } => "event: gossip",
+        Event::Reach { .. } => "event: reachability",
+        Event::Counted { .. } => "event: counter",
+    }
+}
+
+/// Appends an action's bytes and gives its name. Of a log line the numbers count, and not the words.
+fn encode(action: &Action, bytes: &mut Vec<u8>) -> &'static str {
+    match action {
+        Action::Send { id, backend, expires, begin_by } => {
+            bytes.push(1);
+            for number in [id.0, backend.0, *expires, *begin_by] {
+                bytes.extend_from_slice(&number.to_le_bytes());
+            }
+            "action: attempt"
+        }
+        Action::Refuse { id, pause } => {
+            bytes.push(2);
+            bytes.extend_from_slice(&id.0.to_le_bytes());
+            bytes.extend_from_slice(&pause.to_le_bytes());
+            "action: reject"
+        }
+        Action::Fail(id) => {
+            bytes.push(3);
+            bytes.extend_from_slice(&id.0.to_le_bytes());
+            "action: fail"
+        }
+        Action::Cancel { id, attempt } => {
+            bytes.push(4);
+            bytes.extend_from_slice(&id.0.to_le_bytes());
+            bytes.extend_from_slice(&attempt.to_le_bytes());
+            "action: cancel"
+        }
+        Action::SetTimer { delay, token } => {
+            bytes.push(5);
+            bytes.extend_from_slice(&delay.to_le_bytes());
+            bytes.extend_from_slice(&token.to_le_bytes());
+            "action: timer"
+        }
+        Action::Tell { to, bytes: message } => {
+            bytes.push(6);
+            bytes.extend_from_slice(&to.map_or(u16::MAX, |to| to.0).to_le_bytes());
+            bytes.extend_from_slice(message);
+            "action: gossip"
+        }
+        Action::Probe(backend) => {
+            bytes.push(7);
+            bytes.extend_from_slice(&backend.0.to_le_bytes());
+            "action: health check"
+        }
+        Action::CloseIdle(backend) => {
+            bytes.push(8);
+            bytes.extend_from_slice(&backend.0.to_le_bytes());
+            "action: close idle"
+        }
+        Action::Watch(on) => {
+            bytes.extend_from_slice(&[9, u8::from(*on)]);
+            "action: watch"
+        }
+        Action::FetchRoster => {
+            bytes.push(10);
+            "action: fetch"
+        }
+        Action::Count { name, delta, lifetime } => {
+            bytes.push(11);
+            bytes.extend_from_slice(&name.to_le_bytes());
+            bytes.extend_from_slice(&delta.to_bits().to_le_bytes());
+            bytes.extend_from_slice(&lifetime.to_le_bytes());
+            "action: count"
+        }
+        Action::Log(text) => {
+            bytes.push(12);
+            bytes.extend(text.bytes().filter(|byte| byte.is_ascii_digit()));
+            "action: log"
+        }
+    }
+}
+
+fn check(scenario: Scenario, expected: &str, absent: &[&str]) {
+    let (digest, seen) = Fleet::new(scenario).play();
+    let all = [
+        "event: snapshot",
+        "event: delta",
+        "event: cached list",
+        "event: failed poll",
+        "event: request",
+        "event: attempt ended",
+        "event: first byte",
+        "event: client left",
+        "event: timer",
+        "event: health check",
+        "event: gossip",
+        "event: reachability",
+        "event: counter",
+        "action: attempt",
+        "action: reject",
+        "action: fail",
+        "action: cancel",
+        "action: timer",
+        "action: gossip",
+        "action: watch",
+        "action: log",
+    ];
+    for name in all.iter().filter(|name| !absent.contains(name)) {
+        assert!(seen.contains_key(name), "{name} never occurred: {seen:?}");
+    }
+    assert_eq!(digest, expected, "{seen:?}");
+}
+
+#[test]
+fn three_gateways_with_hedging_decide_as_recorded() {
+    let scenario = Scenario {
+        gateways: 3,
+        backends: 8,
+        customers: 30,
+        request_rate: 220.0,
+        gossip_receive_rate: 60.0,
+        duration: 60 * SECOND,
+        settings: SettingsKind::Hedging,
+        seed: 11,
+    };
+    check(scenario, "0786a314d5cab1bc170ae875352d2054e0b93c3867a0211ce57b877259fe44ba", &["action: watch"]);
+}
+
+#[test]
+fn eight_gateways_that_poll_for_endpoints_decide_as_recorded() {
+    let scenario = Scenario {
+        gateways: 8,
+        backends: 14,
+        customers: 60,
+        request_rate: 420.0,
+        gossip_receive_rate: 60.0,
+        duration: 40 * SECOND,
+        settings: SettingsKind::Polling,
+        seed: 12,
+    };
+    check(scenario, "458dc4cdef8bee431a67b90367e50ce6fd4aff772d8de4fd3e431b2ac2e5238f", &[]);
+}
+
+#[test]
+fn forty_gateways_with_two_owners_a_customer_decide_as_recorded() {
+    let scenario = Scenario {
+        gateways: 40,
+        backends: 48,
+        customers: 200,
+        request_rate: 1_200.0,
+        gossip_receive_rate: 60.0,
+        duration: 30 * SECOND,
+        settings: SettingsKind::Hedging,
+        seed: 13,
+    };
+    check(scenario, "f643ed45d1232c549255ee85e9878e2c2e25f4a5db30f2cb4dd5405ea70695c2", &["action: watch"]);
+}
+
+#[test]
+fn gateways_without_gossip_or_cancelling_decide_as_recorded() {
+    let scenario = Scenario {
+        gateways: 3,
+        backends: 6,
+        customers: 20,
+        request_rate: 200.0,
+        gossip_receive_rate: 60.0,
+        duration: 40 * SECOND,
+        settings: SettingsKind::Restricted,
+        seed: 14,
+    };
+    check(
+        scenario,
+        "11745be27f2984e2a2b07fba5fecc67933da271d8b366daf0b86c116f0c0940d",
+        &["action: watch", "action: cancel", "action: gossip", "event: gossip"],
+    );
+}
--- a/crates/gateway/tests/mqtt.rs
+++ b/crates/gateway/tests/mqtt.rs
@@ -527,3 +527,34 @@
         eventually(&s.runtime, "the will ran", || ran(&s) == 1).await;
     });
 }
+
+/// A file of sessions that an earlier version wrote: its sessions are taken up, and the file is written the same again.
+#[test]
+fn a_recorded_file_of_sessions_is_read_and_written() {
+    run(|system| async move {
+        let fixture = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/fixtures/mqtt_sessions.json");
+        let recorded = std::fs::read(fixture).unwrap();
+        let path = std::env::temp_dir().join(format!("chalkgap-mqtt-recorded-{}", std::process::id()));
+        std::fs::write(&path, &recorded).unwrap();
+        let mut s = Small::start(system.clone(), with_snapshot(&path), vec![Machine::default()]).await;
+        assert!(s.ingress.drain(s.runtime.now() + 3_000_000).await);
+        assert_eq!(std::fs::read(&path).unwrap(), recorded, "as it was, when nobody came");
+
+        s.ingress = chalkgap::Instance::start(with_snapshot(&path), system).await.unwrap();
+        s.ingress.nodes(list(&s.nodes.iter().collect::<Vec<_>>())).await;
+        let (mut h, first) = Hand::open(&s, hello(Version::V5, "c")).await;
+        assert!(
+            matches!(first, Packet::ConnAck(ConnAck { session_present: true, code: 0, .. })),
+            "{first:?}"
+        );
+        for (packet, code) in [(7, 0), (8, QUOTA_EXCEEDED)] {
+            let again = Publish { dup: true, ..publish(ONCE, QoS::ExactlyOnce, packet, 1) };
+            h.send(&Packet::Publish(again)).await;
+            let answer = h.next().await;
+            let Some(Packet::PubRec(ack)) = answer else { panic!("{answer:?}") };
+            assert_eq!((ack.packet, ack.code), (packet, code));
+        }
+        assert_eq!(ran(&s), 0, "what was answered is answered again, and not run");
+        std::fs::remove_file(path).unwrap();
+    });
+}
--- /dev/null
+++ b/crates/ledger/tests/recorded_store.rs
@@ -0,0 +1,204 @@
+//! A ledger's folder as an earlier version left it: read whole, added up to the same, and written the same again.
+
+use chalkgap_ledger::entry::*;
+use chalkgap_ledger::store::{self, Store};
+use chalkgap_ledger::{Book, Entry, Id, Periods, What};
+use chalkgap_runtime::system::System;
+use chalkgap_runtime::Shared;
+use futures_lite::future::block_on;
+use std::fmt::Write as _;
+use std::path::Path;
+
+#[path = "../../../tests/support/recorded.rs"]
+mod recorded;
+
+const SECOND: u64 = 1_000_000;
+const PERIODS: Periods = Periods::Every(60 * SECOND);
+const START: u64 = 1_800_000_000 * SECOND;
+/// Bytes of a segment: small, so that a few entries fill several.
+const SEGMENT: u64 = 400;
+/// The last segment that the snapshot stands for.
+const REPLACED: u64 = 1;
+
+fn entry(number: u64, what: What) -> Entry {
+    Entry { id: Id { ingress: 2, incarnation: START, number }, at: START + number * SECOND, what }
+}
+
+fn open(number: u64, account: &str, units: u64) -> What {
+    let request = format!("x-{number}");
+    let (account, plan, class) = (account.to_owned(), "team".to_owned(), "sig-check".to_owned());
+    What::Open(Open { account, plan, class, units, request, node: "127.0.0.1:7001".into() })
+}
+
+fn settled(open: u64, units: u64, presumed: bool) -> What {
+    What::Settled(Settled { open, units, presumed, node: "127.0.0.1:7001".into(), incarnation: 0 })
+}
+
+fn entries() -> Vec<Entry> {
+    let correction = Correction {
+        ingress: 2,
+        incarnation: START,
+        number: 4,
+        units: -2,
+        why: "the node says that it never ran".into(),
+        account: "acme".into(),
+        plan: "team".into(),
+        period: PERIODS.of(START + 4 * SECOND),
+    };
+    let period = PERIODS.of(START);
+    let line =
+        Line { account: "acme".into(), plan: "team".into(), period, billed: period, units: 3, requests: 1 };
+    let basis = vec![Range { ingress: 2, incarnation: START, from: 1, to: 9 }];
+    let batch = Batch { stream: "2".into(), number: 1, lines: vec![line], basis, until: period };
+    let digest = batch.digest().to_vec();
+    let whats = vec![
+        What::Opened(Opened { period, incarnation: START - 5, number: 44 }),
+        open(2, "acme", 3),
+        settled(2, 3, false),
+        open(4, "acme", 2),
+        What::Again(Again { open: 4, node: "127.0.0.1:7002".into() }),
+        settled(4, 2, true),
+        What::Correction(correction),
+        open(8, "other", 5),
+        settled(8, 0, false),
+        What::Closed(Closed { period }),
+        What::Exported(batch),
+        What::Acknowledged(Acknowledged { stream: "2".into(), number: 1, digest }),
+        open(13, "other", 7),
+    ];
+    (1u64..).zip(whats).map(|(number, what)| entry(number, what)).collect()
+}
+
+/// A folder of this test's own, removed when it ends.
+struct Folder(std::path::PathBuf);
+
+impl Folder {
+    fn new(name: &str) -> Folder {
+        let path = std::env::temp_dir().join(format!("chalkgap-recorded-{name}-{}", std::process::id()));
+        drop(std::fs::remove_dir_all(&path)); // what an earlier run with this number left
+        std::fs::create_dir_all(&path).unwrap();
+        Folder(path)
+    }
+}
+
+impl Drop for Folder {
+    fn drop(&mut self) {
+        drop(std::fs::remove_dir_all(&self.0));
+    }
+}
+
+async fn write(runtime: &Shared, folder: &Path, entries: &[Entry]) {
+    let mut store = Store::open(runtime.clone(), folder, SEGMENT, |_| ()).await.unwrap();
+    for entry in entries {
+        store.commit(std::slice::from_ref(entry)).await.unwrap();
+    }
+}
+
+/// The names of a folder's segments and snapshots, in order.
+fn files(folder: &Path) -> Vec<String> {
+    let names =
+        std::fs::read_dir(folder).unwrap().map(|file| file.unwrap().file_name().into_string().unwrap());
+    let mut names: Vec<String> = names.filter(|name| name != "lock").collect();
+    names.sort();
+    names
+}
+
+/// Writes the fixture: segments, of which a snapshot replaces the first ones.
+fn record(runtime: &Shared, fixtures: &Path) {
+    let made = Folder::new("made");
+    block_on(async {
+        write(runtime, &made.0, &entries()).await;
+        let keep = PERIODS.of(START) + 1;
+        let snapshot = store::condense(runtime, &made.0, PERIODS, REPLACED, keep).await.unwrap();
+        let mut store = Store::open(runtime.clone(), &made.0, SEGMENT, |_| ()).await.unwrap();
+        store.compact(&snapshot.expect("nothing is unfinished")).await.unwrap();
+    });
+    std::fs::create_dir_all(fixtures).unwrap();
+    for file in files(&made.0) {
+        std::fs::copy(made.0.join(&file), fixtures.join(&file)).unwrap();
+    }
+}
+
+fn sums(book: &Book) -> String {
+    let mut text = String::new();
+    for (account, plan, period, sum) in book.sums() {
+        writeln!(
+            text,
+            "{account} {plan} {period}: units {}, requests {}, presumed {}, open {}",
+            sum.units, sum.requests, sum.presumed, sum.open
+        )
+        .unwrap();
+    }
+    writeln!(text, "latest {:?}, strays {}", book.latest(2), book.strays()).unwrap();
+    for range in book.ranges() {
+        writeln!(text, "has {} {} {}-{}", range.ingress, range.incarnation, range.from, range.to).unwrap();
+    }
+    text
+}
+
+#[test]
+fn a_recorded_folder_is_read_and_written_again() {
+    let system = System::new();
+    let runtime: Shared = system.clone();
+    let fixtures = recorded::fixture("ledger");
+    if recorded::recording() {
+        record(&runtime, &fixtures);
+    }
+
+    let copy = Folder::new("copy");
+    for file in files(&fixtures) {
+        std::fs::copy(fixtures.join(&file), copy.0.join(&file)).unwrap();
+    }
+    let (text, appended) = block_on(async {
+        let snapshot = store::snapshot(&runtime, &copy.0).await.unwrap().expect("a snapshot");
+        let mut book = Book::restore(PERIODS, &snapshot.book).unwrap();
+        assert_eq!(book.snapshot().expect("nothing is unfinished"), snapshot.book);
+        let mut read = Vec::new();
+        let mut store =
+            Store::open(runtime.clone(), &copy.0, SEGMENT, |entry| read.push(entry)).await.unwrap();
+        for entry in &read {
+            book.take(entry);
+        }
+        let all = entries();
+        assert!(read.len() >= 2 && all.ends_with(&read), "the entries that the snapshot does not stand for");
+        let mut text = sums(&book);
+        writeln!(text, "segment {}, entries read {}", store.current(), read.len()).unwrap();
+        // What is written now continues the chain.
+        store.commit(&[entry(14, settled(13, 6, false))]).await.unwrap();
+        drop(store);
+        let mut last = Vec::new();
+        let reopened =
+            Store::open(runtime.clone(), &copy.0, SEGMENT, |entry| last.push(entry)).await.unwrap();
+        drop(reopened);
+        (text, last.len() - read.len())
+    });
+    assert_eq!(appended, 1);
+    recorded::check_text("ledger_sums.txt", &text);
+}
+
+/// Segments written today are those that were recorded, byte for byte.
+#[test]
+fn segments_are_the_bytes_that_were_recorded() {
+    let system = System::new();
+    let runtime: Shared = system.clone();
+    let made = Folder::new("again");
+    block_on(write(&runtime, &made.0, &entries()));
+    let fixtures = recorded::fixture("ledger");
+    for file in files(&fixtures).iter().filter(|file| file.ends_with(".seg")) {
+        let now = std::fs::read(made.0.join(file)).unwrap();
+        let before = std::fs::read(fixtures.join(file)).unwrap();
+        assert!(now == before, "{file} differs: {} bytes now, {} recorded", now.len(), before.len());
+    }
+}
+
+#[test]
+fn entries_are_the_bytes_that_were_recorded() {
+    let entries = entries();
+    let names: Vec<String> = entries.iter().map(|entry| format!("entry {}", entry.id.number)).collect();
+    let bytes: Vec<(&str, Vec<u8>)> =
+        names.iter().zip(&entries).map(|(name, entry)| (name.as_str(), entry.encode())).collect();
+    recorded::check_messages("entries.txt", &bytes);
+    for (entry, (name, bytes)) in entries.iter().zip(&bytes) {
+        assert_eq!(Entry::decode(bytes).as_ref(), Ok(entry), "{name}");
+    }
+}
--- /dev/null
+++ b/crates/platform/tests/recorded_documents.rs
@@ -0,0 +1,130 @@
+//! What the platform and its discovery tell an ingress, as recorded documents: each value arrives where it did before.
+
+use chalkgap_platform::config::Config;
+use chalkgap_platform::list::{List, Roster};
+use std::fmt::Write as _;
+
+#[path = "../../../tests/support/recorded.rs"]
+mod recorded;
+
+fn document(name: &str) -> Vec<u8> {
+    std::fs::read(recorded::fixture(name)).expect("the recorded document")
+}
+
+fn show_lines(text: &mut String, lines: &[(chalkgap_core::Listed, std::net::SocketAddr)]) {
+    for (line, address) in lines {
+        writeln!(
+            text,
+            "{:016x} zone {} cell {} kind {} {:?} size {} started {} at {address}",
+            line.backend.0, line.zone, line.cell, line.kind, line.availability, line.size, line.started
+        )
+        .unwrap();
+    }
+}
+
+#[test]
+fn a_configuration_is_read_as_recorded() {
+    let config = Config::parse("config.json", &document("config.json")).expect("it is taken");
+    let mut text = String::new();
+    writeln!(text, "name {} listen {} discovery {}", config.name, config.listen, config.discovery).unwrap();
+    writeln!(text, "seed {:016x} memory {} sockets {}", config.seed, config.memory, config.sockets).unwrap();
+    writeln!(text, "peer_listen {:?} peers {:?}", config.peer_listen, config.peers).unwrap();
+    let terms = &config.terms;
+    let settings = &terms.settings;
+    writeln!(text, "gateways {} self {} zone {}", settings.gateways, settings.me.0, settings.zone).unwrap();
+    writeln!(text, "tick {} meter {} post-paid {}", settings.tick, settings.meter_period, settings.post_paid)
+        .unwrap();
+    writeln!(text, "names {:?} {:?} {:?} {:?}", terms.classes, terms.plans, terms.zones, terms.kinds)
+        .unwrap();
+    writeln!(text, "report {:?} units {}", terms.report, terms.most_units).unwrap();
+    writeln!(text, "keepalive {} connect {}", terms.keepalive, terms.connect_timeout).unwrap();
+    for class in &settings.classes {
+        writeln!(
+            text,
+            "class: {} {} {} {} {} {}",
+            class.aim, class.aim_stretch, class.deadline, class.worth, class.late_worth, class.stream
+        )
+        .unwrap();
+    }
+    for plan in &settings.plans {
+        let rates = [plan.rate, plan.burst, plan.ceiling_rate, plan.ceiling_burst, plan.ceiling_slack];
+        writeln!(text, "plan: {rates:?} cap {}", plan.open_cap).unwrap();
+        writeln!(text, "plan: {:?}", [plan.price, plan.over_worth, plan.over_cost]).unwrap();
+    }
+    let limits = &settings.limits;
+    let flags = [
+        limits.second_copies,
+        limits.cancel,
+        limits.probes,
+        limits.peers,
+        limits.retry_after,
+        limits.counter,
+    ];
+    writeln!(text, "limits: {} {flags:?} {}", limits.max_attempts, limits.peer_in_per_s).unwrap();
+    writeln!(text, "limits: {} {}", limits.max_retry_after, limits.max_open).unwrap();
+    let rules = &settings.rules;
+    writeln!(
+        text,
+        "rules: {} {} {} {} {} {} {}",
+        rules.answer_slack,
+        rules.drain_grace,
+        rules.cold_from,
+        rules.cold_time,
+        rules.fall_factor,
+        rules.fall_time,
+        rules.must_ask
+    )
+    .unwrap();
+    let mut roster = Roster::new(terms.zones.clone(), terms.kinds.clone());
+    let known: &List = config.known.as_ref().expect("a known list");
+    let (_, lines) = roster.known(1, known);
+    writeln!(text, "known {} whole {}", known.seq, known.whole).unwrap();
+    show_lines(&mut text, &lines);
+    recorded::check_text("config.txt", &text);
+}
+
+#[test]
+fn lists_of_backends_are_read_as_recorded() {
+    let mut roster = Roster::new(vec!["bldg-a".into(), "bldg-b".into()], vec!["k".into()]);
+    let mut text = String::new();
+    for name in ["list.json", "changes.json"] {
+        let list: List = serde_json::from_slice(&document(name)).expect("a list");
+        let (_, lines) = roster.take(1_000, &list).expect("it is taken");
+        writeln!(text, "{name}: version {} whole {}", list.seq, list.whole).unwrap();
+        show_lines(&mut text, &lines);
+    }
+    recorded::check_text("lists.txt", &text);
+}
+
+/// Complaints about a document name the place and what was expected there.
+#[test]
+fn complaints_about_a_configuration_are_as_recorded() {
+    let good: serde_json::Value = serde_json::from_slice(&document("config.json")).unwrap();
+    let mut text = String::new();
+    let mut paths = Vec::new();
+    leaves(&good, String::new(), &mut paths);
+    for path in paths {
+        for bad in [serde_json::json!("nonsense"), serde_json::json!(-1), serde_json::Value::Null] {
+            let mut changed = good.clone();
+            *changed.pointer_mut(&path).unwrap() = bad.clone();
+            let said = match Config::parse("config.json", changed.to_string().as_bytes()) {
+                Ok(_) => "taken".to_owned(),
+                Err(error) => error.to_string(),
+            };
+            writeln!(text, "{path} = {bad}: {said}").unwrap();
+        }
+    }
+    recorded::check_text("complaints.txt", &text);
+}
+
+fn leaves(value: &serde_json::Value, path: String, paths: &mut Vec<String>) {
+    match value {
+        serde_json::Value::Object(map) => {
+            map.iter().for_each(|(key, value)| leaves(value, format!("{path}/{key}"), paths));
+        }
+        serde_json::Value::Array(list) if list.iter().any(serde_json::Value::is_object) => {
+            list.iter().enumerate().for_each(|(n, value)| leaves(value, format!("{path}/{n}"), paths));
+        }
+        _ => paths.push(path),
+    }
+}
--- /dev/null
+++ b/crates/resp/tests/recorded_messages.rs
@@ -0,0 +1,57 @@
+//! Commands and answers are the bytes that earlier versions wrote, and are read back from them.
+
+use bytes::BytesMut;
+use chalkgap_resp::{answer, command, put_array, put_bulk, put_command, put_line, put_null, Limits};
+
+#[path = "../../../tests/support/recorded.rs"]
+mod recorded;
+
+const LIMITS: Limits = Limits { elements: 8, depth: 3, bulk: 1 << 10, line: 100, whole: 1 << 12 };
+
+fn written(write: impl FnOnce(&mut BytesMut)) -> Vec<u8> {
+    let mut out = BytesMut::new();
+    write(&mut out);
+    out.to_vec()
+}
+
+fn shown(bytes: &[u8], read: impl FnOnce(&mut BytesMut) -> String) -> String {
+    let mut buffer = BytesMut::from(bytes);
+    let text = read(&mut buffer);
+    assert!(buffer.is_empty(), "{} bytes were left", buffer.len());
+    text
+}
+
+#[test]
+fn messages_are_the_bytes_that_were_recorded() {
+    let commands = [
+        ("command", written(|out| put_command(out, &[b"DO", b"", b"\0\r\n\xff", &[b'x'; 300]]))),
+        ("one word", written(|out| put_command(out, &[b"PING"]))),
+    ];
+    let answers = [
+        (
+            "array",
+            written(|out| {
+                put_array(out, 3);
+                put_bulk(out, b"value");
+                put_null(out);
+                put_bulk(out, b"depth=2");
+            }),
+        ),
+        ("simple string", written(|out| put_line(out, b'+', "OK\r\nthen"))),
+        ("error", written(|out| put_line(out, b'-', "BUSY retry_after=120"))),
+        ("nested", b"*2\r\n:-42\r\n*2\r\n*-1\r\n$3\r\nabc\r\n".to_vec()),
+    ];
+    let all: Vec<(&str, Vec<u8>)> = commands.iter().chain(&answers).cloned().collect();
+    recorded::check_messages("messages.txt", &all);
+
+    let mut text = String::new();
+    for (name, bytes) in &commands {
+        let words = shown(bytes, |buffer| format!("{:?}", command(buffer, &LIMITS).unwrap().unwrap().words));
+        text += &format!("{name}: {words}\n");
+    }
+    for (name, bytes) in &answers {
+        let value = shown(bytes, |buffer| format!("{:?}", answer(buffer, &LIMITS).unwrap().unwrap()));
+        text += &format!("{name}: {value}\n");
+    }
+    recorded::check_text("decoded.txt", &text);
+}
