--- a/crates/cli/src/drill.rs
+++ b/crates/cli/src/drill.rs
@@ -2,9 +2,9 @@
 
 use crate::{fail, Exit};
 use chalkgap::runtime::system::System;
-use chalkgap_lab::audit::Verdict;
-use chalkgap_lab::day::Day;
-use chalkgap_lab::drill::{self, DrillError, Home};
+use chalkgap_fault_injection::audit::Verdict;
+use chalkgap_fault_injection::day::Day;
+use chalkgap_fault_injection::drill::{self, DrillError, Home};
 use std::path::PathBuf;
 
 /// Play a bad day through real ingresses and judge it.
@@ -35,8 +35,10 @@
             Ok(text) => (path.display().to_string(), text),
             Err(e) => return fail(Exit::System, format!("{}: {e}", path.display())),
         },
-        None if args.short => ("short.star".into(), include_str!("../../lab/days/short.star").into()),
-        None => ("bad-day.star".into(), include_str!("../../lab/days/bad-day.star").into()),
+        None if args.short => {
+            ("short.star".into(), include_str!("../../fault-injection/scenarios/short.star").into())
+        }
+        None => ("bad-day.star".into(), include_str!("../../fault-injection/scenarios/bad-day.star").into()),
     };
     let day = match Day::read(&name, text, &args.given) {
         Ok(day) => day,
--- a/crates/cli/tests/descriptors.rs
+++ b/crates/cli/tests/descriptors.rs
@@ -1,9 +1,9 @@
 //! A daemon whose descriptors are few, under a flood from many addresses.
 
 use chalkgap::runtime::{system::System, Shared};
-use chalkgap_standin::client::{Ask, Client};
-use chalkgap_standin::flood::{self, knock, Knock, Plan};
-use chalkgap_standin::journal::{Answer, Journal};
+use chalkgap_testbed::client::{Ask, Client};
+use chalkgap_testbed::flood::{self, knock, Knock, Plan};
+use chalkgap_testbed::journal::{Answer, Journal};
 use rustix::process::{prlimit, Pid, Resource, Rlimit};
 use std::io::{BufRead, BufReader};
 use std::net::SocketAddr;
--- a/crates/cli/tests/scenarios.rs
+++ b/crates/cli/tests/scenarios.rs
@@ -1,10 +1,10 @@
 //! The same scenarios against the library in this process and against the daemon's processes, unchanged.
 
 use chalkgap::runtime::system::System;
-use chalkgap_lab::audit::Verdict;
-use chalkgap_lab::day::Day;
-use chalkgap_lab::drill::{play, Home};
-use chalkgap_lab::fleet::Statement;
+use chalkgap_fault_injection::audit::Verdict;
+use chalkgap_fault_injection::day::Day;
+use chalkgap_fault_injection::drill::{play, Home};
+use chalkgap_fault_injection::fleet::Statement;
 use std::sync::{Mutex, PoisonError};
 
 fn homes() -> [Home; 2] {
@@ -31,7 +31,7 @@
 #[test]
 fn the_short_day_keeps_the_rules() {
     for home in homes() {
-        let v = run(include_str!("../../lab/days/short.star"), home.clone());
+        let v = run(include_str!("../../fault-injection/scenarios/short.star"), home.clone());
         assert!(v.violations.is_empty(), "{home:?}: {:#?}", v.violations);
         assert!(v.calls > 800 && v.served > 500 && v.refused > 20, "{home:?}: a day of some traffic: {v:?}");
         let billing = v.billing.expect("the day has ledgers");
@@ -44,7 +44,7 @@
 #[test]
 fn the_short_day_over_mqtt_alone() {
     let [here, _] = homes();
-    let v = through(Some("mqtt"), include_str!("../../lab/days/short.star"), here);
+    let v = through(Some("mqtt"), include_str!("../../fault-injection/scenarios/short.star"), here);
     assert!(v.violations.is_empty(), "{:#?}", v.violations);
     assert!(v.calls > 800 && v.served > 500 && v.refused > 20, "a day of some traffic: {v:?}");
     let billing = v.billing.expect("the day has ledgers");
@@ -57,7 +57,7 @@
 fn a_stall_is_taken_off_the_time_of_what_waited() {
     for door in ["grpc", "mqtt"] {
         let [_, processes] = homes();
-        let v = through(Some(door), include_str!("../../lab/days/stalled.star"), processes);
+        let v = through(Some(door), include_str!("../../fault-injection/scenarios/stalled.star"), processes);
         assert!(v.violations.is_empty(), "{door}: {:#?}", v.violations);
         assert!(v.calls > 300 && v.served > 200, "{door}: {v:?}");
     }
@@ -65,7 +65,7 @@
 
 #[test]
 fn decisions_are_counted_alike() {
-    let script = include_str!("../../lab/days/counted.star");
+    let script = include_str!("../../fault-injection/scenarios/counted.star");
     let doors = ["grpc", "mqtt"].into_iter();
     let verdicts = doors.flat_map(|d| homes().map(|home| through(Some(d), script, home)));
     for v in verdicts {
@@ -77,7 +77,7 @@
 fn fleet_view(given: &[(&str, &str)]) -> Vec<Statement> {
     let _alone = ALONE.lock().unwrap_or_else(PoisonError::into_inner);
     let given: Vec<(String, String)> = given.iter().map(|g| (g.0.to_owned(), g.1.to_owned())).collect();
-    let script = include_str!("../../lab/days/fleet-view.star").to_owned();
+    let script = include_str!("../../fault-injection/scenarios/fleet-view.star").to_owned();
     let day = Day::read("fleet-view.star", script, &given).expect("a good day");
     let [_, processes] = homes();
     let system = System::new();
--- a/crates/core/src/gossip.rs
+++ b/crates/core/src/gossip.rs
@@ -14,59 +14,59 @@
 const MOST: usize = 256;
 
 /// The most [`Sample`]s that a message carries.
-pub const MOST_SAMPLES: usize = 3;
-/// The most [`Use`]s that fit in a message.
-pub const MOST_USES: usize = (MOST - HEAD - MOST_SAMPLES * SAMPLE_BYTES) / USE_BYTES;
-/// The most [`News`] that fit in a message.
-pub const MOST_NEWS: usize = (MOST - HEAD - MOST_SAMPLES * SAMPLE_BYTES - 4) / NEWS_BYTES;
-/// The highest plan that a [`Use`] can name, and the highest class that a [`Sample`] can.
-pub const MOST_PLAN: usize = 63;
-/// See [`MOST_PLAN`].
-pub const MOST_CLASS: usize = 7;
+pub const MAX_SAMPLES: usize = 3;
+/// The most [`UsageReport`]s that fit in a message.
+pub const MAX_REPORTS: usize = (MOST - HEAD - MAX_SAMPLES * SAMPLE_BYTES) / USE_BYTES;
+/// The most [`OwnerReply`] that fit in a message.
+pub const MAX_REPLIES: usize = (MOST - HEAD - MAX_SAMPLES * SAMPLE_BYTES - 4) / NEWS_BYTES;
+/// The highest plan that a [`UsageReport`] can name, and the highest class that a [`Sample`] can.
+pub const MAX_PLAN: usize = 63;
+/// See [`MAX_PLAN`].
+pub const MAX_CLASS: usize = 7;
 /// Parts of a unit that messages count in.
 const PARTS: f64 = 4.0;
 const CUSTOMER_BITS: u64 = 33;
 
 /// A customer's use, as one gateway counts it since its start.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Use {
+pub struct UsageReport {
     /// Whose it is.
     pub customer: CustomerId,
     /// Its plan.
     pub plan: u8,
     /// Quarter units sent on since the gateway's start, wrapped round.
-    pub total: u16,
+    pub total_units: u16,
     /// Attempts out, 127 at most.
-    pub open: u8,
+    pub in_flight: u8,
     /// How full the gateway takes the customer's store to be, 254 for full; 255 where it was never told.
-    pub level: u8,
+    pub fill_level: u8,
     /// The first of its gateways, and how many there are.
-    pub first: u16,
+    pub first_gateway: u16,
     /// See `first`.
-    pub width: u16,
-    /// Asks for [`News`], for a request of so many units, in quarters, 63 at most.
-    pub ask: bool,
+    pub gateway_count: u16,
+    /// Asks for [`OwnerReply`], for a request of so many units, in quarters, 63 at most.
+    pub wants_reply: bool,
     /// See `ask`.
-    pub units: f64,
+    pub requested_units: f64,
     /// Asks for as many ceiling units, too.
-    pub short: bool,
+    pub wants_hard_limit_tokens: bool,
 }
 
 /// What a home knows of a customer.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct News {
+pub struct OwnerReply {
     /// Whose it is.
     pub customer: CustomerId,
     /// The receiver's total as last heard: newer use is not in the level yet.
-    pub yours: u16,
+    pub your_total: u16,
     /// Units in the store; below nothing while use that is to be refused counts.
-    pub level: f64,
+    pub tokens: f64,
     /// Units a second of all but the receiver.
-    pub rate: f64,
+    pub peer_rate: f64,
     /// Attempts out, of all but the receiver, 127 at most.
-    pub open: u8,
+    pub peers_in_flight: u8,
     /// Ceiling units handed over, in quarters, 63 at most.
-    pub gift: f64,
+    pub transferred_tokens: f64,
 }
 
 /// How one attempt went.
@@ -77,25 +77,25 @@
     /// The class.
     pub class: u8,
     /// Its time as a share of the aim; none if no answer or an error came.
-    pub took: Option<f64>,
+    pub elapsed: Option<f64>,
 }
 
 /// What a message carries.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Body {
-    /// Use of customers, told to their homes.
-    Uses(Vec<Use>),
+    /// UsageReport of customers, told to their homes.
+    Reports(Vec<UsageReport>),
     /// A home's answer, for one incarnation of the receiver.
-    News(u32, Vec<News>),
+    Replies(u32, Vec<OwnerReply>),
 }
 
 /// A message between gateways.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Message {
     /// The sender's incarnation: the millisecond of its start, wrapped round.
-    pub born: u32,
+    pub incarnation: u32,
     /// Counts the sender's messages to this receiver, wrapped round.
-    pub seq: u16,
+    pub sequence: u16,
     /// How the sender's latest attempts went.
     pub samples: Vec<Sample>,
     /// What it carries.
@@ -153,15 +153,15 @@
     /// Times in 31 steps of a fifth of an octave, from a 32nd of the aim up.
     fn pack(&self) -> [u8; 4] {
         let step =
-            self.took.map_or(31, |t| ((t.max(1e-9).log2() + 5.0) * 5.0).round().clamp(0.0, 30.0) as u8);
+            self.elapsed.map_or(31, |t| ((t.max(1e-9).log2() + 5.0) * 5.0).round().clamp(0.0, 30.0) as u8);
         let b = self.tag.to_le_bytes();
-        [b[0], b[1], b[2], self.class.min(MOST_CLASS as u8) << 5 | step]
+        [b[0], b[1], b[2], self.class.min(MAX_CLASS as u8) << 5 | step]
     }
 
     fn unpack(e: &[u8]) -> Sample {
         let step = e[3] & 31;
         let took = (step < 31).then(|| (f64::from(step) / 5.0 - 5.0).exp2());
-        Sample { tag: u32::from_le_bytes([e[0], e[1], e[2], 0]), class: e[3] >> 5, took }
+        Sample { tag: u32::from_le_bytes([e[0], e[1], e[2], 0]), class: e[3] >> 5, elapsed: took }
     }
 }
 
@@ -169,41 +169,41 @@
     /// The message's bytes.
     pub fn pack(&self) -> Vec<u8> {
         let kind = match self.body {
-            Body::Uses(_) => USE,
-            Body::News(..) => NEWS,
+            Body::Reports(_) => USE,
+            Body::Replies(..) => NEWS,
         };
-        let samples = self.samples.len().min(MOST_SAMPLES);
+        let samples = self.samples.len().min(MAX_SAMPLES);
         let mut bytes = vec![VERSION, kind | (samples as u8) << 2];
-        bytes.extend_from_slice(&self.born.to_le_bytes());
-        bytes.extend_from_slice(&self.seq.to_le_bytes());
+        bytes.extend_from_slice(&self.incarnation.to_le_bytes());
+        bytes.extend_from_slice(&self.sequence.to_le_bytes());
         let rows = match &self.body {
-            Body::Uses(uses) => uses.len().min(MOST_USES),
-            Body::News(_, news) => news.len().min(MOST_NEWS),
+            Body::Reports(uses) => uses.len().min(MAX_REPORTS),
+            Body::Replies(_, news) => news.len().min(MAX_REPLIES),
         };
         bytes.push(rows as u8);
         self.samples.iter().take(samples).for_each(|s| bytes.extend_from_slice(&s.pack()));
         match &self.body {
-            Body::Uses(uses) => {
+            Body::Reports(uses) => {
                 for u in uses.iter().take(rows) {
-                    bytes.extend_from_slice(&named(u.customer, u.open));
-                    bytes.extend_from_slice(&u.total.to_le_bytes());
+                    bytes.extend_from_slice(&named(u.customer, u.in_flight));
+                    bytes.extend_from_slice(&u.total_units.to_le_bytes());
                     bytes.extend_from_slice(&[
-                        u.level,
-                        u.plan << 2 | u8::from(u.ask) << 1 | u8::from(u.short),
+                        u.fill_level,
+                        u.plan << 2 | u8::from(u.wants_reply) << 1 | u8::from(u.wants_hard_limit_tokens),
                     ]);
-                    bytes.push((u.units * PARTS).ceil() as u8);
-                    bytes.extend_from_slice(&u.first.to_le_bytes());
-                    bytes.extend_from_slice(&u.width.to_le_bytes());
+                    bytes.push((u.requested_units * PARTS).ceil() as u8);
+                    bytes.extend_from_slice(&u.first_gateway.to_le_bytes());
+                    bytes.extend_from_slice(&u.gateway_count.to_le_bytes());
                 }
             }
-            Body::News(to, news) => {
+            Body::Replies(to, news) => {
                 bytes.extend_from_slice(&to.to_le_bytes());
                 for n in news.iter().take(rows) {
-                    bytes.extend_from_slice(&named(n.customer, n.open));
-                    bytes.extend_from_slice(&n.yours.to_le_bytes());
-                    bytes.extend_from_slice(&((n.level * PARTS).floor() as i16).to_le_bytes());
-                    bytes.extend_from_slice(&((n.rate * PARTS).round() as u16).to_le_bytes());
-                    bytes.push((n.gift * PARTS) as u8);
+                    bytes.extend_from_slice(&named(n.customer, n.peers_in_flight));
+                    bytes.extend_from_slice(&n.your_total.to_le_bytes());
+                    bytes.extend_from_slice(&((n.tokens * PARTS).floor() as i16).to_le_bytes());
+                    bytes.extend_from_slice(&((n.peer_rate * PARTS).round() as u16).to_le_bytes());
+                    bytes.push((n.transferred_tokens * PARTS) as u8);
                 }
             }
         }
@@ -217,7 +217,7 @@
             return None;
         }
         let (kind, samples) = (bytes[1] & 3, usize::from(bytes[1] >> 2));
-        if samples > MOST_SAMPLES {
+        if samples > MAX_SAMPLES {
             return None;
         }
         let (born, seq, rows) = (word(2)?, half(bytes, 6), usize::from(bytes[8]));
@@ -233,30 +233,48 @@
         }
         let entries = bytes[body_at + head..].chunks_exact(each);
         let body = match kind {
-            USE => Body::Uses(
+            USE => Body::Reports(
                 entries
                     .map(|e| {
                         let (customer, open) = name(e);
                         let (total, level, plan, ask) = (half(e, 5), e[7], e[8] >> 2, e[8] & 2 == 2);
                         let (short, units) = (e[8] & 1 == 1, f64::from(e[9]) / PARTS);
                         let (first, width) = (half(e, 10), half(e, 12));
-                        Use { customer, plan, total, open, level, first, width, ask, units, short }
+                        UsageReport {
+                            customer,
+                            plan,
+                            total_units: total,
+                            in_flight: open,
+                            fill_level: level,
+                            first_gateway: first,
+                            gateway_count: width,
+                            wants_reply: ask,
+                            requested_units: units,
+                            wants_hard_limit_tokens: short,
+                        }
                     })
                     .collect(),
             ),
-            _ => Body::News(
+            _ => Body::Replies(
                 word(body_at)?,
                 entries
                     .map(|e| {
                         let (customer, open) = name(e);
                         let level = f64::from(half(e, 7) as i16) / PARTS;
                         let (rate, gift) = (f64::from(half(e, 9)) / PARTS, f64::from(e[11]) / PARTS);
-                        News { customer, yours: half(e, 5), level, rate, open, gift }
+                        OwnerReply {
+                            customer,
+                            your_total: half(e, 5),
+                            tokens: level,
+                            peer_rate: rate,
+                            peers_in_flight: open,
+                            transferred_tokens: gift,
+                        }
                     })
                     .collect(),
             ),
         };
-        Some(Message { born, seq, samples, body })
+        Some(Message { incarnation: born, sequence: seq, samples, body })
     }
 }
 
--- a/crates/core/src/gossip/tests.rs
+++ b/crates/core/src/gossip/tests.rs
@@ -6,26 +6,36 @@
 fn messages_survive_the_way() {
     let customer = CustomerId((1 << 33) - 7);
     let (first, width) = (400, 219);
-    let one = Use {
+    let one = UsageReport {
         customer,
         plan: 3,
-        total: 65_000,
-        open: 99,
-        level: 200,
-        first,
-        width,
-        ask: true,
-        units: 1.25,
-        short: true,
+        total_units: 65_000,
+        in_flight: 99,
+        fill_level: 200,
+        first_gateway: first,
+        gateway_count: width,
+        wants_reply: true,
+        requested_units: 1.25,
+        wants_hard_limit_tokens: true,
     };
-    let uses = vec![one; MOST_USES];
-    let news = vec![News { customer, yours: 9, level: -7.25, rate: 12.5, open: 127, gift: 2.25 }; MOST_NEWS];
-    for body in [Body::Uses(uses), Body::News(9, news), Body::Uses(vec![])] {
-        for count in 0..=MOST_SAMPLES {
-            let one = Sample { tag: tag(77), class: 6, took: Some(0.5) };
-            let bad = Sample { took: None, ..one };
+    let uses = vec![one; MAX_REPORTS];
+    let news = vec![
+        OwnerReply {
+            customer,
+            your_total: 9,
+            tokens: -7.25,
+            peer_rate: 12.5,
+            peers_in_flight: 127,
+            transferred_tokens: 2.25
+        };
+        MAX_REPLIES
+    ];
+    for body in [Body::Reports(uses), Body::Replies(9, news), Body::Reports(vec![])] {
+        for count in 0..=MAX_SAMPLES {
+            let one = Sample { tag: tag(77), class: 6, elapsed: Some(0.5) };
+            let bad = Sample { elapsed: None, ..one };
             let samples = [one, bad, one][..count].to_vec();
-            let message = Message { born: 77, seq: 3, samples, body: body.clone() };
+            let message = Message { incarnation: 77, sequence: 3, samples, body: body.clone() };
             let bytes = message.pack();
             assert!(bytes.len() <= MOST);
             assert_eq!(Message::unpack(&bytes), Some(message));
@@ -41,30 +51,50 @@
 mod recorded;
 
 fn recorded_messages() -> Vec<(&'static str, Message)> {
-    let ask = Use {
+    let ask = UsageReport {
         customer: CustomerId(0x1_2345_6789),
         plan: 5,
-        total: 40_321,
-        open: 17,
-        level: 254,
-        first: 299,
-        width: 300,
-        ask: true,
-        units: 2.25,
-        short: true,
+        total_units: 40_321,
+        in_flight: 17,
+        fill_level: 254,
+        first_gateway: 299,
+        gateway_count: 300,
+        wants_reply: true,
+        requested_units: 2.25,
+        wants_hard_limit_tokens: true,
+    };
+    let told = UsageReport {
+        customer: CustomerId(7),
+        fill_level: 255,
+        wants_reply: false,
+        requested_units: 0.0,
+        wants_hard_limit_tokens: false,
+        ..ask
+    };
+    let word = OwnerReply {
+        customer: CustomerId(9),
+        your_total: 1_000,
+        tokens: -3.5,
+        peer_rate: 77.25,
+        peers_in_flight: 4,
+        transferred_tokens: 1.5,
     };
-    let told = Use { customer: CustomerId(7), level: 255, ask: false, units: 0.0, short: false, ..ask };
-    let word = News { customer: CustomerId(9), yours: 1_000, level: -3.5, rate: 77.25, open: 4, gift: 1.5 };
     let samples = vec![
-        Sample { tag: tag(1), class: 0, took: Some(1.0) },
-        Sample { tag: tag(2), class: 7, took: None },
-        Sample { tag: tag(3), class: 3, took: Some(0.125) },
+        Sample { tag: tag(1), class: 0, elapsed: Some(1.0) },
+        Sample { tag: tag(2), class: 7, elapsed: None },
+        Sample { tag: tag(3), class: 3, elapsed: Some(0.125) },
     ];
-    let body = Body::Uses(vec![ask, told]);
+    let body = Body::Reports(vec![ask, told]);
     vec![
-        ("reports", Message { born: 0xdead_beef, seq: 65_535, samples: samples.clone(), body }),
-        ("no reports", Message { born: 1, seq: 0, samples: Vec::new(), body: Body::Uses(Vec::new()) }),
-        ("replies", Message { born: 77, seq: 12, samples, body: Body::News(99, vec![word, word]) }),
+        ("reports", Message { incarnation: 0xdead_beef, sequence: 65_535, samples: samples.clone(), body }),
+        (
+            "no reports",
+            Message { incarnation: 1, sequence: 0, samples: Vec::new(), body: Body::Reports(Vec::new()) },
+        ),
+        (
+            "replies",
+            Message { incarnation: 77, sequence: 12, samples, body: Body::Replies(99, vec![word, word]) },
+        ),
     ]
 }
 
--- a/crates/core/src/interface.rs
+++ b/crates/core/src/interface.rs
@@ -18,13 +18,13 @@
 
 /// The number of a gateway among its peers, from 0.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Default)]
-pub struct GatewayNo(pub u16);
+pub struct GatewayId(pub u16);
 
 /// Which backends drop repeats of a keyed request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Group {
+pub enum DeduplicationScope {
     /// Any of them.
-    All,
+    Fleet,
     /// Those in the zone of the first backend.
     Zone,
     /// Those in the cell of the first backend.
@@ -33,60 +33,60 @@
 
 /// Whether a request that may have run may be sent again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Repeat {
+pub enum RetrySafety {
     /// Always.
-    Safe,
+    Idempotent,
     /// Inside a group of backends, for `window` after the send of the first attempt that may have run.
-    Keyed {
+    IdempotencyKey {
         /// The backends that know the key.
-        group: Group,
+        scope: DeduplicationScope,
         /// How long they know it.
         window: Micros,
     },
     /// Only with proof that no earlier attempt ran.
-    Once,
+    NotIdempotent,
 }
 
 /// A class of requests.
 #[derive(Clone, Debug)]
-pub struct Class {
+pub struct RequestClass {
     /// An answer within this time earns the full worth.
-    pub aim: Micros,
+    pub latency_objective: Micros,
     /// The aim grows by this multiple of a request's own work.
-    pub aim_stretch: f64,
+    pub objective_per_work: f64,
     /// The longest a client waits, over all its tries.
     pub deadline: Micros,
     /// What a request is worth.
-    pub worth: f64,
+    pub priority_weight: f64,
     /// The share of the worth left after the aim.
-    pub late_worth: f64,
+    pub late_priority_weight: f64,
     /// Whether it may run again.
-    pub repeat: Repeat,
+    pub retry_safety: RetrySafety,
     /// The answer comes as a stream.
-    pub stream: bool,
+    pub streaming: bool,
 }
 
 /// A plan, and the quotas that each of its customers has over all gateways together.
 #[derive(Clone, Debug)]
 pub struct Plan {
     /// Units a second that fill the store; 0 for no quota on the rate.
-    pub rate: f64,
+    pub quota_rate: f64,
     /// Units that the store holds.
-    pub burst: f64,
+    pub quota_burst: f64,
     /// Attempts out at once; 0 for no such quota.
-    pub open_cap: u32,
+    pub max_in_flight: u32,
     /// Units a second that fill the hard ceiling's store; 0 for no ceiling.
-    pub ceiling_rate: f64,
+    pub hard_limit_rate: f64,
     /// Units that the ceiling's store holds.
-    pub ceiling_burst: f64,
+    pub hard_limit_burst: f64,
     /// Units by which the ceiling's store may go below nothing.
-    pub ceiling_slack: f64,
+    pub hard_limit_slack: f64,
     /// Factor on the worth.
-    pub price: f64,
+    pub priority_factor: f64,
     /// Share of the worth earned beyond the quota.
-    pub over_worth: f64,
+    pub over_quota_weight: f64,
     /// Share of the worth that sending beyond the quota costs.
-    pub over_cost: f64,
+    pub over_quota_penalty: f64,
 }
 
 /// What the deployment permits.
@@ -95,42 +95,42 @@
     /// Attempts for a request.
     pub max_attempts: u32,
     /// Two attempts of one request may be out together.
-    pub second_copies: bool,
+    pub hedging: bool,
     /// Attempts may be called off.
-    pub cancel: bool,
+    pub cancellation: bool,
     /// Backends may be probed.
-    pub probes: bool,
+    pub health_checks: bool,
     /// Gateways may send each other messages.
-    pub peers: bool,
+    pub gossip: bool,
     /// Messages that a gateway takes in a second.
-    pub peer_in_per_s: f64,
+    pub gossip_receive_rate: f64,
     /// Clients are told how long to keep away.
     pub retry_after: bool,
     /// The longest pause that a client keeps.
     pub max_retry_after: Micros,
     /// A shared counter may be used.
-    pub counter: bool,
+    pub shared_counter: bool,
     /// Requests open at once.
-    pub max_open: u32,
+    pub max_in_flight: u32,
 }
 
 /// The figures of the rules.
 #[derive(Clone, Debug, Default)]
 pub struct Rules {
     /// A final answer counts until this long past the deadline.
-    pub answer_slack: Micros,
+    pub answer_grace: Micros,
     /// New work to a draining backend must have ended after this.
     pub drain_grace: Micros,
     /// A backend starts at this share of its capacity or more.
-    pub cold_from: f64,
+    pub slow_start_min_capacity: f64,
     /// It is warm after this long.
-    pub cold_time: Micros,
+    pub slow_start_window: Micros,
     /// A cold backend falls over when sent more than this multiple of its capacity ...
-    pub fall_factor: f64,
+    pub overload_factor: f64,
     /// ... for this long.
-    pub fall_time: Micros,
+    pub overload_window: Micros,
     /// Discovery must be asked at least this often where it must be asked.
-    pub must_ask: Micros,
+    pub max_poll_interval: Micros,
 }
 
 /// How the list of backends comes.
@@ -140,12 +140,12 @@
     #[default]
     Push,
     /// Only when asked for.
-    Ask,
+    Poll,
 }
 
 /// What the `size` of a backend means.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default)]
-pub enum SizeMeaning {
+pub enum WeightMeaning {
     /// Nothing, it is always 1.
     #[default]
     None,
@@ -161,13 +161,13 @@
     /// How many gateways there are.
     pub gateways: u16,
     /// The number of this one.
-    pub me: GatewayNo,
+    pub self_id: GatewayId,
     /// The zone of this gateway.
     pub zone: u8,
     /// The least time between two calls with a new clock.
     pub tick: Micros,
     /// The request classes.
-    pub classes: Vec<Class>,
+    pub classes: Vec<RequestClass>,
     /// The plans.
     pub plans: Vec<Plan>,
     /// What is permitted.
@@ -177,7 +177,7 @@
     /// How the list of backends comes.
     pub discovery: Discovery,
     /// What sizes mean.
-    pub sizes: SizeMeaning,
+    pub weight_meaning: WeightMeaning,
     /// The period of the meter that reports use; 0 for none.
     pub meter_period: Micros,
     /// Units are guesses, settled with the answer.
@@ -198,7 +198,7 @@
 
 /// A line of the list of backends.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Listed {
+pub struct Endpoint {
     /// The backend.
     pub backend: BackendId,
     /// Its zone.
@@ -209,19 +209,19 @@
     pub kind: u16,
     /// Its state.
     pub availability: Availability,
-    /// Its size, see [`SizeMeaning`].
-    pub size: f64,
+    /// Its size, see [`WeightMeaning`].
+    pub weight: f64,
     /// When it last started; 0 for long ago.
-    pub started: Micros,
+    pub started_at: Micros,
 }
 
 /// How a list is to be read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum RosterKind {
+pub enum EndpointUpdate {
     /// Changed lines only.
     Delta,
     /// The whole list.
-    Full,
+    Snapshot,
     /// The whole list as last held before a restart, perhaps stale.
     Cached,
     /// A call to discovery failed; the list stays as it was.
@@ -230,19 +230,19 @@
 
 /// The load that a backend reported, as far as it reports it.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Report {
+pub struct LoadReport {
     /// Requests in work.
     pub in_flight: Option<f64>,
     /// Requests waiting.
-    pub queue: Option<f64>,
+    pub queued: Option<f64>,
     /// Share of the cores in use.
-    pub util: Option<f64>,
+    pub utilization: Option<f64>,
     /// Recent service time in milliseconds.
     pub latency_ms: Option<f64>,
     /// Requests served a second.
-    pub served: Option<f64>,
+    pub requests_per_second: Option<f64>,
     /// Errors a second.
-    pub errors: Option<f64>,
+    pub errors_per_second: Option<f64>,
 }
 
 /// How an attempt, a probe or a counter call ended.
@@ -253,7 +253,7 @@
     /// An error answer; it may have run.
     Error,
     /// Turned away unseen.
-    Full,
+    Rejected,
     /// No answer in time; it may have run.
     TimedOut,
     /// No connection; it never ran.
@@ -263,13 +263,13 @@
     /// Called off; it may have run.
     Cancelled,
     /// Never sent.
-    Moot,
+    NotSent,
 }
 
 impl Outcome {
     /// Whether this outcome proves that the attempt never ran.
     pub fn never_ran(self) -> bool {
-        matches!(self, Outcome::Full | Outcome::ConnectFailed | Outcome::Moot)
+        matches!(self, Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent)
     }
 }
 
@@ -289,20 +289,20 @@
     /// What it draws from the quota.
     pub units: f64,
     /// Over how many gateways the customer's requests come.
-    pub width: f64,
+    pub gateway_count: f64,
     /// The first of these, counted round.
-    pub first: f64,
+    pub first_gateway: f64,
 }
 
 /// What a gateway sees.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// News of the list of backends.
-    Roster(RosterKind, Vec<Listed>),
+    /// OwnerReply of the list of backends.
+    Endpoints(EndpointUpdate, Vec<Endpoint>),
     /// A request arrived.
     Request(Request),
     /// An attempt ended.
-    Settled {
+    AttemptFinished {
         /// The request.
         id: RequestId,
         /// The number of the attempt, from 0.
@@ -312,15 +312,15 @@
         /// How it ended.
         outcome: Outcome,
         /// The request has its final answer.
-        complete: bool,
+        answered: bool,
         /// How long it was out.
-        took: Micros,
+        elapsed: Micros,
         /// The customer's metered use as a share of its rate or cap, where there is a meter.
         metered: Option<f64>,
         /// True units, where they are settled afterwards.
-        charged: Option<f64>,
+        charged_units: Option<f64>,
         /// The load report that came along.
-        report: Option<Report>,
+        report: Option<LoadReport>,
     },
     /// A streamed answer began; the attempt is the client's from now on.
     FirstByte {
@@ -330,36 +330,36 @@
         attempt: u16,
     },
     /// The client left; no answer is owed.
-    Withdrawn(RequestId),
+    ClientCancelled(RequestId),
     /// A timer came due.
     Timer(u32),
     /// A probe ended.
-    Probed {
+    HealthChecked {
         /// The backend.
         backend: BackendId,
         /// How it ended.
         outcome: Outcome,
         /// How long it took.
-        took: Micros,
+        elapsed: Micros,
         /// The load report that came along.
-        report: Option<Report>,
+        report: Option<LoadReport>,
     },
     /// A peer's message.
-    Peer {
+    GossipReceived {
         /// The sender.
-        from: GatewayNo,
+        from: GatewayId,
         /// The message.
         bytes: Vec<u8>,
     },
     /// What a view of the fleet says of a peer, where there is one. No rule rests on it.
-    Reach {
+    PeerReachability {
         /// Which one.
-        peer: GatewayNo,
+        peer: GatewayId,
         /// It counts as in; as all do that nothing was said of.
-        there: bool,
+        reachable: bool,
     },
     /// A counter call ended.
-    Counted {
+    CounterUpdated {
         /// The number's name.
         name: u64,
         /// How it ended.
@@ -374,22 +374,22 @@
 pub enum Action {
     /// Send the request to a backend; `expires` 0 means at the client's deadline. Nothing of it may leave after
     /// `begin_by`, however long a connection takes; 0 means at any time. One that did not begin is moot.
-    Send {
+    StartAttempt {
         /// The request.
         id: RequestId,
         /// Where to.
         backend: BackendId,
         /// When to give the attempt up.
-        expires: Micros,
+        give_up_at: Micros,
         /// When it must have begun.
-        begin_by: Micros,
+        start_by: Micros,
     },
     /// Final answer: refused, trying again is harmless; `pause` 0 gives no advice.
-    Refuse {
+    Reject {
         /// The request.
         id: RequestId,
         /// How long the client should keep away.
-        pause: Micros,
+        retry_after: Micros,
     },
     /// Final answer: failed, with no promise.
     Fail(RequestId),
@@ -408,22 +408,22 @@
         token: u32,
     },
     /// Send a message of at most 256 bytes to one peer, or to all.
-    Tell {
+    SendGossip {
         /// The receiver; none means all.
-        to: Option<GatewayNo>,
+        to: Option<GatewayId>,
         /// The message.
         bytes: Vec<u8>,
     },
     /// Probe a backend.
-    Probe(BackendId),
+    CheckHealth(BackendId),
     /// Close idle connections to a backend.
     CloseIdle(BackendId),
     /// Subscribe to discovery, or no longer.
-    Watch(bool),
+    WatchEndpoints(bool),
     /// Ask discovery for the whole list once.
-    FetchRoster,
+    FetchEndpoints,
     /// Add to a shared number.
-    Count {
+    AddToCounter {
         /// Its name.
         name: u64,
         /// The amount.
--- a/crates/core/src/state.rs
+++ b/crates/core/src/state.rs
@@ -10,114 +10,114 @@
 pub const SECOND: f64 = 1e6;
 
 pub struct Attempt {
-    pub to: Listed,
-    pub sent: Micros,
-    pub out: bool,
+    pub endpoint: Endpoint,
+    pub sent_at: Micros,
+    pub in_flight: bool,
     pub cancelled: bool,
     /// Proved never to have run.
-    pub void: bool,
+    pub never_ran: bool,
 }
 
 #[derive(Default)]
-pub struct Open {
-    pub req: Request,
-    pub arrived: Micros,
+pub struct InFlightRequest {
+    pub request: Request,
+    pub arrived_at: Micros,
     pub attempts: Vec<Attempt>,
-    pub done: bool,
+    pub finished: bool,
     pub streaming: bool,
     /// Waits for the word of its customer's homes.
-    pub held: bool,
+    pub awaiting_owner: bool,
 }
 
-impl Open {
+impl InFlightRequest {
     /// Calls the attempts off, but for one to keep.
     pub fn call_off(&mut self, keep: Option<u16>, allowed: bool, act: &mut Vec<Action>) {
         for (n, a) in (0u16..).zip(&mut self.attempts) {
-            if allowed && a.out && !a.cancelled && keep != Some(n) {
+            if allowed && a.in_flight && !a.cancelled && keep != Some(n) {
                 a.cancelled = true;
-                act.push(Action::Cancel { id: self.req.id, attempt: n });
+                act.push(Action::Cancel { id: self.request.id, attempt: n });
             }
         }
     }
 
     pub fn out(&self) -> usize {
-        self.attempts.iter().filter(|a| a.out).count()
+        self.attempts.iter().filter(|a| a.in_flight).count()
     }
 
     /// The first attempt that ran or may have run.
     pub fn may_have_run(&self) -> Option<&Attempt> {
-        self.attempts.iter().find(|a| !a.void)
+        self.attempts.iter().find(|a| !a.never_ran)
     }
 
     /// How long an answer is worth something: the aim, or what the client waits if that is less.
     pub fn patience(&self, aim: Micros) -> f64 {
-        aim.min(self.req.deadline.saturating_sub(self.arrived)) as f64
+        aim.min(self.request.deadline.saturating_sub(self.arrived_at)) as f64
     }
 }
 
 #[derive(Default)]
-pub struct Heard {
+pub struct PeerUsage {
     pub total: u16,
     /// Units let through in its name before it told that it took them.
-    pub promised: f64,
+    pub reserved: f64,
     pub rate: f64,
-    pub at: Micros,
-    pub open: u8,
+    pub heard_at: Micros,
+    pub in_flight: u8,
 }
 
 #[derive(Default)]
 pub struct Customer {
     pub plan: usize,
     /// The quota's store, as far as known here, and when it was last filled.
-    pub level: f64,
-    pub filled: Micros,
+    pub tokens: f64,
+    pub refilled_at: Micros,
     /// This gateway's own share of the ceiling's store.
-    pub ceiling: f64,
+    pub hard_limit_tokens: f64,
     /// Units sent on by this gateway since its start.
-    pub used: f64,
+    pub used_units: f64,
     /// The two that hold most of the ceiling, this gateway's part of it, what it asked them for.
-    pub pools: [u16; 2],
-    pub part: f64,
-    pub first: u16,
+    pub hard_limit_owners: [u16; 2],
+    pub hard_limit_share: f64,
+    pub first_gateway: u16,
     /// What is asked for: a request's units, and whether the ceiling lacks them, too.
-    pub asks: f64,
-    pub short: bool,
+    pub requested_units: f64,
+    pub hard_limit_requested: bool,
     /// Ceiling units handed over for the requests that are held, and for those alone.
-    pub granted: f64,
-    pub rate: f64,
-    pub open: u32,
-    pub width: f64,
-    pub seen: Micros,
+    pub transferred_tokens: f64,
+    pub use_rate: f64,
+    pub in_flight: u32,
+    pub gateway_count: f64,
+    pub last_request_at: Micros,
     /// The gateways that count this customer's use; whether this is one of them.
-    pub homes: Vec<u16>,
-    pub home: bool,
+    pub owners: Vec<u16>,
+    pub is_owner: bool,
     /// At a home: what each gateway told, and the rate of others.
-    pub heard: BTreeMap<u16, Heard>,
-    pub others: f64,
-    pub others_open: u32,
+    pub usage_by_peer: BTreeMap<u16, PeerUsage>,
+    pub peer_rate: f64,
+    pub peers_in_flight: u32,
     /// Elsewhere: when the homes told of it and were asked, who has answered.
-    pub news_at: Micros,
-    pub asked_at: Micros,
-    pub answered: Vec<u16>,
+    pub owner_reply_at: Micros,
+    pub owners_asked_at: Micros,
+    pub owners_replied: Vec<u16>,
     /// Whom the round of asking has reached, and who of them counts what was asked for as used.
-    pub asked: Vec<u16>,
-    pub promised: Vec<u16>,
-    pub held: Vec<RequestId>,
+    pub owners_asked: Vec<u16>,
+    pub owners_reserving: Vec<u16>,
+    pub awaiting_owner: Vec<RequestId>,
 }
 
 #[derive(Default)]
 pub struct Peer {
-    pub born: u32,
-    pub seq: u16,
-    pub sent: u16,
+    pub incarnation: u32,
+    pub last_received: u16,
+    pub last_sent: u16,
     /// When the next message may go.
-    pub next: Micros,
+    pub next_message_at: Micros,
     /// Asks since its last word.
-    pub unheard: u32,
+    pub unanswered: u32,
     /// The view of the fleet has lost it.
-    pub gone: bool,
+    pub unreachable: bool,
     /// Where the last message ended.
-    pub told: CustomerId,
+    pub last_reported: CustomerId,
     /// Customers to tell it of: how many more times, and whether to ask.
     pub outbox: BTreeMap<CustomerId, (u8, bool)>,
 }
@@ -125,88 +125,88 @@
 /// A backend's record with one class: it may be sick for that one alone.
 #[derive(Clone, Default)]
 pub struct Health {
-    pub errors: f64,
-    pub at: Micros,
-    pub heard: Micros,
-    pub rest_until: Micros,
-    pub strikes: u32,
+    pub failure_rate: f64,
+    pub updated_at: Micros,
+    pub last_answer_at: Micros,
+    pub ejected_until: Micros,
+    pub consecutive_ejections: u32,
 }
 
 #[derive(Default)]
 pub struct Backend {
-    pub listed: Listed,
-    pub size: f64,
+    pub endpoint: Endpoint,
+    pub weight: f64,
     pub ready: bool,
-    pub out: u32,
+    pub in_flight: u32,
     /// Mean answer time over what the class usually takes; 1 is normal.
-    pub slow: f64,
-    pub slow_at: Micros,
+    pub relative_latency: f64,
+    pub relative_latency_at: Micros,
     pub health: Vec<Health>,
     /// Requests waiting as last reported, and when.
-    pub queue: f64,
-    pub told_at: Micros,
+    pub queued: f64,
+    pub queued_at: Micros,
     /// Recent sends while cold.
-    pub cold_sends: VecDeque<Micros>,
+    pub recent_sends: VecDeque<Micros>,
 }
 
 /// How long answers of a class take: lately, over more of them, and on calm servers.
 #[derive(Default)]
-pub struct Usual {
+pub struct LatencyBaseline {
     pub recent: f64,
     pub mean: f64,
-    pub calm: f64,
-    pub count: f64,
-    pub at: Micros,
+    pub unloaded: f64,
+    pub samples: f64,
+    pub updated_at: Micros,
 }
 
 /// One gateway's decisions. Feed it events, do what it asks.
 #[derive(Default)]
 pub struct Gateway {
-    pub(crate) s: Settings,
-    pub(crate) rng: u64,
+    pub(crate) settings: Settings,
+    pub(crate) random_state: u64,
     pub(crate) now: Micros,
-    pub(crate) born: Micros,
-    pub(crate) wake_at: Micros,
+    pub(crate) started_at: Micros,
+    pub(crate) next_wakeup: Micros,
     /// Stood still until then: times found with that turn say nothing.
-    pub(crate) woke: Micros,
-    pub(crate) requests: BTreeMap<RequestId, Open>,
+    pub(crate) resumed_at: Micros,
+    pub(crate) requests: BTreeMap<RequestId, InFlightRequest>,
     pub(crate) waiting: VecDeque<RequestId>,
     pub(crate) checks: BinaryHeap<Reverse<(Micros, RequestId)>>,
     pub(crate) customers: BTreeMap<CustomerId, Customer>,
     pub(crate) peers: BTreeMap<u16, Peer>,
     /// Peers with something in their outbox.
-    pub(crate) due: BTreeSet<u16>,
+    pub(crate) peers_to_notify: BTreeSet<u16>,
     pub(crate) samples: VecDeque<(Micros, Sample)>,
     pub(crate) backends: BTreeMap<BackendId, Backend>,
-    pub(crate) tags: BTreeMap<u32, BackendId>,
+    pub(crate) endpoints_by_tag: BTreeMap<u32, BackendId>,
     /// The ready ones, in an order of this gateway's own.
-    pub(crate) order: Vec<BackendId>,
+    pub(crate) sampling_order: Vec<BackendId>,
     /// Those of the nearest of them that started lately.
-    pub(crate) cold: Vec<BackendId>,
-    pub(crate) ready_size: f64,
+    pub(crate) warming_up: Vec<BackendId>,
+    pub(crate) ready_weight: f64,
     /// Whether zones could be reached.
-    pub(crate) zones: BTreeMap<u8, Health>,
-    pub(crate) usual: Vec<Usual>,
+    pub(crate) zone_health: BTreeMap<u8, Health>,
+    pub(crate) latency_baselines: Vec<LatencyBaseline>,
     pub(crate) pressure: f64,
     pub(crate) pressure_at: Micros,
     /// Recent share of requests inside their quota that found no place.
-    pub(crate) turned_away: f64,
-    pub(crate) rung: usize,
-    pub(crate) rung_since: Micros,
+    pub(crate) rejection_rate: f64,
+    pub(crate) shedding_step: usize,
+    pub(crate) shedding_step_since: Micros,
     /// Attempts that may be out at a backend, by all gateways, if all send alike.
-    pub(crate) places: f64,
-    pub(crate) limit_at: Micros,
-    pub(crate) out: u32,
-    pub(crate) retries: f64,
-    pub(crate) sent_rate: f64,
-    pub(crate) sent_at: Micros,
-    /// Report period with all gateways as homes; nought in a fleet too large for that.
-    pub(crate) period: Micros,
+    pub(crate) in_flight_per_endpoint: f64,
+    pub(crate) limit_reduced_at: Micros,
+    pub(crate) in_flight: u32,
+    pub(crate) retry_budget: f64,
+    pub(crate) send_rate: f64,
+    pub(crate) send_rate_at: Micros,
+    /// LoadReport period with all gateways as homes; nought in a fleet too large for that.
+    pub(crate) report_period: Micros,
     /// Whether a peer was heard that is older than this start.
-    pub(crate) elders: bool,
-    pub(crate) sweep_at: Micros,
-    pub(crate) watch_at: Micros,
-    pub(crate) shares: u64,
+    pub(crate) older_peer_seen: bool,
+    pub(crate) next_sweep: Micros,
+    pub(crate) next_poll: Micros,
+    pub(crate) gateway_count: u64,
 }
 
 pub fn decay(from: Micros, to: Micros, tau: f64) -> f64 {
--- a/crates/core/tests/cold_fleet.rs
+++ b/crates/core/tests/cold_fleet.rs
@@ -19,17 +19,17 @@
 
 fn fleet_settings(gateways: u16, me: u16) -> Settings {
     let rules = Rules {
-        fall_factor: FACTOR,
-        fall_time: WINDOW,
-        cold_from: COLD.0,
-        cold_time: COLD.1,
+        overload_factor: FACTOR,
+        overload_window: WINDOW,
+        slow_start_min_capacity: COLD.0,
+        slow_start_window: COLD.1,
         ..settings().rules
     };
-    Settings { gateways, me: GatewayNo(me), rules, ..settings() }
+    Settings { gateways, self_id: GatewayId(me), rules, ..settings() }
 }
 
-fn listed_since(n: u64, started: Micros) -> Listed {
-    Listed { started, ..listed(n) }
+fn listed_since(n: u64, started: Micros) -> Endpoint {
+    Endpoint { started_at: started, ..listed(n) }
 }
 
 fn warmth(started: Micros, now: Micros) -> f64 {
@@ -72,7 +72,7 @@
 enum What {
     Arrive(u64),
     Settle(usize, u32, RequestId, u16, BackendId),
-    Message(usize, GatewayNo, Vec<u8>),
+    Message(usize, GatewayId, Vec<u8>),
     Wake(usize),
     Start(u64),
     Restart(usize),
@@ -114,14 +114,14 @@
     }
     let mut sent: BTreeMap<u64, Vec<Micros>> = BTreeMap::new();
     let mut found = Vec::new();
-    let list = |started: &BTreeMap<u64, Micros>| -> Vec<Listed> {
+    let list = |started: &BTreeMap<u64, Micros>| -> Vec<Endpoint> {
         started
             .iter()
             .map(|(n, at)| listed_since(*n, if trouble == Trouble::Untold { 0 } else { *at }))
             .collect()
     };
     for gateway in &mut fleet {
-        gateway.handle(T0, Event::Roster(RosterKind::Full, list(&started)), &mut Vec::new());
+        gateway.handle(T0, Event::Endpoints(EndpointUpdate::Snapshot, list(&started)), &mut Vec::new());
     }
     while let Some(Reverse((now, n))) = heap.pop() {
         if now > START + COLD.1 {
@@ -147,8 +147,8 @@
                     customer,
                     deadline: now + 4 * S,
                     units: 1.0,
-                    width: f64::from(gateways.min(3)),
-                    first: (customer.0 % u64::from(gateways)) as f64,
+                    gateway_count: f64::from(gateways.min(3)),
+                    first_gateway: (customer.0 % u64::from(gateways)) as f64,
                 };
                 fleet[whose].handle(now, Event::Request(request), &mut act);
                 let next = now + lot.wait(rate);
@@ -157,15 +157,15 @@
             What::Settle(g, life, id, attempt, backend) => {
                 whose = g;
                 if lives[g] == life {
-                    let event = Event::Settled {
+                    let event = Event::AttemptFinished {
                         id,
                         attempt,
                         backend,
                         outcome: Outcome::Ok,
-                        complete: true,
-                        took: WORK,
+                        answered: true,
+                        elapsed: WORK,
                         metered: None,
-                        charged: None,
+                        charged_units: None,
                         report: None,
                     };
                     fleet[g].handle(now, event, &mut act);
@@ -173,7 +173,7 @@
             }
             What::Message(to, from, bytes) => {
                 whose = to;
-                fleet[to].handle(now, Event::Peer { from, bytes }, &mut act);
+                fleet[to].handle(now, Event::GossipReceived { from, bytes }, &mut act);
             }
             What::Wake(g) => {
                 whose = g;
@@ -185,19 +185,19 @@
                 let delta = vec![listed_since(n, if trouble == Trouble::Untold { 0 } else { now })];
                 for (g, gateway) in fleet.iter_mut().enumerate() {
                     let mut act = Vec::new();
-                    gateway.handle(now, Event::Roster(RosterKind::Delta, delta.clone()), &mut act);
+                    gateway.handle(now, Event::Endpoints(EndpointUpdate::Delta, delta.clone()), &mut act);
                     assert!(act.iter().all(|a| !matches!(a, Action::Fail(_))), "{g}");
                 }
             }
             What::Restart(g) => {
                 lives[g] += 1;
                 fleet[g] = Gateway::new(told(g as u16), seed * 77 + now, now);
-                fleet[g].handle(now, Event::Roster(RosterKind::Full, list(&started)), &mut act);
+                fleet[g].handle(now, Event::Endpoints(EndpointUpdate::Snapshot, list(&started)), &mut act);
             }
         }
         for action in act {
             match action {
-                Action::Send { id, backend, .. } => {
+                Action::StartAttempt { id, backend, .. } => {
                     let at = started[&backend.0];
                     if at > 0 {
                         let sends = sent.entry(backend.0).or_default();
@@ -215,13 +215,13 @@
                     let settle = What::Settle(whose, lives[whose], id, 0, backend);
                     push(&mut heap, &mut events, now + WORK, settle);
                 }
-                Action::Tell { to: Some(to), bytes } if lot.unit() > 0.05 => {
+                Action::SendGossip { to: Some(to), bytes } if lot.unit() > 0.05 => {
                     let at = now + 3_000 + (lot.unit() * 25_000.0) as Micros;
                     push(
                         &mut heap,
                         &mut events,
                         at,
-                        What::Message(usize::from(to.0), GatewayNo(whose as u16), bytes),
+                        What::Message(usize::from(to.0), GatewayId(whose as u16), bytes),
                     );
                 }
                 _ => {}
--- a/crates/core/tests/control.rs
+++ b/crates/core/tests/control.rs
@@ -14,7 +14,7 @@
 impl Rig {
     fn with(settings: Settings, backends: u64) -> Rig {
         let mut rig = Rig { gateway: Gateway::new(settings, 7, T0), now: T0, next: 0 };
-        rig.feed(Event::Roster(RosterKind::Cached, (0..backends).map(listed).collect()));
+        rig.feed(Event::Endpoints(EndpointUpdate::Cached, (0..backends).map(listed).collect()));
         rig
     }
 
@@ -51,7 +51,16 @@
         let deadline = self.now + 4 * S;
         let customer = CustomerId(customer);
         let first = if width == 6.0 { 15.0 } else { 0.0 };
-        let req = Request { id, class, plan, customer, deadline, units, width, first };
+        let req = Request {
+            id,
+            class,
+            plan,
+            customer,
+            deadline,
+            units,
+            gateway_count: width,
+            first_gateway: first,
+        };
         (id, self.feed(Event::Request(req)))
     }
 
@@ -67,27 +76,27 @@
         outcome: Outcome,
         took: Micros,
     ) -> Vec<Action> {
-        self.feed(Event::Settled {
+        self.feed(Event::AttemptFinished {
             id,
             attempt,
             backend,
             outcome,
-            complete: outcome == Outcome::Ok,
-            took,
+            answered: outcome == Outcome::Ok,
+            elapsed: took,
             metered: None,
-            charged: None,
+            charged_units: None,
             report: None,
         })
     }
 }
 
 fn sends(actions: &[Action]) -> Vec<BackendId> {
-    let to = |a: &Action| if let Action::Send { backend, .. } = a { Some(*backend) } else { None };
+    let to = |a: &Action| if let Action::StartAttempt { backend, .. } = a { Some(*backend) } else { None };
     actions.iter().filter_map(to).collect()
 }
 
 fn refused(actions: &[Action]) -> bool {
-    actions.iter().any(|a| matches!(a, Action::Refuse { .. }))
+    actions.iter().any(|a| matches!(a, Action::Reject { .. }))
 }
 
 fn failed(actions: &[Action]) -> bool {
@@ -102,7 +111,7 @@
     let rest: Vec<Vec<Action>> = (0..8).map(|_| rig.ask(0, 1, 9, 1.0).1).collect();
     let passed = 1 + rest.iter().filter(|a| !sends(a).is_empty()).count();
     assert_eq!(passed, 5, "of a burst of 6, less what two others may pass unheard");
-    assert!(rest[7].iter().all(|a| matches!(a, Action::Refuse { .. })) && refused(&rest[7]));
+    assert!(rest[7].iter().all(|a| matches!(a, Action::Reject { .. })) && refused(&rest[7]));
     rig.pass(2 * S); // and by then no more use of others is presumed
 
     assert_eq!(sends(&rig.ask(0, 1, 9, 1.0).1).len(), 1, "the store fills at the rate");
@@ -123,7 +132,7 @@
 fn an_unsafe_request_is_sent_again_on_proof_that_it_never_ran() {
     let mut rig = Rig::with(settings(), 4);
     let (id, actions) = rig.ask(2, 0, 1, 1.0);
-    let again = rig.settle(id, 0, sends(&actions)[0], Outcome::Full);
+    let again = rig.settle(id, 0, sends(&actions)[0], Outcome::Rejected);
     assert_eq!(sends(&again).len(), 1);
     let end = rig.settle(id, 1, sends(&again)[0], Outcome::Reset);
     assert!(failed(&end) && !refused(&end), "the second attempt may have run");
@@ -139,9 +148,9 @@
     assert_eq!(sends(&again)[0].0 % 2, first.0 % 2, "same cell");
 
     let mut s = settings();
-    s.classes[1].aim = 4 * S;
-    s.limits.second_copies = false;
-    s.limits.cancel = false;
+    s.classes[1].latency_objective = 4 * S;
+    s.limits.hedging = false;
+    s.limits.cancellation = false;
     let mut rig = Rig::with(s, 6);
     let (id, actions) = rig.ask(1, 0, 1, 1.0);
     rig.pass(2 * S);
@@ -154,8 +163,8 @@
     let mut rig = Rig::with(settings(), 6);
     let (id, actions) = rig.ask(1, 0, 1, 1.0);
     let first = sends(&actions)[0];
-    let gone: Vec<Listed> = (0..6).map(listed).filter(|l| l.cell != (first.0 % 2) as u16).collect();
-    rig.feed(Event::Roster(RosterKind::Full, gone));
+    let gone: Vec<Endpoint> = (0..6).map(listed).filter(|l| l.cell != (first.0 % 2) as u16).collect();
+    rig.feed(Event::Endpoints(EndpointUpdate::Snapshot, gone));
     let end = rig.settle(id, 0, first, Outcome::Reset);
     assert!(sends(&end).is_empty() && failed(&end), "nobody left who knows the key");
 }
@@ -163,15 +172,15 @@
 #[test]
 fn a_drained_backend_gets_nothing_new() {
     let mut rig = Rig::with(settings(), 2);
-    let drained = Listed { availability: Availability::Draining, ..listed(0) };
-    rig.feed(Event::Roster(RosterKind::Delta, vec![drained]));
+    let drained = Endpoint { availability: Availability::Draining, ..listed(0) };
+    rig.feed(Event::Endpoints(EndpointUpdate::Delta, vec![drained]));
     for n in 0..20 {
         let (_, actions) = rig.ask(0, 0, n, 1.0);
         assert!(sends(&actions).iter().all(|b| *b == BackendId(1)));
     }
-    rig.feed(Event::Roster(
-        RosterKind::Delta,
-        vec![Listed { availability: Availability::Gone, ..listed(1) }],
+    rig.feed(Event::Endpoints(
+        EndpointUpdate::Delta,
+        vec![Endpoint { availability: Availability::Gone, ..listed(1) }],
     ));
     let (_, held) = rig.ask(0, 0, 1, 1.0);
     assert!(sends(&held).is_empty());
@@ -184,8 +193,8 @@
 fn a_cold_backend_is_not_flooded_by_a_hundred_and_fifty_gateways() {
     let (mut in_window, mut ever) = (0, 0);
     for me in 0..150 {
-        let mut rig = Rig::with(Settings { me: GatewayNo(me), gateways: 150, ..settings() }, 1);
-        rig.feed(Event::Roster(RosterKind::Full, vec![Listed { started: T0, ..listed(0) }]));
+        let mut rig = Rig::with(Settings { self_id: GatewayId(me), gateways: 150, ..settings() }, 1);
+        rig.feed(Event::Endpoints(EndpointUpdate::Snapshot, vec![Endpoint { started_at: T0, ..listed(0) }]));
         for n in 0..20 {
             in_window += sends(&rig.ask(0, 0, n, 1.0).1).len();
         }
@@ -201,7 +210,7 @@
 #[test]
 fn silence_and_restarts_mint_no_ceiling() {
     for gateways in [3, 40, 200] {
-        let settings = |me| Settings { gateways, me: GatewayNo(me), ..settings() };
+        let settings = |me| Settings { gateways, self_id: GatewayId(me), ..settings() };
         let total: usize = (0..gateways)
             .map(|me| {
                 let mut rig = Rig::with(settings(me), 4);
@@ -217,7 +226,7 @@
                     }
                     if second == 4 {
                         rig.gateway = Gateway::new(settings(me), 8, rig.now);
-                        rig.feed(Event::Roster(RosterKind::Cached, (0..4).map(listed).collect()));
+                        rig.feed(Event::Endpoints(EndpointUpdate::Cached, (0..4).map(listed).collect()));
                     }
                 }
                 sent
@@ -233,8 +242,8 @@
     // Found by a day drawn to test the rules: a client's last try came with a few milliseconds left, was
     // held for want of a place, and the next wake-up was past its deadline.
     let mut rig = Rig::with(settings(), 1);
-    rig.feed(Event::Roster(RosterKind::Full, vec![]));
-    let base = Request { id: RequestId(1), units: 1.0, width: 3.0, ..Request::default() };
+    rig.feed(Event::Endpoints(EndpointUpdate::Snapshot, vec![]));
+    let base = Request { id: RequestId(1), units: 1.0, gateway_count: 3.0, ..Request::default() };
     assert!(refused(&rig.feed(Event::Request(Request { deadline: rig.now + 10_000, ..base }))));
     let held = Request { id: RequestId(2), deadline: rig.now + 100_000, ..base };
     assert!(!refused(&rig.feed(Event::Request(held))));
@@ -246,13 +255,18 @@
 #[test]
 fn what_a_stall_outlasted_is_answered_in_the_waking_turn() {
     let mut rig = Rig::with(settings(), 1);
-    rig.feed(Event::Roster(RosterKind::Full, vec![]));
+    rig.feed(Event::Endpoints(EndpointUpdate::Snapshot, vec![]));
     rig.pass(S);
-    let held =
-        Request { id: RequestId(1), units: 1.0, width: 3.0, deadline: rig.now + S, ..Request::default() };
+    let held = Request {
+        id: RequestId(1),
+        units: 1.0,
+        gateway_count: 3.0,
+        deadline: rig.now + S,
+        ..Request::default()
+    };
     assert!(!refused(&rig.feed(Event::Request(held))));
     rig.now += S + 12_000;
-    assert!(refused(&rig.feed(Event::Withdrawn(RequestId(99)))));
+    assert!(refused(&rig.feed(Event::ClientCancelled(RequestId(99)))));
 }
 
 /// A gateway that stood still reads all that came meanwhile before it judges anybody by its own pause.
@@ -262,10 +276,10 @@
     let (id, actions) = rig.ask(0, 0, 1, 1.0);
     assert_eq!(sends(&actions).len(), 1);
     rig.now += 2 * S;
-    let woken = rig.feed(Event::Withdrawn(RequestId(99)));
+    let woken = rig.feed(Event::ClientCancelled(RequestId(99)));
     assert!(!woken
         .iter()
-        .any(|a| matches!(a, Action::Cancel { .. } | Action::Refuse { .. } | Action::Send { .. })));
+        .any(|a| matches!(a, Action::Cancel { .. } | Action::Reject { .. } | Action::StartAttempt { .. })));
     rig.settle(id, 0, BackendId(0), Outcome::Ok);
     rig.pass(100_000);
     assert_eq!(sends(&rig.ask(0, 0, 2, 1.0).1).len(), 1, "its answer had come: it is not resting");
@@ -314,7 +328,7 @@
 
 impl Fleet {
     fn new(gateways: u16) -> Fleet {
-        let rig = |me| Rig::with(Settings { gateways, me: GatewayNo(me), ..settings() }, 6);
+        let rig = |me| Rig::with(Settings { gateways, self_id: GatewayId(me), ..settings() }, 6);
         Fleet { rigs: (0..gateways).map(rig).collect(), carried: 0 }
     }
 
@@ -325,30 +339,30 @@
         let mut queue: Vec<(usize, Action)> = actions.into_iter().map(|a| (from, a)).collect();
         while let Some((at, action)) = queue.pop() {
             let (to, event) = match action {
-                Action::Send { id, backend, .. } => {
+                Action::StartAttempt { id, backend, .. } => {
                     sent += 1;
                     let (outcome, took) = (Outcome::Ok, 100_000);
                     let (attempt, complete) = (0, true);
                     let (metered, charged, report) = (None, None, None);
-                    let event = Event::Settled {
+                    let event = Event::AttemptFinished {
                         id,
                         attempt,
                         backend,
                         outcome,
-                        complete,
-                        took,
+                        answered: complete,
+                        elapsed: took,
                         metered,
-                        charged,
+                        charged_units: charged,
                         report,
                     };
                     (at, event)
                 }
-                Action::Tell { to: Some(to), bytes } => {
+                Action::SendGossip { to: Some(to), bytes } => {
                     self.carried += 1;
                     if lossy > 0 && self.carried % lossy == 0 {
                         continue;
                     }
-                    (usize::from(to.0), Event::Peer { from: GatewayNo(at as u16), bytes })
+                    (usize::from(to.0), Event::GossipReceived { from: GatewayId(at as u16), bytes })
                 }
                 _ => continue,
             };
@@ -381,11 +395,11 @@
             used += 2.0 * fleet.ask(step * 7 % 60, 1, 2.0, 60.0, lossy) as f64;
             if restart && step == 150 {
                 for me in 0..60u16 {
-                    let s = Settings { gateways: 60, me: GatewayNo(me), ..settings() };
+                    let s = Settings { gateways: 60, self_id: GatewayId(me), ..settings() };
                     let rig = &mut fleet.rigs[usize::from(me)];
                     if me % 3 == 0 {
                         rig.gateway = Gateway::new(s, 9, rig.now);
-                        rig.feed(Event::Roster(RosterKind::Cached, (0..6).map(listed).collect()));
+                        rig.feed(Event::Endpoints(EndpointUpdate::Cached, (0..6).map(listed).collect()));
                     }
                 }
             }
@@ -414,7 +428,7 @@
     let (id, actions) = rig.ask(0, 3, 5, 1.0);
     assert_eq!(sends(&rig.ask(0, 3, 5, 1.0).1).len(), 1);
     assert!(refused(&rig.ask(0, 3, 5, 1.0).1));
-    rig.feed(Event::Withdrawn(id));
+    rig.feed(Event::ClientCancelled(id));
     assert!(refused(&rig.ask(0, 3, 5, 1.0).1), "called off, yet still out");
     rig.settle(id, 0, sends(&actions)[0], Outcome::Cancelled);
     assert_eq!(sends(&rig.ask(0, 3, 5, 1.0).1).len(), 1);
@@ -424,15 +438,15 @@
 fn an_end_that_races_the_gateways_own_gets_no_second_answer() {
     let mut rig = Rig::with(settings(), 4);
     let (id, actions) = rig.ask(0, 0, 1, 1.0);
-    rig.feed(Event::Withdrawn(id));
+    rig.feed(Event::ClientCancelled(id));
     let late = rig.settle(id, 0, sends(&actions)[0], Outcome::TimedOut);
     assert!(!refused(&late) && !failed(&late) && sends(&late).is_empty());
-    assert!(rig.feed(Event::Withdrawn(id)).is_empty());
+    assert!(rig.feed(Event::ClientCancelled(id)).is_empty());
 }
 
 #[test]
 fn gossip_converges_through_loss_and_repeats() {
-    let mut other = Rig::with(Settings { me: GatewayNo(1), ..settings() }, 4);
+    let mut other = Rig::with(Settings { self_id: GatewayId(1), ..settings() }, 4);
     let mut rig = Rig::with(settings(), 4);
     rig.pass(4 * S);
     other.pass(4 * S);
@@ -443,10 +457,10 @@
     let told: Vec<Vec<u8>> = other
         .pass(300_000)
         .into_iter()
-        .filter_map(|a| if let Action::Tell { bytes, .. } = a { Some(bytes) } else { None })
+        .filter_map(|a| if let Action::SendGossip { bytes, .. } = a { Some(bytes) } else { None })
         .collect();
     for bytes in told.iter().chain(told.iter().rev()) {
-        rig.feed(Event::Peer { from: GatewayNo(1), bytes: bytes.clone() });
+        rig.feed(Event::GossipReceived { from: GatewayId(1), bytes: bytes.clone() });
     }
     // 6 units less 0.5 here and 5 there: a request of 3 finds no room, though this gateway sent half a unit.
     assert!(refused(&rig.ask(0, 1, 9, 3.0).1));
@@ -457,27 +471,29 @@
 fn a_restart_is_later_where_start_times_come_round() {
     let round: Micros = (1 << 32) * 1000;
     let start = |me: u16, now: Micros| {
-        let gateway = Gateway::new(Settings { me: GatewayNo(me), ..settings() }, 7, now);
+        let gateway = Gateway::new(Settings { self_id: GatewayId(me), ..settings() }, 7, now);
         let mut rig = Rig { gateway, now, next: 0 };
-        rig.feed(Event::Roster(RosterKind::Cached, (0..4).map(listed).collect()));
+        rig.feed(Event::Endpoints(EndpointUpdate::Cached, (0..4).map(listed).collect()));
         rig
     };
     let told = |rig: &mut Rig, units: f64| {
         let asked = rig.ask(0, 1, 9, units).1;
         let actions = asked.into_iter().chain(rig.pass(300_000));
-        actions.filter_map(|a| if let Action::Tell { bytes, .. } = a { Some(bytes) } else { None }).collect()
+        actions
+            .filter_map(|a| if let Action::SendGossip { bytes, .. } = a { Some(bytes) } else { None })
+            .collect()
     };
     let mut rig = start(0, round - 30 * S);
     let mut earlier = start(1, round - 25 * S);
     let mut again = start(1, round + S);
     let before: Vec<Vec<u8>> = told(&mut earlier, 0.5);
     rig.pass(25 * S);
-    rig.feed(Event::Peer { from: GatewayNo(1), bytes: before[0].clone() });
+    rig.feed(Event::GossipReceived { from: GatewayId(1), bytes: before[0].clone() });
     rig.pass(6 * S);
     rig.ask(0, 1, 9, 0.5);
     let after: Vec<Vec<u8>> = told(&mut again, 1.0);
     for bytes in after.iter().chain(&before) {
-        rig.feed(Event::Peer { from: GatewayNo(1), bytes: bytes.clone() });
+        rig.feed(Event::GossipReceived { from: GatewayId(1), bytes: bytes.clone() });
     }
     // Of 6 units, half a one went here and one there: the restarted peer's use counts.
     assert!(refused(&rig.ask(0, 1, 9, 5.0).1));
@@ -489,11 +505,17 @@
     let mut rig = Rig::with(settings(), 2);
     for bytes in [vec![], vec![1; 5], vec![9; 40], vec![1; 256], vec![2; 300], vec![255; 19]] {
         for from in [0, 1, 2, 900] {
-            let actions = rig.feed(Event::Peer { from: GatewayNo(from), bytes: bytes.clone() });
+            let actions = rig.feed(Event::GossipReceived { from: GatewayId(from), bytes: bytes.clone() });
             assert!(sends(&actions).is_empty());
         }
     }
-    let base = Request { id: RequestId(500), deadline: T0 + S, units: 1.0, width: 3.0, ..Request::default() };
+    let base = Request {
+        id: RequestId(500),
+        deadline: T0 + S,
+        units: 1.0,
+        gateway_count: 3.0,
+        ..Request::default()
+    };
     let odd = [
         Request { class: 99, ..base },
         Request { plan: 99, id: RequestId(501), ..base },
@@ -502,14 +524,14 @@
     ];
     for req in odd {
         let actions = rig.feed(Event::Request(req));
-        let answers = actions.iter().filter(|a| matches!(a, Action::Refuse { .. } | Action::Fail(_)));
+        let answers = actions.iter().filter(|a| matches!(a, Action::Reject { .. } | Action::Fail(_)));
         assert_eq!(answers.count(), 1);
         assert!(sends(&actions).is_empty());
     }
     for width in [0.0, f64::NAN, -3.0, 1e30] {
         rig.next += 1000;
         let id = RequestId(rig.next);
-        rig.feed(Event::Request(Request { id, width, first: f64::NAN, ..base }));
+        rig.feed(Event::Request(Request { id, gateway_count: width, first_gateway: f64::NAN, ..base }));
     }
     rig.settle(RequestId(77_777), 3, BackendId(99), Outcome::Ok);
     rig.feed(Event::FirstByte { id: RequestId(77_777), attempt: 9 });
@@ -524,15 +546,15 @@
         let slow = (100..300).contains(&step);
         let (id, actions) = rig.ask(0, 0, step, 1.0);
         if let Some(b) = sends(&actions).first() {
-            let event = Event::Settled {
+            let event = Event::AttemptFinished {
                 id,
                 attempt: 0,
                 backend: *b,
                 outcome: Outcome::Ok,
-                complete: true,
-                took: if slow { 900_000 } else { 100_000 },
+                answered: true,
+                elapsed: if slow { 900_000 } else { 100_000 },
                 metered: None,
-                charged: None,
+                charged_units: None,
                 report: None,
             };
             rig.feed(event);
@@ -556,7 +578,7 @@
 fn backends_that_are_left_do_not_inherit_the_load_of_the_fallen() {
     let out = |left: u64| {
         let mut rig = Rig::with(settings(), 12);
-        rig.feed(Event::Roster(RosterKind::Full, (0..left).map(listed).collect()));
+        rig.feed(Event::Endpoints(EndpointUpdate::Snapshot, (0..left).map(listed).collect()));
         (0..200).map(|n| sends(&rig.ask(0, 0, n, 1.0).1).len()).sum::<usize>()
     };
     assert!(out(12) >= 12);
@@ -570,7 +592,7 @@
     let mut rig = Rig::with(settings(), 12);
     let sent = |actions: Vec<Action>| {
         actions.into_iter().filter_map(|a| match a {
-            Action::Send { id, backend, .. } => Some((id, backend)),
+            Action::StartAttempt { id, backend, .. } => Some((id, backend)),
             _ => None,
         })
     };
@@ -598,16 +620,16 @@
     let passed = |rig: &mut Rig| (0..8).map(|_| sends(&rig.ask(0, 1, 9, 1.0).1).len()).sum::<usize>();
     let mut rig = Rig::with(settings(), 4);
     assert_eq!(passed(&mut rig), 5, "of a burst of 6, less what two others may pass unheard");
-    let mut elder = Rig::with(Settings { me: GatewayNo(1), ..settings() }, 4);
+    let mut elder = Rig::with(Settings { self_id: GatewayId(1), ..settings() }, 4);
     elder.pass(60 * S);
     let mut told = elder.ask(0, 1, 5, 1.0).1;
     told.extend(elder.pass(S));
     let mut rig = Rig::with(settings(), 4);
     (rig.now, rig.gateway) = (elder.now, Gateway::new(settings(), 7, elder.now));
-    rig.feed(Event::Roster(RosterKind::Cached, (0..4).map(listed).collect()));
+    rig.feed(Event::Endpoints(EndpointUpdate::Cached, (0..4).map(listed).collect()));
     for action in told {
-        if let Action::Tell { to: Some(GatewayNo(0)), bytes } = action {
-            rig.feed(Event::Peer { from: GatewayNo(1), bytes });
+        if let Action::SendGossip { to: Some(GatewayId(0)), bytes } = action {
+            rig.feed(Event::GossipReceived { from: GatewayId(1), bytes });
         }
     }
     assert_eq!(passed(&mut rig), 1, "a third of the burst");
@@ -625,7 +647,7 @@
             }
         }
         for action in rig.pass(100_000) {
-            if let Action::Tell { bytes, .. } = action {
+            if let Action::SendGossip { bytes, .. } = action {
                 told.extend((0..100u8).filter(|n| bytes.windows(5).any(|w| w == [*n, 0, 0, 0, 0])));
             }
         }
@@ -639,7 +661,7 @@
 fn an_alert_that_no_answer_renews_ends() {
     let mut s = settings();
     // Nobody of the dearest plan asks: on the last rung nobody passes.
-    s.plans = vec![plan(1e6, 1e6), Plan { price: 2.0, ..plan(1e6, 1e6) }];
+    s.plans = vec![plan(1e6, 1e6), Plan { priority_factor: 2.0, ..plan(1e6, 1e6) }];
     let mut rig = Rig::with(s, 4);
     let (mut let_in, mut longest, mut last_rung) = (rig.now, 0, false);
     for step in 0..900u64 {
@@ -663,7 +685,7 @@
 #[test]
 fn the_ladder_cuts_whole_customers_alike_at_all_gateways() {
     let verdicts = |me: u16| {
-        let mut s = Settings { me: GatewayNo(me), ..settings() };
+        let mut s = Settings { self_id: GatewayId(me), ..settings() };
         s.plans = vec![plan(1e6, 1e6)];
         let mut rig = Rig::with(s, 4);
         for step in 0..400u64 {
@@ -673,15 +695,15 @@
                 let (complete, outcome) = (true, Outcome::Ok);
                 let (metered, charged, report) = (None, None, None);
                 let attempt = 0;
-                rig.feed(Event::Settled {
+                rig.feed(Event::AttemptFinished {
                     id,
                     attempt,
                     backend,
                     outcome,
-                    complete,
-                    took,
+                    answered: complete,
+                    elapsed: took,
                     metered,
-                    charged,
+                    charged_units: charged,
                     report,
                 });
             }
@@ -712,8 +734,8 @@
     /// A fleet of slivers in which attempts cannot be doubled, `backends` each.
     fn single(gateways: u16, backends: u64) -> Fleet {
         let rig = |me| {
-            let mut s = Settings { gateways, me: GatewayNo(me), ..settings() };
-            s.limits.second_copies = false;
+            let mut s = Settings { gateways, self_id: GatewayId(me), ..settings() };
+            s.limits.hedging = false;
             Rig::with(s, backends)
         };
         Fleet { rigs: (0..gateways).map(rig).collect(), carried: 0 }
@@ -724,10 +746,10 @@
         let mut queue: Vec<(usize, Action)> = actions.into_iter().map(|a| (from, a)).collect();
         let mut rest = Vec::new();
         while let Some((at, action)) = queue.pop() {
-            if let Action::Tell { to: Some(to), bytes } = action {
+            if let Action::SendGossip { to: Some(to), bytes } = action {
                 self.carried += 1;
-                let more =
-                    self.rigs[usize::from(to.0)].feed(Event::Peer { from: GatewayNo(at as u16), bytes });
+                let more = self.rigs[usize::from(to.0)]
+                    .feed(Event::GossipReceived { from: GatewayId(at as u16), bytes });
                 queue.extend(more.into_iter().map(|a| (usize::from(to.0), a)));
             } else {
                 rest.push((at, action));
@@ -741,7 +763,7 @@
         let all = self.rigs.len();
         for at in 0..all {
             let (id, actions) = self.rigs[at].ask_of(0, 0, 5, 1.0, all as f64);
-            if sends(&actions).is_empty() && actions.iter().any(|a| matches!(a, Action::Tell { .. })) {
+            if sends(&actions).is_empty() && actions.iter().any(|a| matches!(a, Action::SendGossip { .. })) {
                 return (at, id, actions);
             }
         }
@@ -754,7 +776,13 @@
 }
 
 fn pause(actions: &[Action]) -> Option<Micros> {
-    actions.iter().find_map(|a| if let Action::Refuse { pause, .. } = a { Some(*pause) } else { None })
+    actions.iter().find_map(|a| {
+        if let Action::Reject { retry_after: pause, .. } = a {
+            Some(*pause)
+        } else {
+            None
+        }
+    })
 }
 
 /// The check that ends a hold stays due after a home's word let the request in. It took the attempt, 0.1 s old,
@@ -765,13 +793,13 @@
     let (at, _, actions) = fleet.stranger();
     let rest = fleet.talk(at, actions);
     assert!(
-        rest.iter().any(|(n, a)| *n == at && matches!(a, Action::Send { .. })),
+        rest.iter().any(|(n, a)| *n == at && matches!(a, Action::StartAttempt { .. })),
         "let in by a home's word"
     );
     assert_eq!(calls_off(&fleet.rigs[at].pass(300_000)), 0);
     // Nor does that of an earlier attempt, in a fleet of any size.
     let mut s = settings();
-    s.limits.second_copies = false;
+    s.limits.hedging = false;
     let mut rig = Rig::with(s, 4);
     for n in 0..60 {
         let (id, actions) = rig.ask(0, 0, n, 1.0); // retries are saved up
@@ -792,7 +820,7 @@
     for hung in [false, true] {
         let (_, _, asked) = Fleet::single(60, 1).stranger();
         let to = |a: &Action| {
-            if let Action::Tell { to: Some(to), .. } = a {
+            if let Action::SendGossip { to: Some(to), .. } = a {
                 Some(usize::from(to.0))
             } else {
                 None
@@ -804,7 +832,7 @@
             for n in (0..30).filter(|n| !homes.contains(n)) {
                 let (_, actions) = fleet.rigs[n].ask_of(0, 0, 5, 1.0, 60.0);
                 for (at, action) in fleet.talk(n, actions) {
-                    if let (Action::Send { id, backend, .. }, false) = (action, hung) {
+                    if let (Action::StartAttempt { id, backend, .. }, false) = (action, hung) {
                         let more = fleet.rigs[at].settle(id, 0, backend, Outcome::Ok);
                         fleet.talk(at, more);
                     }
@@ -833,7 +861,7 @@
         let mut again = 0;
         for (id, actions) in ids {
             for backend in sends(&actions) {
-                again += sends(&rig.settle(id, 0, backend, Outcome::Full)).len();
+                again += sends(&rig.settle(id, 0, backend, Outcome::Rejected)).len();
             }
         }
         again
@@ -851,12 +879,12 @@
         let mut rig = Rig::with(settings(), 24);
         let ids: Vec<(RequestId, Vec<Action>)> = (0..36).map(|n| rig.ask_of(0, 0, n, 1.0, 1.0)).collect();
         let sent = ids.into_iter().filter_map(|(id, a)| Some((id, *sends(&a).first()?)));
-        let own = |id: RequestId, a: &Action| matches!(a, Action::Send { id: of, .. } if *of == id);
+        let own = |id: RequestId, a: &Action| matches!(a, Action::StartAttempt { id: of, .. } if *of == id);
         sent.filter(|(id, to)| rig.settle_after(*id, 0, *to, outcome, took).iter().any(|a| own(*id, a)))
             .count()
     };
     assert_eq!(again(Outcome::Reset, S), 10, "late");
-    assert_eq!(again(Outcome::Full, 1000), 10, "turned away");
+    assert_eq!(again(Outcome::Rejected, 1000), 10, "turned away");
     assert!(again(Outcome::Reset, 1000) > 30, "{}", again(Outcome::Reset, 1000));
     assert!(again(Outcome::Reset, 75_000) < 25, "{}", again(Outcome::Reset, 75_000));
 }
@@ -867,10 +895,13 @@
 fn a_cold_backend_takes_part_as_far_as_it_can() {
     let mut cold = 0;
     for me in 0..150 {
-        let mut rig = Rig::with(Settings { me: GatewayNo(me), gateways: 150, ..settings() }, 40);
+        let mut rig = Rig::with(Settings { self_id: GatewayId(me), gateways: 150, ..settings() }, 40);
         rig.pass(S);
         let started = rig.now;
-        rig.feed(Event::Roster(RosterKind::Delta, vec![Listed { started, ..listed(39) }]));
+        rig.feed(Event::Endpoints(
+            EndpointUpdate::Delta,
+            vec![Endpoint { started_at: started, ..listed(39) }],
+        ));
         for n in 0..12u64 {
             // Held for a home's word that does not come, then sent by what is known here.
             let (id, actions) = rig.ask_of(0, 0, 1000 * u64::from(me) + n, 1.0, 1.0);
@@ -895,7 +926,7 @@
         let mut fleet = Fleet::new(60);
         for (n, rig) in fleet.rigs.iter_mut().enumerate().filter(|(n, _)| restarted && *n != asker) {
             rig.now += 5 * S;
-            let s = Settings { gateways: 60, me: GatewayNo(n as u16), ..settings() };
+            let s = Settings { gateways: 60, self_id: GatewayId(n as u16), ..settings() };
             rig.gateway = Gateway::new(s, 9, rig.now);
         }
         fleet.rigs[asker].now = fleet.rigs[(asker + 1) % 60].now;
@@ -941,7 +972,7 @@
     assert!((100_000..2 * S).contains(&full), "{full}: some usual answer times");
     // Waiting for a place: 0.3 aims, then at the next wake-up.
     let mut rig = Rig::with(settings(), 1);
-    rig.feed(Event::Roster(RosterKind::Full, vec![]));
+    rig.feed(Event::Endpoints(EndpointUpdate::Snapshot, vec![]));
     assert_eq!(pause(&rig.ask(0, 0, 1, 1.0).1), None);
     assert_eq!(pause(&rig.pass(280_000)), None, "a place may still come");
     let told = pause(&rig.pass(60_000)).expect("given up, and answered");
@@ -953,13 +984,13 @@
     let (id, actions) = rig.ask(0, 0, 1, 1.0);
     assert!(pause(&rig.settle(id, 0, sends(&actions)[0], Outcome::Error)).is_some_and(|p| p > 0));
     // Held for the homes' word that does not come: 0.15 s, then by what is known here.
-    let mut rig = Rig::with(Settings { gateways: 60, me: GatewayNo(30), ..settings() }, 4);
+    let mut rig = Rig::with(Settings { gateways: 60, self_id: GatewayId(30), ..settings() }, 4);
     let mut answers = Vec::new();
     for _ in 0..3 {
         answers.extend(rig.ask_of(0, 1, 5, 6.0, 60.0).1);
     }
     answers.extend(rig.pass(180_000));
-    let refusals = answers.iter().filter(|a| matches!(a, Action::Refuse { .. })).count();
+    let refusals = answers.iter().filter(|a| matches!(a, Action::Reject { .. })).count();
     assert_eq!(refusals + sends(&answers).len(), 3, "none is held on");
     assert!(pause(&answers).is_some_and(|p| p > 0));
 }
@@ -968,14 +999,14 @@
 /// it weighs, in every message. Told three times only, a server that tipped over got as much as the rest.
 #[test]
 fn the_latest_answers_are_told_in_every_message_for_a_second() {
-    let mut rig = Rig::with(Settings { gateways: 60, me: GatewayNo(30), ..settings() }, 4);
+    let mut rig = Rig::with(Settings { gateways: 60, self_id: GatewayId(30), ..settings() }, 4);
     let (id, mut actions) = rig.ask_of(0, 0, 5, 1.0, 60.0);
     actions.extend(rig.pass(180_000));
     rig.settle(id, 0, sends(&actions)[0], Outcome::Ok);
     let mut lessons = Vec::new();
     for n in 0..14 {
         for action in rig.ask_of(0, 0, 50 + n, 1.0, 60.0).1 {
-            if let Action::Tell { bytes, .. } = action {
+            if let Action::SendGossip { bytes, .. } = action {
                 lessons.push(bytes[1] >> 2);
             }
         }
@@ -994,15 +1025,15 @@
         for step in 0..600u64 {
             let (id, mut actions) = rig.ask_of(0, 0, step, 1.0, 1.0); // this gateway is the only home
             if let Some(backend) = sends(&actions).first().copied() {
-                actions.extend(rig.feed(Event::Settled {
+                actions.extend(rig.feed(Event::AttemptFinished {
                     id,
                     attempt: 0,
                     backend,
                     outcome: Outcome::Ok,
-                    complete: true,
-                    took: if step < 300 { 100_000 } else { 300_000 }, // what is calm is learnt from 200
+                    answered: true,
+                    elapsed: if step < 300 { 100_000 } else { 300_000 }, // what is calm is learnt from 200
                     metered: None,
-                    charged: None,
+                    charged_units: None,
                     report: None,
                 }));
             }
@@ -1020,7 +1051,7 @@
 #[test]
 fn work_that_varies_raises_no_alert_in_a_large_fleet() {
     for gateway in 0..20 {
-        let mut rig = Rig::with(Settings { gateways: 300, me: GatewayNo(gateway), ..settings() }, 200);
+        let mut rig = Rig::with(Settings { gateways: 300, self_id: GatewayId(gateway), ..settings() }, 200);
         let (mut seed, mut took) = (u64::from(gateway), 0.0);
         let mut draw = || {
             seed = seed.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
@@ -1048,14 +1079,17 @@
 #[test]
 fn homes_that_a_view_has_lost_are_not_waited_for() {
     let asker = Fleet::new(60).stranger().0;
-    let asked = |actions: &[Action]| -> Vec<GatewayNo> {
-        actions.iter().filter_map(|a| if let Action::Tell { to, .. } = a { *to } else { None }).collect()
+    let asked = |actions: &[Action]| -> Vec<GatewayId> {
+        actions
+            .iter()
+            .filter_map(|a| if let Action::SendGossip { to, .. } = a { *to } else { None })
+            .collect()
     };
-    let mut rig = Rig::with(Settings { gateways: 60, me: GatewayNo(asker as u16), ..settings() }, 10);
+    let mut rig = Rig::with(Settings { gateways: 60, self_id: GatewayId(asker as u16), ..settings() }, 10);
     let (_, actions) = rig.ask_of(0, 1, 5, 1.0, 60.0);
     let first = asked(&actions);
     assert!(first.len() == 1 && sends(&actions).is_empty(), "held for its first home's word");
-    let reach = |peer, there| Event::Reach { peer, there };
+    let reach = |peer, there| Event::PeerReachability { peer, reachable: there };
     rig.feed(reach(first[0], false));
     rig.pass(2_000_000);
     let (_, actions) = rig.ask_of(0, 1, 5, 1.0, 60.0);
@@ -1068,7 +1102,7 @@
     rig.feed(reach(first[0], true));
     rig.pass(2_000_000);
     assert_eq!(asked(&rig.ask_of(0, 1, 5, 1.0, 60.0).1), first, "it is back");
-    rig.feed(reach(GatewayNo(60), false)); // no such peer: nothing is kept of it
+    rig.feed(reach(GatewayId(60), false)); // no such peer: nothing is kept of it
 }
 
 /// A home that says yes counts the units as used in the same turn: what it promised is not told to it again, only to the
@@ -1088,17 +1122,22 @@
         fleet.talk(n, actions);
     }
     let (_, actions) = fleet.rigs[asker].ask_of(0, 1, 5, 6.0, 60.0);
-    let first =
-        actions.iter().find_map(|a| if let Action::Tell { to: Some(to), .. } = a { Some(*to) } else { None });
+    let first = actions.iter().find_map(|a| {
+        if let Action::SendGossip { to: Some(to), .. } = a {
+            Some(*to)
+        } else {
+            None
+        }
+    });
     let first = usize::from(first.expect("it asks its first home").0);
     // The first home is gone: the second, asked after it, knows of the use and says no.
     for _ in 0..2 {
         let (_, mut actions) = fleet.rigs[asker].ask_of(0, 1, 5, 6.0, 60.0);
         actions.extend(fleet.rigs[asker].pass(100_000));
         let to_first =
-            |a: &Action| matches!(a, Action::Tell { to: Some(to), .. } if usize::from(to.0) == first);
+            |a: &Action| matches!(a, Action::SendGossip { to: Some(to), .. } if usize::from(to.0) == first);
         let second: Vec<Action> = actions.into_iter().filter(|a| !to_first(a)).collect();
-        let tells = second.iter().filter(|a| matches!(a, Action::Tell { .. })).count();
+        let tells = second.iter().filter(|a| matches!(a, Action::SendGossip { .. })).count();
         assert!(tells >= 1, "the second home is asked when the first is silent");
         let rest: Vec<Action> = fleet.talk(asker, second).into_iter().map(|(_, a)| a).collect();
         assert!(sends(&rest).is_empty(), "beyond the quota");
@@ -1116,7 +1155,7 @@
         .filter(|n| *n != asker)
         .filter(|n| {
             let (_, actions) = fleet.rigs[*n].ask_of(0, 1, 5, 0.25, 60.0);
-            let home = !actions.iter().any(|a| matches!(a, Action::Tell { .. }));
+            let home = !actions.iter().any(|a| matches!(a, Action::SendGossip { .. }));
             fleet.talk(*n, actions); // all are heard once
             !home
         })
@@ -1140,7 +1179,7 @@
     }
     assert!(blind > 20, "{blind}: far beyond a quota of 2 a second with a burst of 6");
     pass(&mut fleet, 10 * S, true);
-    // Heard again, within a second: the store has been full for long.
+    // PeerUsage again, within a second: the store has been full for long.
     for n in &others {
         let (_, actions) = fleet.rigs[*n].ask_of(0, 1, 5, 0.25, 60.0);
         fleet.talk(*n, actions);
--- a/crates/core/tests/decision_trace.rs
+++ b/crates/core/tests/decision_trace.rs
@@ -115,7 +115,7 @@
     },
     EndpointList {
         gateway: usize,
-        kind: RosterKind,
+        kind: EndpointUpdate,
     },
     Incident,
     Restart {
@@ -149,67 +149,79 @@
     seen: BTreeMap<&'static str, u64>,
 }
 
-fn request_class(repeat: Repeat, aim: Micros, deadline: Micros, stream: bool) -> Class {
-    Class { aim, aim_stretch: 0.0, deadline, worth: 1.0, late_worth: 0.2, repeat, stream }
+fn request_class(repeat: RetrySafety, aim: Micros, deadline: Micros, stream: bool) -> RequestClass {
+    RequestClass {
+        latency_objective: aim,
+        objective_per_work: 0.0,
+        deadline,
+        priority_weight: 1.0,
+        late_priority_weight: 0.2,
+        retry_safety: repeat,
+        streaming: stream,
+    }
 }
 
 fn plan(rate: f64, burst: f64, price: f64) -> Plan {
     Plan {
-        rate,
-        burst,
-        open_cap: 0,
-        ceiling_rate: 0.0,
-        ceiling_burst: 0.0,
-        ceiling_slack: 0.0,
-        price,
-        over_worth: 0.0,
-        over_cost: 1.0,
+        quota_rate: rate,
+        quota_burst: burst,
+        max_in_flight: 0,
+        hard_limit_rate: 0.0,
+        hard_limit_burst: 0.0,
+        hard_limit_slack: 0.0,
+        priority_factor: price,
+        over_quota_weight: 0.0,
+        over_quota_penalty: 1.0,
     }
 }
 
 fn settings(scenario: &Scenario, gateway: u16) -> Settings {
     let kind = scenario.settings;
-    let keyed = |group| Repeat::Keyed { group, window: SECOND };
+    let keyed = |group| RetrySafety::IdempotencyKey { scope: group, window: SECOND };
     let classes = vec![
-        request_class(Repeat::Safe, 400_000, 2 * SECOND, false),
-        request_class(keyed(Group::Cell), 700_000, 3 * SECOND, false),
-        request_class(Repeat::Once, 600_000, 2 * SECOND, false),
-        request_class(keyed(Group::Zone), 500_000, 2 * SECOND, true),
-        request_class(keyed(Group::All), 300_000, SECOND, false),
+        request_class(RetrySafety::Idempotent, 400_000, 2 * SECOND, false),
+        request_class(keyed(DeduplicationScope::Cell), 700_000, 3 * SECOND, false),
+        request_class(RetrySafety::NotIdempotent, 600_000, 2 * SECOND, false),
+        request_class(keyed(DeduplicationScope::Zone), 500_000, 2 * SECOND, true),
+        request_class(keyed(DeduplicationScope::Fleet), 300_000, SECOND, false),
     ];
-    let hard_limited = Plan { ceiling_rate: 6.0, ceiling_burst: 10.0, ..plan(12.0, 20.0, 1.0) };
-    let capped = Plan { open_cap: 4, ..plan(0.0, 0.0, 1.3) };
+    let hard_limited = Plan { hard_limit_rate: 6.0, hard_limit_burst: 10.0, ..plan(12.0, 20.0, 1.0) };
+    let capped = Plan { max_in_flight: 4, ..plan(0.0, 0.0, 1.3) };
     let plans = vec![plan(2.0, 6.0, 0.5), plan(15.0, 30.0, 1.0), hard_limited, capped, plan(40.0, 80.0, 1.6)];
     Settings {
         gateways: scenario.gateways,
-        me: GatewayNo(gateway),
+        self_id: GatewayId(gateway),
         zone: (gateway % 3) as u8,
         tick: 4_000,
         classes,
         plans,
         limits: Limits {
             max_attempts: 3,
-            second_copies: kind == SettingsKind::Hedging,
-            cancel: kind != SettingsKind::Restricted,
-            probes: false,
-            peers: kind != SettingsKind::Restricted,
-            peer_in_per_s: scenario.gossip_receive_rate,
+            hedging: kind == SettingsKind::Hedging,
+            cancellation: kind != SettingsKind::Restricted,
+            health_checks: false,
+            gossip: kind != SettingsKind::Restricted,
+            gossip_receive_rate: scenario.gossip_receive_rate,
             retry_after: kind != SettingsKind::Restricted,
             max_retry_after: 2 * SECOND,
-            counter: false,
-            max_open: 10_000,
+            shared_counter: false,
+            max_in_flight: 10_000,
         },
         rules: Rules {
-            answer_slack: 16_000,
+            answer_grace: 16_000,
             drain_grace: 250_000,
-            cold_from: 0.2,
-            cold_time: 8 * SECOND,
-            fall_factor: 3.0,
-            fall_time: SECOND,
-            must_ask: 4 * SECOND,
+            slow_start_min_capacity: 0.2,
+            slow_start_window: 8 * SECOND,
+            overload_factor: 3.0,
+            overload_window: SECOND,
+            max_poll_interval: 4 * SECOND,
+        },
+        discovery: if kind == SettingsKind::Polling { Discovery::Poll } else { Discovery::Push },
+        weight_meaning: if kind == SettingsKind::Restricted {
+            WeightMeaning::None
+        } else {
+            WeightMeaning::Capacity
         },
-        discovery: if kind == SettingsKind::Polling { Discovery::Ask } else { Discovery::Push },
-        sizes: if kind == SettingsKind::Restricted { SizeMeaning::None } else { SizeMeaning::Capacity },
         meter_period: 0,
         post_paid: kind == SettingsKind::Polling,
     }
@@ -263,7 +275,7 @@
 
     fn play(mut self) -> (String, BTreeMap<&'static str, u64>) {
         for gateway in 0..self.gateways.len() {
-            let kind = if gateway % 2 == 0 { RosterKind::Full } else { RosterKind::Cached };
+            let kind = if gateway % 2 == 0 { EndpointUpdate::Snapshot } else { EndpointUpdate::Cached };
             self.schedule(1_000 + gateway as u64 * 700, Happening::EndpointList { gateway, kind });
         }
         self.schedule(50_000, Happening::Arrival);
@@ -297,11 +309,11 @@
             }
             Happening::ClientLeaves { gateway, life, id } => {
                 if self.lives[gateway] == life && self.unanswered[gateway].remove(&id) {
-                    self.handle(gateway, Event::Withdrawn(id));
+                    self.handle(gateway, Event::ClientCancelled(id));
                 }
             }
             Happening::Message { from, to, bytes } => {
-                self.handle(to, Event::Peer { from: GatewayNo(from), bytes });
+                self.handle(to, Event::GossipReceived { from: GatewayId(from), bytes });
             }
             Happening::Timer { gateway, life, token } => {
                 if self.lives[gateway] == life {
@@ -339,8 +351,8 @@
             customer: CustomerId(customer + 1),
             deadline: self.now + wait_limit / hurried,
             units: [1.0, 1.0, 1.5, 2.25][self.random.below(4) as usize],
-            width: width as f64,
-            first: first as f64,
+            gateway_count: width as f64,
+            first_gateway: first as f64,
         };
         self.unanswered[gateway].insert(id);
         if self.random.chance(25) {
@@ -369,40 +381,50 @@
         let Some(model) = self.backends.get_mut(&backend.0) else { return };
         model.in_flight = model.in_flight.saturating_sub(1);
         let queue = f64::from(model.in_flight.saturating_sub(4));
-        let report = (backend.0 % 2 == 0).then(|| Report { queue: Some(queue), ..Report::default() });
+        let report =
+            (backend.0 % 2 == 0).then(|| LoadReport { queued: Some(queue), ..LoadReport::default() });
         let complete = outcome == Outcome::Ok;
         if complete {
             self.unanswered[gateway].remove(&id);
         }
         let charged = self.random.chance(4).then(|| 1.0 + self.random.below(3) as f64);
         let took = self.now - sent;
-        let settled =
-            Event::Settled { id, attempt, backend, outcome, complete, took, metered: None, charged, report };
+        let settled = Event::AttemptFinished {
+            id,
+            attempt,
+            backend,
+            outcome,
+            answered: complete,
+            elapsed: took,
+            metered: None,
+            charged_units: charged,
+            report,
+        };
         self.handle(gateway, settled);
     }
 
-    fn endpoint_list(&mut self, gateway: usize, kind: RosterKind) {
-        let list: Vec<Listed> = match kind {
-            RosterKind::Failed => Vec::new(),
-            RosterKind::Delta => self.changed.iter().map(|n| self.listed(*n)).collect(),
-            RosterKind::Full | RosterKind::Cached => {
+    fn endpoint_list(&mut self, gateway: usize, kind: EndpointUpdate) {
+        let list: Vec<Endpoint> = match kind {
+            EndpointUpdate::Failed => Vec::new(),
+            EndpointUpdate::Delta => self.changed.iter().map(|n| self.listed(*n)).collect(),
+            EndpointUpdate::Snapshot | EndpointUpdate::Cached => {
                 let present = |n: &&u64| self.backends[*n].availability != Availability::Gone;
                 self.backends.keys().filter(present).map(|n| self.listed(*n)).collect()
             }
         };
-        self.handle(gateway, Event::Roster(kind, list));
+        self.handle(gateway, Event::Endpoints(kind, list));
     }
 
-    fn listed(&self, number: u64) -> Listed {
+    fn listed(&self, number: u64) -> Endpoint {
         let model = &self.backends[&number];
-        Listed {
+        Endpoint {
             backend: BackendId(number),
             zone: model.zone,
             cell: model.cell,
             kind: 0,
             availability: model.availability,
-            size: model.capacity,
-            started: model.started,
+            weight: model.capacity,
+            started_at: model.started,
         }
     }
 
@@ -445,12 +467,13 @@
             12 => self.stop(gateway),
             _ => {
                 let there = self.random.chance(2);
-                let peer = GatewayNo(self.random.below(u64::from(self.scenario.gateways) + 1) as u16);
-                self.handle(gateway, Event::Reach { peer, there });
+                let peer = GatewayId(self.random.below(u64::from(self.scenario.gateways) + 1) as u16);
+                self.handle(gateway, Event::PeerReachability { peer, reachable: there });
                 let backend = BackendId(number);
-                let probed = Event::Probed { backend, outcome: Outcome::Ok, took: 900, report: None };
+                let probed =
+                    Event::HealthChecked { backend, outcome: Outcome::Ok, elapsed: 900, report: None };
                 self.handle(gateway, probed);
-                self.handle(gateway, Event::Counted { name: 7, outcome: Outcome::Ok, total: 3.0 });
+                self.handle(gateway, Event::CounterUpdated { name: 7, outcome: Outcome::Ok, total: 3.0 });
             }
         }
     }
@@ -460,13 +483,16 @@
         for gateway in 0..self.gateways.len() {
             let delay = 5_000 + self.random.below(300_000);
             let kind = match self.random.below(8) {
-                0 => RosterKind::Full,
-                1 => RosterKind::Failed,
-                _ => RosterKind::Delta,
+                0 => EndpointUpdate::Snapshot,
+                1 => EndpointUpdate::Failed,
+                _ => EndpointUpdate::Delta,
             };
             self.schedule(delay, Happening::EndpointList { gateway, kind });
-            if kind == RosterKind::Failed {
-                self.schedule(delay + 500_000, Happening::EndpointList { gateway, kind: RosterKind::Full });
+            if kind == EndpointUpdate::Failed {
+                self.schedule(
+                    delay + 500_000,
+                    Happening::EndpointList { gateway, kind: EndpointUpdate::Snapshot },
+                );
             }
         }
     }
@@ -494,8 +520,8 @@
         self.unanswered[gateway].clear();
         let settings = settings(&self.scenario, gateway as u16);
         self.gateways[gateway] = Some(Gateway::new(settings, self.random.next(), self.now));
-        self.endpoint_list(gateway, RosterKind::Cached);
-        self.schedule(200_000, Happening::EndpointList { gateway, kind: RosterKind::Full });
+        self.endpoint_list(gateway, EndpointUpdate::Cached);
+        self.schedule(200_000, Happening::EndpointList { gateway, kind: EndpointUpdate::Snapshot });
     }
 
     fn handle(&mut self, gateway: usize, event: Event) {
@@ -521,8 +547,8 @@
 
     fn carry_out(&mut self, gateway: usize, action: Action) {
         match action {
-            Action::Send { id, backend, .. } => self.start_attempt(gateway, id, backend),
-            Action::Refuse { id, .. } | Action::Fail(id) => {
+            Action::StartAttempt { id, backend, .. } => self.start_attempt(gateway, id, backend),
+            Action::Reject { id, .. } | Action::Fail(id) => {
                 self.unanswered[gateway].remove(&id);
             }
             Action::Cancel { id, attempt } => self.cancel(gateway, id, attempt),
@@ -532,12 +558,13 @@
                 let life = self.lives[gateway];
                 self.schedule(delay + stall, Happening::Timer { gateway, life, token });
             }
-            Action::Tell { to, bytes } => self.deliver(gateway, to, bytes),
-            Action::Watch(_) | Action::FetchRoster => {
-                let kind = if self.random.chance(4) { RosterKind::Failed } else { RosterKind::Full };
+            Action::SendGossip { to, bytes } => self.deliver(gateway, to, bytes),
+            Action::WatchEndpoints(_) | Action::FetchEndpoints => {
+                let kind =
+                    if self.random.chance(4) { EndpointUpdate::Failed } else { EndpointUpdate::Snapshot };
                 self.schedule(20_000, Happening::EndpointList { gateway, kind });
             }
-            Action::Probe(_) | Action::CloseIdle(_) | Action::Count { .. } | Action::Log(_) => {}
+            Action::CheckHealth(_) | Action::CloseIdle(_) | Action::AddToCounter { .. } | Action::Log(_) => {}
         }
     }
 
@@ -560,9 +587,9 @@
         } else if model.failing > 0 && roll % model.failing == 0 {
             (service / 4, if roll % 3 == 0 { Outcome::Reset } else { Outcome::Error })
         } else if f64::from(model.in_flight) > 14.0 * model.capacity {
-            (1_000, Outcome::Full)
+            (1_000, Outcome::Rejected)
         } else if roll == 999 {
-            (500, Outcome::Moot)
+            (500, Outcome::NotSent)
         } else {
             (service, Outcome::Ok)
         };
@@ -595,7 +622,7 @@
     }
 
     /// One message in twelve is lost, one in thirty comes twice, some are late.
-    fn deliver(&mut self, from: usize, to: Option<GatewayNo>, bytes: Vec<u8>) {
+    fn deliver(&mut self, from: usize, to: Option<GatewayId>, bytes: Vec<u8>) {
         let Some(to) = to.map(|to| usize::from(to.0)).filter(|to| *to < self.gateways.len()) else { return };
         if self.random.chance(12) {
             return;
@@ -612,33 +639,33 @@
 
 fn event_name(event: &Event) -> &'static str {
     match event {
-        Event::Roster(RosterKind::Full, _) => "event: snapshot",
-        Event::Roster(RosterKind::Delta, _) => "event: delta",
-        Event::Roster(RosterKind::Cached, _) => "event: cached list",
-        Event::Roster(RosterKind::Failed, _) => "event: failed poll",
+        Event::Endpoints(EndpointUpdate::Snapshot, _) => "event: snapshot",
+        Event::Endpoints(EndpointUpdate::Delta, _) => "event: delta",
+        Event::Endpoints(EndpointUpdate::Cached, _) => "event: cached list",
+        Event::Endpoints(EndpointUpdate::Failed, _) => "event: failed poll",
         Event::Request(_) => "event: request",
-        Event::Settled { .. } => "event: attempt ended",
+        Event::AttemptFinished { .. } => "event: attempt ended",
         Event::FirstByte { .. } => "event: first byte",
-        Event::Withdrawn(_) => "event: client left",
+        Event::ClientCancelled(_) => "event: client left",
         Event::Timer(_) => "event: timer",
-        Event::Probed { .. } => "event: health check",
-        Event::Peer { .. } => "event: gossip",
-        Event::Reach { .. } => "event: reachability",
-        Event::Counted { .. } => "event: counter",
+        Event::HealthChecked { .. } => "event: health check",
+        Event::GossipReceived { .. } => "event: gossip",
+        Event::PeerReachability { .. } => "event: reachability",
+        Event::CounterUpdated { .. } => "event: counter",
     }
 }
 
 /// Appends an action's bytes and gives its name. Of a log line the numbers count, and not the words.
 fn encode(action: &Action, bytes: &mut Vec<u8>) -> &'static str {
     match action {
-        Action::Send { id, backend, expires, begin_by } => {
+        Action::StartAttempt { id, backend, give_up_at, start_by } => {
             bytes.push(1);
-            for number in [id.0, backend.0, *expires, *begin_by] {
+            for number in [id.0, backend.0, *give_up_at, *start_by] {
                 bytes.extend_from_slice(&number.to_le_bytes());
             }
             "action: attempt"
         }
-        Action::Refuse { id, pause } => {
+        Action::Reject { id, retry_after: pause } => {
             bytes.push(2);
             bytes.extend_from_slice(&id.0.to_le_bytes());
             bytes.extend_from_slice(&pause.to_le_bytes());
@@ -661,13 +688,13 @@
             bytes.extend_from_slice(&token.to_le_bytes());
             "action: timer"
         }
-        Action::Tell { to, bytes: message } => {
+        Action::SendGossip { to, bytes: message } => {
             bytes.push(6);
             bytes.extend_from_slice(&to.map_or(u16::MAX, |to| to.0).to_le_bytes());
             bytes.extend_from_slice(message);
             "action: gossip"
         }
-        Action::Probe(backend) => {
+        Action::CheckHealth(backend) => {
             bytes.push(7);
             bytes.extend_from_slice(&backend.0.to_le_bytes());
             "action: health check"
@@ -677,15 +704,15 @@
             bytes.extend_from_slice(&backend.0.to_le_bytes());
             "action: close idle"
         }
-        Action::Watch(on) => {
+        Action::WatchEndpoints(on) => {
             bytes.extend_from_slice(&[9, u8::from(*on)]);
             "action: watch"
         }
-        Action::FetchRoster => {
+        Action::FetchEndpoints => {
             bytes.push(10);
             "action: fetch"
         }
-        Action::Count { name, delta, lifetime } => {
+        Action::AddToCounter { name, delta, lifetime } => {
             bytes.push(11);
             bytes.extend_from_slice(&name.to_le_bytes());
             bytes.extend_from_slice(&delta.to_bits().to_le_bytes());
--- a/crates/core/tests/hostile.rs
+++ b/crates/core/tests/hostile.rs
@@ -8,47 +8,47 @@
 const T0: Micros = 50_000_000;
 
 fn settings() -> Settings {
-    let class = |repeat| Class {
-        aim: 500_000,
-        aim_stretch: 0.0,
+    let class = |repeat| RequestClass {
+        latency_objective: 500_000,
+        objective_per_work: 0.0,
         deadline: 2_000_000,
-        worth: 1.0,
-        late_worth: 0.0,
-        repeat,
-        stream: false,
+        priority_weight: 1.0,
+        late_priority_weight: 0.0,
+        retry_safety: repeat,
+        streaming: false,
     };
     let plan = |ceiling_rate, ceiling_burst| Plan {
-        rate: 20.0,
-        burst: 40.0,
-        open_cap: 0,
-        ceiling_rate,
-        ceiling_burst,
-        ceiling_slack: 1.0,
-        price: 1.0,
-        over_worth: 0.0,
-        over_cost: 1.0,
+        quota_rate: 20.0,
+        quota_burst: 40.0,
+        max_in_flight: 0,
+        hard_limit_rate: ceiling_rate,
+        hard_limit_burst: ceiling_burst,
+        hard_limit_slack: 1.0,
+        priority_factor: 1.0,
+        over_quota_weight: 0.0,
+        over_quota_penalty: 1.0,
     };
-    let keyed = Repeat::Keyed { group: Group::Cell, window: 1_000_000 };
+    let keyed = RetrySafety::IdempotencyKey { scope: DeduplicationScope::Cell, window: 1_000_000 };
     Settings {
         gateways: 3,
         tick: 4_000,
-        classes: vec![class(Repeat::Safe), class(keyed), class(Repeat::Once)],
+        classes: vec![class(RetrySafety::Idempotent), class(keyed), class(RetrySafety::NotIdempotent)],
         plans: vec![plan(0.0, 0.0), plan(30.0, 60.0)],
         limits: Limits {
             max_attempts: 3,
-            second_copies: false,
-            cancel: true,
-            peers: true,
-            peer_in_per_s: 50.0,
+            hedging: false,
+            cancellation: true,
+            gossip: true,
+            gossip_receive_rate: 50.0,
             retry_after: true,
             max_retry_after: 1_000_000,
             ..Limits::default()
         },
         rules: Rules {
-            cold_from: 0.2,
-            cold_time: 5_000_000,
-            fall_factor: 3.0,
-            fall_time: 1_000_000,
+            slow_start_min_capacity: 0.2,
+            slow_start_window: 5_000_000,
+            overload_factor: 3.0,
+            overload_window: 1_000_000,
             ..Rules::default()
         },
         ..Settings::default()
@@ -110,7 +110,7 @@
         for action in actions {
             self.log.push(format!("{now} {action:?}"));
             match action {
-                Action::Send { id, backend, .. } => {
+                Action::StartAttempt { id, backend, .. } => {
                     assert!(!self.ended.contains(id), "sent after its end");
                     assert!(!self.shut.contains(backend), "sent to a draining or gone backend");
                     assert!(!self.out.iter().any(|o| o.0 == *id), "two attempts at once");
@@ -126,13 +126,13 @@
                         *self.ceiling.entry(customer).or_insert(0.0) += units;
                     }
                 }
-                Action::Refuse { id, .. } => {
+                Action::Reject { id, .. } => {
                     assert!(self.ended.insert(*id), "a second answer");
                     let unproved = self.unproved.get(id).copied().unwrap_or(0);
                     assert!(self.classes[id] == 0 || unproved == 0, "refused what may have run");
                 }
                 Action::Fail(id) => assert!(self.ended.insert(*id), "a second answer"),
-                Action::Probe(_) | Action::Count { .. } => panic!("forbidden here"),
+                Action::CheckHealth(_) | Action::AddToCounter { .. } => panic!("forbidden here"),
                 _ => {}
             }
         }
@@ -150,7 +150,7 @@
     let outcomes = [
         Outcome::Ok,
         Outcome::Error,
-        Outcome::Full,
+        Outcome::Rejected,
         Outcome::ConnectFailed,
         Outcome::Reset,
         Outcome::TimedOut,
@@ -161,16 +161,16 @@
         gateway.handle(now, event, &mut actions);
         host.take(now, &actions);
     };
-    let listed = |n: u64, state: u8, started: Micros| Listed {
+    let listed = |n: u64, state: u8, started: Micros| Endpoint {
         backend: BackendId(n),
         zone: (n % 2) as u8,
         cell: (n % 2) as u16,
         availability: [Availability::Ready, Availability::Draining, Availability::Gone][usize::from(state)],
-        size: 1.0,
-        started,
-        ..Listed::default()
+        weight: 1.0,
+        started_at: started,
+        ..Endpoint::default()
     };
-    feed(&mut host, now, Event::Roster(RosterKind::Cached, (0..5).map(|n| listed(n, 0, 0)).collect()));
+    feed(&mut host, now, Event::Endpoints(EndpointUpdate::Cached, (0..5).map(|n| listed(n, 0, 0)).collect()));
     for step in steps.iter().cloned() {
         match step {
             Step::Ask { class, plan, customer, units, width, left } => {
@@ -181,7 +181,16 @@
                 host.classes.insert(id, if class < 3 { class } else { 0 });
                 host.customers.insert(id, (plan, customer, units));
                 let customer = CustomerId(customer);
-                let req = Request { id, class, plan, customer, deadline, units, width, first: 0.0 };
+                let req = Request {
+                    id,
+                    class,
+                    plan,
+                    customer,
+                    deadline,
+                    units,
+                    gateway_count: width,
+                    first_gateway: 0.0,
+                };
                 feed(&mut host, now, Event::Request(req));
             }
             Step::Settle { pick, outcome, unknown } => {
@@ -201,15 +210,15 @@
                 feed(
                     &mut host,
                     now,
-                    Event::Settled {
+                    Event::AttemptFinished {
                         id,
                         attempt,
                         backend,
                         outcome,
-                        complete,
-                        took: 50_000,
+                        answered: complete,
+                        elapsed: 50_000,
                         metered: None,
-                        charged: None,
+                        charged_units: None,
                         report: None,
                     },
                 );
@@ -219,21 +228,27 @@
                 if id.0 < next {
                     host.ended.insert(id);
                 }
-                feed(&mut host, now, Event::Withdrawn(id));
+                feed(&mut host, now, Event::ClientCancelled(id));
+            }
+            Step::Peer { from, bytes } => {
+                feed(&mut host, now, Event::GossipReceived { from: GatewayId(from), bytes })
             }
-            Step::Peer { from, bytes } => feed(&mut host, now, Event::Peer { from: GatewayNo(from), bytes }),
             Step::Reach(peer, there) => {
-                feed(&mut host, now, Event::Reach { peer: GatewayNo(peer), there });
+                feed(&mut host, now, Event::PeerReachability { peer: GatewayId(peer), reachable: there });
             }
             Step::Roster { kind, states, cold } => {
-                let kind = [RosterKind::Delta, RosterKind::Full, RosterKind::Cached, RosterKind::Failed]
-                    [usize::from(kind)];
+                let kind = [
+                    EndpointUpdate::Delta,
+                    EndpointUpdate::Snapshot,
+                    EndpointUpdate::Cached,
+                    EndpointUpdate::Failed,
+                ][usize::from(kind)];
                 let list: Vec<_> =
                     (0..).zip(&states).map(|(n, s)| listed(n, *s, if cold { now } else { 0 })).collect();
-                if kind == RosterKind::Full || kind == RosterKind::Cached {
+                if kind == EndpointUpdate::Snapshot || kind == EndpointUpdate::Cached {
                     host.shut = (0..6).map(BackendId).collect();
                 }
-                if kind != RosterKind::Failed {
+                if kind != EndpointUpdate::Failed {
                     for l in &list {
                         host.shut.remove(&l.backend);
                         if l.availability != Availability::Ready {
@@ -241,7 +256,7 @@
                         }
                     }
                 }
-                feed(&mut host, now, Event::Roster(kind, list));
+                feed(&mut host, now, Event::Endpoints(kind, list));
             }
             Step::Pass(ticks) => {
                 for _ in 0..ticks {
@@ -252,10 +267,10 @@
             Step::Stray(n) => {
                 feed(&mut host, now, Event::Timer(n as u32));
                 feed(&mut host, now, Event::FirstByte { id: RequestId(n), attempt: n as u16 });
-                let report = Some(Report { queue: Some(f64::NAN), ..Report::default() });
+                let report = Some(LoadReport { queued: Some(f64::NAN), ..LoadReport::default() });
                 let (backend, outcome) = (BackendId(n), Outcome::Ok);
-                feed(&mut host, now, Event::Probed { backend, outcome, took: n, report });
-                feed(&mut host, now, Event::Counted { name: n, outcome, total: f64::NAN });
+                feed(&mut host, now, Event::HealthChecked { backend, outcome, elapsed: n, report });
+                feed(&mut host, now, Event::CounterUpdated { name: n, outcome, total: f64::NAN });
             }
         }
     }
@@ -269,15 +284,15 @@
             feed(
                 &mut host,
                 now,
-                Event::Settled {
+                Event::AttemptFinished {
                     id,
                     attempt,
                     backend,
                     outcome,
-                    complete,
-                    took: 1,
+                    answered: complete,
+                    elapsed: 1,
                     metered: None,
-                    charged: None,
+                    charged_units: None,
                     report: None,
                 },
             );
--- a/crates/terms/src/conf.rs
+++ b/crates/deployment-config/src/conf.rs
@@ -1,28 +1,29 @@
 //! Keys with dots to values as text, and what is read out of them.
 
 use chalkgap_core::{
-    Class, Discovery, GatewayNo, Group, Limits, Micros, Plan, Repeat, Report, Rules, Settings, SizeMeaning,
+    DeduplicationScope, Discovery, GatewayId, Limits, LoadReport, Micros, Plan, RequestClass, RetrySafety,
+    Rules, Settings, WeightMeaning,
 };
 use serde_json::Value;
 use std::collections::HashMap;
 
 /// The settings, and what hosts besides the module need of them.
 #[derive(Clone, Debug, Default)]
-pub struct Terms {
+pub struct DeploymentConfig {
     /// What the module is told.
     pub settings: Settings,
     /// The names of the values in a load report; none where answers hold none.
-    pub report: Vec<String>,
+    pub load_report_fields: Vec<String>,
     /// The names of classes and plans, in their order.
-    pub classes: Vec<String>,
+    pub class_names: Vec<String>,
     /// See `classes`.
-    pub plans: Vec<String>,
+    pub plan_names: Vec<String>,
     /// The names of zones and of kinds of machines, in their order.
-    pub zones: Vec<String>,
+    pub zone_names: Vec<String>,
     /// See `zones`.
-    pub kinds: Vec<String>,
+    pub machine_kinds: Vec<String>,
     /// The most units that a request counts.
-    pub most_units: f64,
+    pub max_units: f64,
     /// Idle connections to backends are closed after this long, at the latest.
     pub keepalive: Micros,
     /// A connection still not made after this is not made.
@@ -97,45 +98,45 @@
         (0..self.count(list)?).map(|i| self.text(&format!("{list}.{i}.name")).map(String::from)).collect()
     }
 
-    fn class(&self, i: u64) -> Result<Class, String> {
+    fn class(&self, i: u64) -> Result<RequestClass, String> {
         let key = |name: &str| format!("grades.{i}.{name}");
         let repeat = match self.text(&key("effect"))? {
-            "repeatable" => Repeat::Safe,
-            "once" => Repeat::Once,
-            "by_key" => Repeat::Keyed {
-                group: match self.text(&key("group"))? {
-                    "all" => Group::All,
-                    "zone" => Group::Zone,
-                    "cell" => Group::Cell,
+            "repeatable" => RetrySafety::Idempotent,
+            "once" => RetrySafety::NotIdempotent,
+            "by_key" => RetrySafety::IdempotencyKey {
+                scope: match self.text(&key("group"))? {
+                    "all" => DeduplicationScope::Fleet,
+                    "zone" => DeduplicationScope::Zone,
+                    "cell" => DeduplicationScope::Cell,
                     other => return Err(format!("setting {} is unknown: {other}", key("group"))),
                 },
                 window: self.micros(&key("window_us"))?,
             },
             other => return Err(format!("setting {} is unknown: {other}", key("effect"))),
         };
-        Ok(Class {
-            aim: self.micros(&key("objective_us"))?,
-            aim_stretch: self.number_or(&key("aim_stretch"), 0.0)?,
+        Ok(RequestClass {
+            latency_objective: self.micros(&key("objective_us"))?,
+            objective_per_work: self.number_or(&key("aim_stretch"), 0.0)?,
             deadline: self.micros(&key("give_up_us"))?,
-            worth: self.number(&key("worth"))?,
-            late_worth: self.number(&key("late_worth"))?,
-            repeat,
-            stream: self.flag(&key("stream"))?,
+            priority_weight: self.number(&key("worth"))?,
+            late_priority_weight: self.number(&key("late_worth"))?,
+            retry_safety: repeat,
+            streaming: self.flag(&key("stream"))?,
         })
     }
 
     fn plan(&self, i: u64) -> Result<Plan, String> {
         let key = |name: &str| format!("contracts.{i}.{name}");
         Ok(Plan {
-            rate: self.number(&key("quota_rate"))?,
-            burst: self.number(&key("burst"))?,
-            open_cap: self.whole(&key("max_out"), u64::from(u32::MAX))? as u32,
-            ceiling_rate: self.number(&key("never_over_rate"))?,
-            ceiling_burst: self.number(&key("ceiling_burst"))?,
-            ceiling_slack: self.number(&key("ceiling_slack"))?,
-            price: self.number(&key("worth_factor"))?,
-            over_worth: self.number(&key("over_worth"))?,
-            over_cost: self.number(&key("beyond_costs"))?,
+            quota_rate: self.number(&key("quota_rate"))?,
+            quota_burst: self.number(&key("burst"))?,
+            max_in_flight: self.whole(&key("max_out"), u64::from(u32::MAX))? as u32,
+            hard_limit_rate: self.number(&key("never_over_rate"))?,
+            hard_limit_burst: self.number(&key("ceiling_burst"))?,
+            hard_limit_slack: self.number(&key("ceiling_slack"))?,
+            priority_factor: self.number(&key("worth_factor"))?,
+            over_quota_weight: self.number(&key("over_worth"))?,
+            over_quota_penalty: self.number(&key("beyond_costs"))?,
         })
     }
 }
@@ -144,7 +145,7 @@
 ///
 /// # Errors
 /// A line or key that is missing or not of its form, by name.
-pub fn parse(text: &str) -> Result<Terms, String> {
+pub fn parse(text: &str) -> Result<DeploymentConfig, String> {
     let mut map = HashMap::new();
     for (at, line) in text.lines().enumerate().filter(|(_, line)| !line.is_empty()) {
         let (key, value) =
@@ -159,7 +160,7 @@
 ///
 /// # Errors
 /// A key that is missing or not of its form, by name.
-pub fn from_json(value: &Value) -> Result<Terms, String> {
+pub fn from_json(value: &Value) -> Result<DeploymentConfig, String> {
     let mut map = HashMap::new();
     flatten(value, String::new(), 0, &mut map)?;
     read(&Conf(map))
@@ -200,16 +201,16 @@
 }
 
 /// Puts values of a load report, named as the settings name them, into the module's form. Unknown names are skipped.
-pub fn report<'n>(values: impl IntoIterator<Item = (&'n str, f64)>) -> Report {
-    let mut report = Report::default();
+pub fn report<'n>(values: impl IntoIterator<Item = (&'n str, f64)>) -> LoadReport {
+    let mut report = LoadReport::default();
     for (name, value) in values {
         let place = match name {
             "concurrent" => &mut report.in_flight,
-            "depth" => &mut report.queue,
-            "load_share" => &mut report.util,
+            "depth" => &mut report.queued,
+            "load_share" => &mut report.utilization,
             "mean_ms" => &mut report.latency_ms,
-            "tps" => &mut report.served,
-            "err_ps" => &mut report.errors,
+            "tps" => &mut report.requests_per_second,
+            "err_ps" => &mut report.errors_per_second,
             _ => continue,
         };
         *place = Some(value);
@@ -217,46 +218,46 @@
     report
 }
 
-fn read(conf: &Conf) -> Result<Terms, String> {
+fn read(conf: &Conf) -> Result<DeploymentConfig, String> {
     let classes = (0..conf.count("grades")?).map(|i| conf.class(i)).collect::<Result<Vec<_>, _>>()?;
     let plans = (0..conf.count("contracts")?).map(|i| conf.plan(i)).collect::<Result<Vec<_>, _>>()?;
     let settings = Settings {
         gateways: conf.whole("n_instances", 65_535)? as u16,
-        me: GatewayNo(conf.whole("slot_no", 65_535)? as u16),
+        self_id: GatewayId(conf.whole("slot_no", 65_535)? as u16),
         zone: conf.whole("zone", 255)? as u8,
         tick: conf.micros("tick_us")?,
         classes,
         plans,
         limits: Limits {
             max_attempts: conf.whole("limits.most_tries", u64::from(u32::MAX))? as u32,
-            second_copies: conf.flag("limits.second_copies")?,
-            cancel: conf.flag("limits.cancelling")?,
-            probes: conf.flag("limits.may_probe")?,
-            peers: conf.flag("limits.peers")?,
-            peer_in_per_s: conf.number("family_info.peer_in_per_s")?,
+            hedging: conf.flag("limits.second_copies")?,
+            cancellation: conf.flag("limits.cancelling")?,
+            health_checks: conf.flag("limits.may_probe")?,
+            gossip: conf.flag("limits.peers")?,
+            gossip_receive_rate: conf.number("family_info.peer_in_per_s")?,
             retry_after: conf.flag("limits.retry_after")?,
             max_retry_after: conf.micros("limits.max_retry_after_us")?,
-            counter: conf.flag("family_info.has_counter")?,
-            max_open: conf.whole("limits.max_open", u64::from(u32::MAX))? as u32,
+            shared_counter: conf.flag("family_info.has_counter")?,
+            max_in_flight: conf.whole("limits.max_open", u64::from(u32::MAX))? as u32,
         },
         rules: Rules {
-            answer_slack: conf.micros("rules.answer_slack_us")?,
+            answer_grace: conf.micros("rules.answer_slack_us")?,
             drain_grace: conf.micros("rules.drain_grace_us")?,
-            cold_from: conf.number("rules.cold_from")?,
-            cold_time: conf.micros("rules.cold_us")?,
-            fall_factor: conf.number("rules.overload_factor")?,
-            fall_time: conf.micros("rules.fall_us")?,
-            must_ask: conf.micros("rules.must_ask_in_us")?,
+            slow_start_min_capacity: conf.number("rules.cold_from")?,
+            slow_start_window: conf.micros("rules.cold_us")?,
+            overload_factor: conf.number("rules.overload_factor")?,
+            overload_window: conf.micros("rules.fall_us")?,
+            max_poll_interval: conf.micros("rules.must_ask_in_us")?,
         },
         discovery: match conf.text("membership_mode")? {
-            "ask" => Discovery::Ask,
+            "ask" => Discovery::Poll,
             "push" => Discovery::Push,
             other => return Err(format!("setting membership_mode is unknown: {other}")),
         },
-        sizes: match conf.text("weights")? {
-            "none" => SizeMeaning::None,
-            "live" => SizeMeaning::Live,
-            "nominal" | "rough" => SizeMeaning::Capacity,
+        weight_meaning: match conf.text("weights")? {
+            "none" => WeightMeaning::None,
+            "live" => WeightMeaning::Live,
+            "nominal" | "rough" => WeightMeaning::Capacity,
             other => return Err(format!("setting weights is unknown: {other}")),
         },
         meter_period: conf.micros("family_info.meter_period_us")?,
@@ -266,14 +267,14 @@
         "none" => Vec::new(),
         _ => conf.list("reporting.fields")?,
     };
-    Ok(Terms {
+    Ok(DeploymentConfig {
         settings,
-        report,
-        classes: conf.names("grades")?,
-        plans: conf.names("contracts")?,
-        zones: conf.list("zones")?,
-        kinds: conf.list("skus")?,
-        most_units: conf.number("family_info.most_units")?,
+        load_report_fields: report,
+        class_names: conf.names("grades")?,
+        plan_names: conf.names("contracts")?,
+        zone_names: conf.list("zones")?,
+        machine_kinds: conf.list("skus")?,
+        max_units: conf.number("family_info.most_units")?,
         keepalive: conf.micros("limits.keepalive_us")?,
         connect_timeout: conf.micros("limits.connect_timeout_us")?,
     })
--- a/crates/terms/src/lib.rs
+++ b/crates/deployment-config/src/lib.rs
@@ -3,4 +3,4 @@
 
 mod conf;
 
-pub use conf::{from_json, parse, report, Terms};
+pub use conf::{from_json, parse, report, DeploymentConfig};
--- a/crates/lab/benches/admission.rs
+++ b/crates/fault-injection/benches/admission.rs
@@ -1,7 +1,7 @@
 //! Connection admission under floods: known clients' calls beside a flood, how fast the flooded are refused, what a
 //! refusal costs, and how cost grows with sockets. The ingress runs in a process of its own; times are ratios in one run.
 //!
-//! `cargo bench -p chalkgap-lab --bench admission`
+//! `cargo bench -p chalkgap-fault-injection --bench admission`
 
 use chalkgap::nodes::{Node as Line, NodeList, State};
 use chalkgap::runtime::{system::System, Shared};
@@ -9,10 +9,10 @@
 use chalkgap::Instance;
 use chalkgap_admission::known::Places;
 use chalkgap_admission::{Admission, Budget, Caps, ConnId, Known};
-use chalkgap_standin::client::{Ask, Client};
-use chalkgap_standin::flood::{self, knock, Knock, Plan};
-use chalkgap_standin::journal::{Answer, Journal};
-use chalkgap_standin::node::{Machine, Node};
+use chalkgap_testbed::client::{Ask, Client};
+use chalkgap_testbed::flood::{self, knock, Knock, Plan};
+use chalkgap_testbed::journal::{Answer, Journal};
+use chalkgap_testbed::node::{Machine, Node};
 use std::io::{BufRead, BufReader};
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::process::{Child, Command, Stdio};
--- a/crates/lab/benches/ingress.rs
+++ b/crates/fault-injection/benches/ingress.rs
@@ -2,7 +2,7 @@
 //! request, latency under an open loop, memory of connections and streams. Servers run in processes of their own, so
 //! that their CPU and memory are the system's word; times are ratios within this run, not promises.
 //!
-//! `cargo bench -p chalkgap-lab --bench ingress [-- --seconds N]`
+//! `cargo bench -p chalkgap-fault-injection --bench ingress [-- --seconds N]`
 
 use bytes::Bytes;
 use chalkgap::nodes::{Node as Line, NodeList, State};
@@ -10,10 +10,10 @@
 use chalkgap::settings;
 use chalkgap::Instance;
 use chalkgap_core as core;
-use chalkgap_pipe::{Pipe, Turn};
-use chalkgap_standin::journal::Journal;
-use chalkgap_standin::mqtt::Half;
-use chalkgap_standin::node::{Machine, Node};
+use chalkgap_testbed::journal::Journal;
+use chalkgap_testbed::mqtt::Half;
+use chalkgap_testbed::node::{Machine, Node};
+use chalkgap_transport::{Pipe, Turn};
 use chalkgap_wire::grpc;
 use chalkgap_wire::http2::{Config, Connection, Event, Field};
 use chalkgap_wire::mqtt as mqtt_wire;
@@ -575,8 +575,8 @@
     let mut gateway = core::Gateway::new(compiled.core(), 1, 1_000_000);
     let mut act = Vec::new();
     let backend = core::BackendId(1);
-    let line = core::Listed { backend, size: 1.0, ..core::Listed::default() };
-    gateway.handle(1_000_000, core::Event::Roster(core::RosterKind::Full, vec![line]), &mut act);
+    let line = core::Endpoint { backend, weight: 1.0, ..core::Endpoint::default() };
+    gateway.handle(1_000_000, core::Event::Endpoints(core::EndpointUpdate::Snapshot, vec![line]), &mut act);
     let (count, mut now) = (200_000u64, 1_000_000);
     let begun = Instant::now();
     for n in 0..count {
@@ -588,21 +588,21 @@
             customer: core::CustomerId(n * 7919 % accounts),
             deadline: now + 8_000_000,
             units: 1.0,
-            width: 1.0,
+            gateway_count: 1.0,
             ..core::Request::default()
         };
         act.clear();
         gateway.handle(now, core::Event::Request(request), &mut act);
-        if act.iter().any(|a| matches!(a, core::Action::Send { .. })) {
-            let settled = core::Event::Settled {
+        if act.iter().any(|a| matches!(a, core::Action::StartAttempt { .. })) {
+            let settled = core::Event::AttemptFinished {
                 id,
                 attempt: 0,
                 backend,
                 outcome: core::Outcome::Ok,
-                complete: true,
-                took: 500,
+                answered: true,
+                elapsed: 500,
                 metered: None,
-                charged: None,
+                charged_units: None,
                 report: None,
             };
             act.clear();
--- a/crates/lab/benches/ledger.rs
+++ b/crates/fault-injection/benches/ledger.rs
@@ -1,7 +1,7 @@
 //! Ledgers of two ingresses after a gap: how long until the one has what the other wrote meanwhile, over their own
 //! authenticated streams on loopback; and how long a start takes and what it holds in memory.
 //!
-//! `cargo bench -p chalkgap-lab --bench ledger [-- --entries N]`
+//! `cargo bench -p chalkgap-fault-injection --bench ledger [-- --entries N]`
 
 use chalkgap::runtime::system::System;
 use chalkgap::runtime::Shared;
--- a/crates/lab/src/audit.rs
+++ b/crates/fault-injection/src/audit.rs
@@ -7,7 +7,7 @@
 use crate::fleet::Statement;
 use crate::ledger::Billing;
 use chalkgap_runtime::Micros;
-use chalkgap_standin::journal::{Answer, Entry, Seen};
+use chalkgap_testbed::journal::{Answer, Entry, Seen};
 use serde::Serialize;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::net::SocketAddr;
--- a/crates/lab/src/drill/mod.rs
+++ b/crates/fault-injection/src/drill/mod.rs
@@ -12,11 +12,11 @@
 use chalkgap::runtime::{Micros, Shared};
 use chalkgap::settings::{self, Group, Repeat, Settings, SettingsError};
 use chalkgap::StartError;
-use chalkgap_standin::billing::{self, Consumer, Vault};
-use chalkgap_standin::journal::Journal;
-use chalkgap_standin::network::{Network, Party, Relay, Way, Weather};
-use chalkgap_standin::node::{Cell, Faults, Machine, Tally};
-use chalkgap_standin::roster::Roster;
+use chalkgap_testbed::billing::{self, Consumer, Vault};
+use chalkgap_testbed::journal::Journal;
+use chalkgap_testbed::network::{LinkFaults, Network, Party, Relay, Way};
+use chalkgap_testbed::node::{Cell, Faults, Machine, Tally};
+use chalkgap_testbed::roster::Roster;
 use processes::{end, free_port, free_udp, Life, NodeSlot, Slot};
 use std::collections::{BTreeMap, HashMap};
 use std::io;
@@ -443,8 +443,8 @@
     }
 }
 
-fn weather(day: &Day) -> Weather {
+fn weather(day: &Day) -> LinkFaults {
     let [least, most] = day.network.delay_ms;
     let delay = (least * 1000, most.max(least) * 1000);
-    Weather { loss: day.network.loss, double: day.network.double, delay, ..Weather::default() }
+    LinkFaults { loss: day.network.loss, double: day.network.double, delay, ..LinkFaults::default() }
 }
--- a/crates/lab/src/drill/traffic.rs
+++ b/crates/fault-injection/src/drill/traffic.rs
@@ -3,9 +3,9 @@
 use super::{lock, World};
 use crate::day::{AccountGroup, Door};
 use chalkgap::runtime::Micros;
-use chalkgap_standin::client::{Ask, Client};
-use chalkgap_standin::journal::Answer;
-use chalkgap_standin::mqtt;
+use chalkgap_testbed::client::{Ask, Client};
+use chalkgap_testbed::journal::Answer;
+use chalkgap_testbed::mqtt;
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 use rand_distr::{Distribution, Exp};
--- a/crates/lab/src/drill/troubles.rs
+++ b/crates/fault-injection/src/drill/troubles.rs
@@ -5,12 +5,12 @@
 use crate::day::{Kind, Trouble};
 use crate::fleet::Act;
 use chalkgap::runtime::Micros;
-use chalkgap_standin::client::Ask;
-use chalkgap_standin::flood;
-use chalkgap_standin::journal::Seen;
-use chalkgap_standin::network::{Cut, Party, Weather};
-use chalkgap_standin::node::Faults;
-use chalkgap_standin::roster::Roster;
+use chalkgap_testbed::client::Ask;
+use chalkgap_testbed::flood;
+use chalkgap_testbed::journal::Seen;
+use chalkgap_testbed::network::{Cut, LinkFaults, Party};
+use chalkgap_testbed::node::Faults;
+use chalkgap_testbed::roster::Roster;
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 use rustix::process::Signal;
@@ -61,7 +61,7 @@
     }
 
     /// Changes links, and says so to the auditor of views: they differ as long as it lasts.
-    async fn rough(&self, t: &Trouble, change: &(dyn Fn(&mut Weather) + Sync)) {
+    async fn rough(&self, t: &Trouble, change: &(dyn Fn(&mut LinkFaults) + Sync)) {
         self.act(Act::Rough(true));
         self.links(&self.pairs(t), t.lasts, change).await;
         self.act(Act::Rough(false));
@@ -92,11 +92,11 @@
     }
 
     /// Changes links for a while.
-    async fn links(&self, pairs: &[(Party, Party)], seconds: f64, change: &(dyn Fn(&mut Weather) + Sync)) {
+    async fn links(&self, pairs: &[(Party, Party)], seconds: f64, change: &(dyn Fn(&mut LinkFaults) + Sync)) {
         for (from, to) in pairs {
             let between = matches!((from, to), (Party::Ingress(_), Party::Ingress(_)));
             // What is usual is the network's between ingresses; streams to nodes and the roster pass at once.
-            let mut weather = if between { self.network.usual() } else { Weather::default() };
+            let mut weather = if between { self.network.usual() } else { LinkFaults::default() };
             change(&mut weather);
             self.network.set(*from, *to, Some(weather));
         }
@@ -207,7 +207,7 @@
             Kind::HalfOpen => self.rough(t, &|w| w.half_open = true).await,
             Kind::Reorder => self.rough(t, &|w| w.delay.1 += (t.strength * 1000.0) as Micros).await,
             Kind::LateTail => {
-                let late = |w: &mut Weather| {
+                let late = |w: &mut LinkFaults| {
                     w.delay.1 = w.delay.1.max(20_000);
                     w.tail = t.strength;
                 };
--- a/crates/lab/src/ledger.rs
+++ b/crates/fault-injection/src/ledger.rs
@@ -2,7 +2,7 @@
 
 use chalkgap_ledger::entry::Batch;
 use chalkgap_ledger::Periods;
-use chalkgap_standin::node::Used;
+use chalkgap_testbed::node::Used;
 use prost::Message;
 use serde::Serialize;
 use std::collections::BTreeMap;
--- a/crates/lab/tests/auditor.rs
+++ b/crates/fault-injection/tests/auditor.rs
@@ -1,11 +1,11 @@
 //! The auditor finds each rule broken on purpose, on real sockets, and finds nothing where nothing is broken.
 
 use chalkgap::runtime::{system::System, Shared};
-use chalkgap_lab::audit::{judge, Law, Plan, Repeat, Verdict};
-use chalkgap_standin::client::{Ask, Client};
-use chalkgap_standin::journal::{Answer, Journal, Seen};
-use chalkgap_standin::node::{Cell, Machine, Node};
-use chalkgap_standin::rogue::{self, Defect};
+use chalkgap_fault_injection::audit::{judge, Law, Plan, Repeat, Verdict};
+use chalkgap_testbed::client::{Ask, Client};
+use chalkgap_testbed::journal::{Answer, Journal, Seen};
+use chalkgap_testbed::node::{Cell, Machine, Node};
+use chalkgap_testbed::rogue::{self, Defect};
 
 fn law() -> Law {
     let classes = [("safe", Repeat::Safe), ("keyed", Repeat::Cell(1_000_000)), ("once", Repeat::Once)];
--- a/crates/gateway/src/driver.rs
+++ b/crates/gateway/src/driver.rs
@@ -5,14 +5,16 @@
 //! to its client is used up by the answer; an attempt ends at its time even if its connection's task says nothing.
 
 use crate::ledger::Desk;
-use crate::messages::{request_name, Answer, Ask, Call, Ended, Input, Reply, Upstream};
-use crate::nodes::{Book, NodeList};
+use crate::messages::{
+    request_name, Answer, AttemptResult, DriverEvent, OutboundAttempt, PendingRequest, Response, Upstream,
+};
+use crate::nodes::{EndpointIds, NodeList};
 use crate::settings::Compiled;
 use crate::telemetry::{add, Telemetry};
 use async_channel::{Receiver, Sender};
 use chalkgap_core::{
-    Action, Availability, BackendId, Event, Gateway, GatewayNo, Listed, Outcome, Request, RequestId,
-    RosterKind,
+    Action, Availability, BackendId, Endpoint, EndpointUpdate, Event, Gateway, GatewayId, Outcome, Request,
+    RequestId,
 };
 use chalkgap_ledger::clerk::{Fate, Promise, Ticket};
 use chalkgap_ledger::entry::Open;
@@ -41,7 +43,7 @@
 }
 
 struct Held<W> {
-    ask: Box<Ask<W>>,
+    ask: Box<PendingRequest<W>>,
     attempts: Vec<Out>,
     answered: bool,
     entry: Entry,
@@ -63,20 +65,20 @@
 struct Waiting<W> {
     number: u64,
     attempt: u16,
-    call: Call<W>,
+    call: OutboundAttempt<W>,
 }
 
 /// What the driver itself goes by.
 #[derive(Clone, Copy, Debug)]
-pub struct Figures {
+pub struct DriverLimits {
     /// How many ingresses there are.
-    pub ingresses: u16,
+    pub gateway_count: u16,
     /// The number of this one.
-    pub me: u16,
+    pub self_id: u16,
     /// Requests open at once that the module was promised.
-    pub max_open: usize,
+    pub max_in_flight: usize,
     /// What those beyond are told to wait.
-    pub pause: Micros,
+    pub rejection_retry_after: Micros,
 }
 
 /// The books that an instance with a ledger keeps.
@@ -90,16 +92,16 @@
 /// Owns the module; generic over the way out.
 pub struct Driver<U: Upstream> {
     runtime: Shared,
-    figures: Figures,
+    figures: DriverLimits,
     telemetry: Arc<Telemetry>,
     core: Gateway,
-    book: Book,
+    book: EndpointIds,
     connections: U,
     peers: Option<Sender<(u16, Vec<u8>)>>,
     books: Option<Books>,
     /// In the order of their numbers.
     waiting: VecDeque<Waiting<U::Work>>,
-    input: Pin<Box<Receiver<Input<U::Work>>>>,
+    input: Pin<Box<Receiver<DriverEvent<U::Work>>>>,
     held: HashMap<RequestId, Held<U::Work>>,
     timers: BinaryHeap<Reverse<(Micros, u64, u32)>>,
     expiries: BinaryHeap<Reverse<(Micros, RequestId, u16)>>,
@@ -114,18 +116,18 @@
     /// A driver of `core` that reads `input`, with the least of what one may have.
     pub fn new(
         runtime: Shared,
-        figures: Figures,
+        figures: DriverLimits,
         telemetry: Arc<Telemetry>,
         core: Gateway,
         connections: U,
-        input: Receiver<Input<U::Work>>,
+        input: Receiver<DriverEvent<U::Work>>,
     ) -> Self {
         Driver {
             runtime,
             figures,
             telemetry,
             core,
-            book: Book::new(HashMap::new(), 0),
+            book: EndpointIds::new(HashMap::new(), 0),
             connections,
             peers: None,
             books: None,
@@ -143,7 +145,7 @@
     }
 
     /// Reads whole lists of nodes by this book.
-    pub(crate) fn reading(mut self, book: Book) -> Self {
+    pub(crate) fn reading(mut self, book: EndpointIds) -> Self {
         self.book = book;
         self
     }
@@ -194,20 +196,24 @@
         }
     }
 
-    fn take(&mut self, input: Input<U::Work>) {
+    fn take(&mut self, input: DriverEvent<U::Work>) {
         match input {
-            Input::Ask(ask) => self.ask(ask),
-            Input::Gone(id) => self.gone(id),
-            Input::Ended(ended) => self.ended(*ended),
-            Input::ConnectionClosed { connection, broke } => self.connections.closed(connection, broke),
-            Input::Peer { from, bytes } => {
+            DriverEvent::Request(ask) => self.ask(ask),
+            DriverEvent::ClientGone(id) => self.gone(id),
+            DriverEvent::AttemptEnded(ended) => self.ended(*ended),
+            DriverEvent::ConnectionClosed { connection, broke_on_first_write: broke } => {
+                self.connections.closed(connection, broke)
+            }
+            DriverEvent::Gossip { from, bytes } => {
                 add(&self.telemetry.peer_in);
-                self.handle(Event::Peer { from: GatewayNo(from), bytes });
+                self.handle(Event::GossipReceived { from: GatewayId(from), bytes });
+            }
+            DriverEvent::PeerReachability { peer, reachable: there } => {
+                self.handle(Event::PeerReachability { peer: GatewayId(peer), reachable: there })
             }
-            Input::Reach { peer, there } => self.handle(Event::Reach { peer: GatewayNo(peer), there }),
-            Input::Nodes { list, cached } => self.nodes(&list, cached),
-            Input::Roster { kind, lines } => self.roster(kind, lines),
-            Input::Durable => self.durable(),
+            DriverEvent::NodeList { list, cached } => self.nodes(&list, cached),
+            DriverEvent::Endpoints { update: kind, endpoints: lines } => self.roster(kind, lines),
+            DriverEvent::LedgerProgress => self.durable(),
         }
     }
 
@@ -218,9 +224,9 @@
             let out = self.held.get(&id).and_then(|h| h.attempts.get(usize::from(attempt)));
             if let Some(out) = out.filter(|o| !o.ended) {
                 self.connections.stop(out.connection, id, attempt);
-                let outcome = if out.waiting { Outcome::Moot } else { Outcome::TimedOut };
+                let outcome = if out.waiting { Outcome::NotSent } else { Outcome::TimedOut };
                 add(&self.telemetry.timed_out);
-                self.ended(Ended::without_answer(id, attempt, outcome));
+                self.ended(AttemptResult::without_answer(id, attempt, outcome));
             }
         }
         while let Some(Reverse((_, _, token))) = self.timers.peek().copied().filter(|t| t.0 .0 <= now) {
@@ -229,12 +235,12 @@
         }
     }
 
-    fn ask(&mut self, ask: Box<Ask<U::Work>>) {
+    fn ask(&mut self, ask: Box<PendingRequest<U::Work>>) {
         add(&self.telemetry.requests);
-        if self.held.len() >= self.figures.max_open {
+        if self.held.len() >= self.figures.max_in_flight {
             // More than the module was promised to be shown at once.
             add(&self.telemetry.refused);
-            return turn_away(&ask, self.figures.pause);
+            return turn_away(&ask, self.figures.rejection_retry_after);
         }
         // What the ledger can promise is decided here, before the request is taken.
         let entry = match self.books.as_ref().map(|b| b.desk.promise()) {
@@ -256,8 +262,8 @@
             customer: ask.customer.id,
             deadline: ask.deadline,
             units: ask.units,
-            width: ask.customer.width,
-            first: ask.customer.first,
+            gateway_count: ask.customer.width,
+            first_gateway: ask.customer.first,
         };
         self.held.insert(ask.id, Held { ask, attempts: Vec::new(), answered: false, entry });
         self.handle(Event::Request(request));
@@ -266,14 +272,23 @@
     fn gone(&mut self, id: RequestId) {
         if self.held.get(&id).is_some_and(|h| !h.answered) {
             add(&self.telemetry.withdrawn);
-            self.answer(id, Answer::Gone);
-            self.handle(Event::Withdrawn(id));
+            self.answer(id, Answer::ClientGone);
+            self.handle(Event::ClientCancelled(id));
             self.forget(id);
         }
     }
 
-    fn ended(&mut self, ended: Ended) {
-        let Ended { id, attempt, outcome, body, report, metered, units, repeat } = ended;
+    fn ended(&mut self, ended: AttemptResult) {
+        let AttemptResult {
+            id,
+            attempt,
+            outcome,
+            body,
+            report,
+            metered_use: metered,
+            used_units: units,
+            deduplicated: repeat,
+        } = ended;
         let Some(held) = self.held.get_mut(&id) else { return };
         let Some(out) = held.attempts.get_mut(usize::from(attempt)).filter(|o| !o.ended) else { return };
         out.ended = true;
@@ -295,15 +310,15 @@
         }
         let complete = self.held.get(&id).is_some_and(|h| h.answered);
         let charged = units.map(f64::from);
-        self.handle(Event::Settled {
+        self.handle(Event::AttemptFinished {
             id,
             attempt,
             backend,
             outcome,
-            complete,
-            took,
+            answered: complete,
+            elapsed: took,
             metered,
-            charged,
+            charged_units: charged,
             report,
         });
         self.forget(id);
@@ -325,11 +340,11 @@
             let _ = keep.force_send(list.clone());
         }
         let lines = lines.into_iter().filter_map(|l| Some((l, self.book.address(l.backend)?))).collect();
-        self.roster(if cached { RosterKind::Cached } else { RosterKind::Full }, lines);
+        self.roster(if cached { EndpointUpdate::Cached } else { EndpointUpdate::Snapshot }, lines);
     }
 
-    fn roster(&mut self, kind: RosterKind, lines: Vec<(Listed, SocketAddr)>) {
-        if matches!(kind, RosterKind::Full | RosterKind::Cached) {
+    fn roster(&mut self, kind: EndpointUpdate, lines: Vec<(Endpoint, SocketAddr)>) {
+        if matches!(kind, EndpointUpdate::Snapshot | EndpointUpdate::Cached) {
             self.listed.clear();
         }
         for (line, address) in &lines {
@@ -353,7 +368,7 @@
                 self.connections.withdraw(out.connection, *id, n);
             }
         }
-        self.handle(Event::Roster(kind, lines.into_iter().map(|l| l.0).collect()));
+        self.handle(Event::Endpoints(kind, lines.into_iter().map(|l| l.0).collect()));
     }
 
     /// Hands an event to the module and carries out its actions, and what comes of those at once.
@@ -375,10 +390,12 @@
 
     fn act(&mut self, action: Action) {
         match action {
-            Action::Send { id, backend, expires, begin_by } => self.send(id, backend, expires, begin_by),
-            Action::Refuse { id, pause } => {
+            Action::StartAttempt { id, backend, give_up_at, start_by } => {
+                self.send(id, backend, give_up_at, start_by)
+            }
+            Action::Reject { id, retry_after: pause } => {
                 add(&self.telemetry.refused);
-                self.answer(id, Answer::Refused { pause });
+                self.answer(id, Answer::Rejected { retry_after: pause });
                 self.forget(id);
             }
             Action::Fail(id) => {
@@ -401,9 +418,9 @@
                 self.set += 1;
                 self.timers.push(Reverse((self.runtime.now() + delay, self.set, token)));
             }
-            Action::Tell { to, bytes } => {
+            Action::SendGossip { to, bytes } => {
                 let Some(peers) = &self.peers else { return };
-                let (all, me) = (0..self.figures.ingresses, self.figures.me);
+                let (all, me) = (0..self.figures.gateway_count, self.figures.self_id);
                 let to = to.map_or(all, |one| one.0..one.0 + 1);
                 for no in to.filter(|no| *no != me) {
                     // A full queue loses it, as the network may: the module reckons with that.
@@ -415,7 +432,10 @@
             Action::CloseIdle(backend) => self.connections.close_idle(backend),
             Action::Log(text) => tracing::info!(target: "chalkgap::module", "{text}"),
             // Not permitted by the settings that the module was given.
-            Action::Probe(_) | Action::Count { .. } | Action::Watch(_) | Action::FetchRoster => {}
+            Action::CheckHealth(_)
+            | Action::AddToCounter { .. }
+            | Action::WatchEndpoints(_)
+            | Action::FetchEndpoints => {}
         }
     }
 
@@ -427,7 +447,15 @@
         let until = if expires == 0 { held.ask.deadline } else { expires.min(held.ask.deadline) };
         let (class, work) = (held.ask.class, held.ask.work.clone());
         let begin_by = (begin_by > 0).then_some(begin_by);
-        let call = Call { id, attempt, class, work, entered: None, until, begin_by };
+        let call = OutboundAttempt {
+            id,
+            attempt,
+            class,
+            work,
+            ledger_entry_at: None,
+            deadline: until,
+            start_by: begin_by,
+        };
         add(&self.telemetry.attempts);
         held.attempts.push(Out {
             backend,
@@ -459,7 +487,7 @@
     }
 
     /// Writes down that an attempt is about to be made.
-    fn write(&mut self, call: &Call<U::Work>) -> Written {
+    fn write(&mut self, call: &OutboundAttempt<U::Work>) -> Written {
         let (Some(books), Some(held)) = (&self.books, self.held.get_mut(&call.id)) else {
             return Written::Without;
         };
@@ -490,11 +518,11 @@
     }
 
     /// Hands an attempt to a connection.
-    fn start(&mut self, mut call: Call<U::Work>) {
+    fn start(&mut self, mut call: OutboundAttempt<U::Work>) {
         let (id, attempt, now) = (call.id, call.attempt, self.runtime.now());
         let Some(held) = self.held.get_mut(&id) else { return };
         if let Entry::Open(ticket) = held.entry {
-            call.entered = Some(ticket.at);
+            call.ledger_entry_at = Some(ticket.at);
         }
         let Some(out) = held.attempts.get_mut(usize::from(attempt)).filter(|o| !o.ended) else { return };
         (out.waiting, out.sent) = (false, now);
@@ -512,9 +540,18 @@
         out.ended = true;
         let backend = out.backend;
         let complete = self.held.get(&id).is_some_and(|h| h.answered);
-        let (metered, charged, report, took, outcome) = (None, None, None, 0, Outcome::Moot);
-        let event =
-            Event::Settled { id, attempt, backend, outcome, complete, took, metered, charged, report };
+        let (metered, charged, report, took, outcome) = (None, None, None, 0, Outcome::NotSent);
+        let event = Event::AttemptFinished {
+            id,
+            attempt,
+            backend,
+            outcome,
+            answered: complete,
+            elapsed: took,
+            metered,
+            charged_units: charged,
+            report,
+        };
         self.queue.push_back(event);
     }
 
@@ -560,7 +597,7 @@
         }
         let ask = &held.ask;
         // The front bounds its asks by the room of this channel; if it is closed, the client is gone.
-        let _ = ask.reply.try_send(Reply { token: ask.token, id, answer });
+        let _ = ask.response_sender.try_send(Response { token: ask.token, id, answer });
     }
 
     fn forget(&mut self, id: RequestId) {
@@ -595,9 +632,10 @@
 }
 
 /// Answers an ask that is not taken.
-fn turn_away<W>(ask: &Ask<W>, pause: Micros) {
-    let answer = Answer::Refused { pause };
-    let _ = ask.reply.try_send(Reply { token: ask.token, id: ask.id, answer }); // closed: the client is gone
+fn turn_away<W>(ask: &PendingRequest<W>, pause: Micros) {
+    let answer = Answer::Rejected { retry_after: pause };
+    let _ = ask.response_sender.try_send(Response { token: ask.token, id: ask.id, answer });
+    // closed: the client is gone
 }
 
 /// What became of writing an entry.
@@ -611,7 +649,7 @@
 }
 
 impl Books {
-    fn open<W>(&self, ask: &Ask<W>, node: String) -> Open {
+    fn open<W>(&self, ask: &PendingRequest<W>, node: String) -> Open {
         let settings = &self.settings.settings;
         let name = |n: Option<&String>| n.cloned().unwrap_or_default();
         Open {
--- a/crates/gateway/src/fleet.rs
+++ b/crates/gateway/src/fleet.rs
@@ -3,7 +3,7 @@
 //!
 //! [`show`] asks any ingress for its view, as a person with a command does.
 
-use crate::messages::Input;
+use crate::messages::DriverEvent;
 use crate::peers::{Channel, Key, Opener, Sealer, MOST_DATAGRAM};
 use crate::settings::Peers;
 use crate::telemetry::{add, Telemetry};
@@ -35,7 +35,7 @@
     inner: Mutex<Inner>,
     telemetry: Arc<Telemetry>,
     /// Told whom the view has lost, and has again.
-    driver: Sender<Input>,
+    driver: Sender<DriverEvent>,
     /// The time to wake has changed.
     stir: (Sender<()>, Receiver<()>),
     /// Closed when a later start of this number is there.
@@ -51,7 +51,7 @@
         key: Key,
         (me, most): (Number, Number),
         born: Micros,
-        (telemetry, driver): (&Arc<Telemetry>, &Sender<Input>),
+        (telemetry, driver): (&Arc<Telemetry>, &Sender<DriverEvent>),
     ) -> Option<Arc<Fleet>> {
         let view = peers.view.as_ref()?;
         let config = Config {
@@ -157,7 +157,10 @@
                     self.note(member, &change);
                     match change {
                         Change::Member(f) if f.number != member.number() => {
-                            reach.push(Input::Reach { peer: f.number, there: f.state.counts() });
+                            reach.push(DriverEvent::PeerReachability {
+                                peer: f.number,
+                                reachable: f.state.counts(),
+                            });
                         }
                         _ => {}
                     }
--- a/crates/gateway/src/front/grpc.rs
+++ b/crates/gateway/src/front/grpc.rs
@@ -1,14 +1,14 @@
 //! The public gRPC rate limit service (`envoy.service.ratelimit.v3.RateLimitService`) and its health check.
 
-use super::{Bad, Demand, Front, FrontContext, WORD};
+use super::{Bad, Demand, Frontend, FrontendContext, WORD};
 use crate::gate::Permit;
-use crate::messages::{Answer, Ask, Input, Reply};
+use crate::messages::{Answer, DriverEvent, PendingRequest, Response};
 use crate::telemetry::add;
 use async_channel::Sender;
 use bytes::Bytes;
 use chalkgap_core::RequestId;
-use chalkgap_pipe::{Pipe, Turn};
 use chalkgap_runtime::{BoxFuture, Micros, Shared, Stream};
+use chalkgap_transport::{Pipe, Turn};
 use chalkgap_wire::grpc::{self, Code, Deframer, Status};
 use chalkgap_wire::http2::{Config, ConnError, Connection, Event, Field};
 use chalkgap_wire::ratelimit::{
@@ -31,12 +31,12 @@
 #[derive(Clone)]
 pub(crate) struct Grpc;
 
-impl Front for Grpc {
-    type Context = FrontContext;
+impl Frontend for Grpc {
+    type Context = FrontendContext;
 
     fn serve(
         &self,
-        context: FrontContext,
+        context: FrontendContext,
         stream: Box<dyn Stream>,
         permit: Permit,
     ) -> BoxFuture<'static, ()> {
@@ -82,12 +82,12 @@
 }
 
 struct Session {
-    context: FrontContext,
+    context: FrontendContext,
     permit: Permit,
     calls: HashMap<u32, Call>,
     /// Asks that the driver has not said its one word about: bounded, that word's channel always has room.
     unheard: usize,
-    reply: Sender<Reply>,
+    reply: Sender<Response>,
     draining: bool,
     /// When calls whose message has not come are looked at, if there are any.
     look: Option<Micros>,
@@ -102,7 +102,7 @@
 }
 
 /// Serves one connection to its end.
-async fn serve(context: FrontContext, stream: Box<dyn Stream>, permit: Permit) {
+async fn serve(context: FrontendContext, stream: Box<dyn Stream>, permit: Permit) {
     let front = &context.settings.settings.front;
     let (most, peer) = (2 * front.max_streams as usize, stream.peer());
     let config = Config { max_streams: front.max_streams, ..Config::default() };
@@ -188,7 +188,7 @@
     }
 
     /// When something here may have become too slow, at the latest.
-    fn until(&mut self, pipe: &Pipe<Reply>, begun: Micros) -> Micros {
+    fn until(&mut self, pipe: &Pipe<Response>, begun: Micros) -> Micros {
         let (pace, received, now) = (self.permit.pace(), pipe.conn.received(), self.time());
         if !pipe.conn.midway() {
             self.midway = None;
@@ -211,7 +211,7 @@
     }
 
     /// Gives up what is too slow by now; says why, where that is the connection. What has come was read before.
-    fn too_slow(&mut self, pipe: &mut Pipe<Reply>, begun: Micros) -> Option<&'static str> {
+    fn too_slow(&mut self, pipe: &mut Pipe<Response>, begun: Micros) -> Option<&'static str> {
         let (pace, now, received) = (self.permit.pace(), self.permit.own_time(), pipe.conn.received());
         self.still = self.context.runtime.now().saturating_sub(now);
         if !pipe.conn.greeted() && now >= begun + pace.patience {
@@ -256,12 +256,13 @@
     async fn leave(&mut self) {
         for call in std::mem::take(&mut self.calls).into_values() {
             if let Call::Waiting { id, .. } = call {
-                let _ = self.context.driver.send(Input::Gone(id)).await; // closed: the instance has stopped
+                let _ = self.context.driver.send(DriverEvent::ClientGone(id)).await;
+                // closed: the instance has stopped
             }
         }
     }
 
-    async fn events(&mut self, pipe: &mut Pipe<Reply>) {
+    async fn events(&mut self, pipe: &mut Pipe<Response>) {
         while let Some(event) = pipe.conn.event() {
             match event {
                 Event::Headers { stream, fields, end } => {
@@ -293,7 +294,9 @@
                         Ok(Some(ask)) => {
                             self.unheard += 1;
                             self.permit.request();
-                            if pipe.hand_over(&self.context.driver, Input::Ask(ask)).await != Some(true) {
+                            if pipe.hand_over(&self.context.driver, DriverEvent::Request(ask)).await
+                                != Some(true)
+                            {
                                 return; // the client has left, or the instance has stopped
                             }
                         }
@@ -303,7 +306,7 @@
                 }
                 Event::Reset { stream, .. } => {
                     if let Some(Call::Waiting { id, .. }) = self.calls.remove(&stream) {
-                        let _ = self.context.driver.send(Input::Gone(id)).await;
+                        let _ = self.context.driver.send(DriverEvent::ClientGone(id)).await;
                         // closed: the instance has stopped
                     }
                 }
@@ -313,9 +316,9 @@
     }
 
     /// Looks at a call's fields; true if its message is awaited.
-    fn begin(&mut self, stream: u32, fields: &[Field], pipe: &mut Pipe<Reply>) -> bool {
+    fn begin(&mut self, stream: u32, fields: &[Field], pipe: &mut Pipe<Response>) -> bool {
         let field = |name: &str| fields.iter().find(|f| f.name == name).map(|f| &f.value[..]);
-        let plain = |status: &'static str, pipe: &mut Pipe<Reply>| {
+        let plain = |status: &'static str, pipe: &mut Pipe<Response>| {
             let _ = pipe.conn.headers(stream, vec![Field::constant(":status", status)], true);
             false
         };
@@ -355,7 +358,7 @@
     }
 
     /// A call that the module is not told of.
-    fn invalid(&mut self, stream: u32, status: &Status, pipe: &mut Pipe<Reply>) {
+    fn invalid(&mut self, stream: u32, status: &Status, pipe: &mut Pipe<Response>) {
         add(&self.context.telemetry.invalid);
         self.calls.remove(&stream);
         finish(pipe, stream, status);
@@ -366,8 +369,8 @@
         &mut self,
         stream: u32,
         message: Bytes,
-        pipe: &mut Pipe<Reply>,
-    ) -> Result<Option<Box<Ask>>, Status> {
+        pipe: &mut Pipe<Response>,
+    ) -> Result<Option<Box<PendingRequest>>, Status> {
         let Some(Call::Reading { health, arrived, timeout, .. }) = self.calls.get(&stream) else {
             return Ok(None);
         };
@@ -394,7 +397,7 @@
     }
 
     /// The one word on an ask.
-    fn answer(&mut self, r: Reply, pipe: &mut Pipe<Reply>) {
+    fn answer(&mut self, r: Response, pipe: &mut Pipe<Response>) {
         self.unheard -= 1;
         if self.calls.len() <= 1 {
             self.idle_since = self.time();
@@ -408,7 +411,7 @@
             return;
         };
         let served = matches!(r.answer, Answer::Served { .. }).then_some((account, preferred));
-        self.permit.ended(served, matches!(r.answer, Answer::Refused { .. }));
+        self.permit.ended(served, matches!(r.answer, Answer::Rejected { .. }));
         let header = |key: &str, value: String| HeaderValue { key: key.into(), value };
         let response = match r.answer {
             Answer::Served { body, node } => RateLimitResponse {
@@ -421,7 +424,7 @@
                 raw_body: body,
                 ..RateLimitResponse::default()
             },
-            Answer::Refused { pause } => {
+            Answer::Rejected { retry_after: pause } => {
                 let reset = (pause > 0).then(|| Duration::from_micros(pause).into());
                 let code = Verdict::OverLimit.into();
                 let status = DescriptorStatus { code, duration_until_reset: reset, ..Default::default() };
@@ -442,7 +445,7 @@
                 let text = "no node answered; the request may have run";
                 return finish(pipe, r.token, &Status::new(Code::Unavailable, text));
             }
-            Answer::Gone => return,
+            Answer::ClientGone => return,
         };
         reply(pipe, r.token, &response);
     }
@@ -453,14 +456,14 @@
 }
 
 /// Ends a call with a status alone. An error means that the client has reset it: it waits for nothing.
-fn finish(pipe: &mut Pipe<Reply>, stream: u32, status: &Status) {
+fn finish(pipe: &mut Pipe<Response>, stream: u32, status: &Status) {
     let mut fields = head();
     fields.extend(status.fields());
     let _ = pipe.conn.headers(stream, fields, true);
 }
 
 /// Ends a call with a message.
-fn reply(pipe: &mut Pipe<Reply>, stream: u32, message: &impl Message) {
+fn reply(pipe: &mut Pipe<Response>, stream: u32, message: &impl Message) {
     let sent = pipe.conn.headers(stream, head(), false);
     let sent = sent.and_then(|()| pipe.conn.data(stream, grpc::frame(message), false));
     let _ = sent.and_then(|()| pipe.conn.headers(stream, vec![Field::constant("grpc-status", "0")], true));
@@ -468,14 +471,14 @@
 
 /// Reads a request out of a call.
 fn ask(
-    context: &FrontContext,
+    context: &FrontendContext,
     request: RateLimitRequest,
     id: RequestId,
     arrived: Micros,
     timeout: Option<Micros>,
     token: u32,
-    reply: Sender<Reply>,
-) -> Result<Ask, Status> {
+    reply: Sender<Response>,
+) -> Result<PendingRequest, Status> {
     let bad = |text: String| Status::new(Code::InvalidArgument, text);
     let front = &context.settings.settings.front;
     if let Some(domain) = front.domain.as_ref().filter(|d| **d != request.domain) {
--- a/crates/gateway/src/front/mod.rs
+++ b/crates/gateway/src/front/mod.rs
@@ -1,19 +1,19 @@
-//! Where clients ask. A [`Front`] is a protocol; what all have in common is the [`FrontContext`]: how connections are let in, how
+//! Where clients ask. A [`Frontend`] is a protocol; what all have in common is the [`FrontendContext`]: how connections are let in, how
 //! a request is made out of what a client said, and how it gets to the driver. The driver knows no protocol: an
-//! [`Ask`] goes in, one [`Reply`] comes out, and a client that is gone is told by `Input::Gone`.
+//! [`PendingRequest`] goes in, one [`Response`] comes out, and a client that is gone is told by `DriverEvent::Gone`.
 
 pub(crate) mod grpc;
 pub(crate) mod mqtt;
 
-use crate::gate::{Gate, Permit, Refusal};
-use crate::messages::{self, Ask, Input, Reply};
+use crate::gate::{ConnectionGate, Permit, Rejection};
+use crate::messages::{self, DriverEvent, PendingRequest, Response};
 use crate::settings::{Compiled, KeyRule};
 use crate::telemetry::{add, Telemetry};
 use async_channel::{Receiver, Sender};
 use bytes::Bytes;
 use chalkgap_core::RequestId;
-use chalkgap_pipe::while_alive;
 use chalkgap_runtime::{BoxFuture, Listener, Micros, Shared, Stream};
+use chalkgap_transport::while_alive;
 use chalkgap_wire::grpc as framing;
 use chalkgap_wire::intake::Work;
 use chalkgap_wire::ratelimit::Entry;
@@ -22,7 +22,7 @@
 use std::sync::Arc;
 
 /// A protocol that clients speak. Each of its connections is a task that has a [`Permit`].
-pub trait Front: Clone + Send + Sync + 'static {
+pub trait Frontend: Clone + Send + Sync + 'static {
     /// What all its connections share.
     type Context: Clone + Send + Sync + 'static;
     /// Serves one connection to its end, or to that of the drain.
@@ -50,22 +50,22 @@
     /// Connections that are open.
     pub open: Arc<AtomicUsize>,
     /// Lets connections in.
-    pub gate: Arc<Gate>,
+    pub gate: Arc<ConnectionGate>,
 }
 
 /// What all connections of the gRPC and MQTT fronts share.
 #[derive(Clone)]
-pub struct FrontContext {
+pub struct FrontendContext {
     pub(crate) acceptor: Acceptor,
     pub(crate) settings: Arc<Compiled>,
-    pub(crate) driver: Sender<Input>,
+    pub(crate) driver: Sender<DriverEvent>,
     /// The next request's number.
     pub(crate) ids: Arc<AtomicU64>,
     /// Sets this start's own keys apart from all others.
     pub(crate) name: String,
 }
 
-impl std::ops::Deref for FrontContext {
+impl std::ops::Deref for FrontendContext {
     type Target = Acceptor;
     fn deref(&self) -> &Acceptor {
         &self.acceptor
@@ -105,7 +105,7 @@
 
 /// Takes connections until the drain begins, then those that the system has accepted by then, and closes the listener: with
 /// it they would be reset, with whole requests in them.
-pub async fn listen<F: Front>(front: F, context: F::Context, at: Acceptor, listener: Box<dyn Listener>) {
+pub async fn listen<F: Frontend>(front: F, context: F::Context, at: Acceptor, listener: Box<dyn Listener>) {
     // Something is open as long as connections may be waiting here.
     at.open.fetch_add(1, Ordering::Relaxed);
     let mut draining = false;
@@ -145,11 +145,11 @@
                     open.fetch_sub(1, Ordering::Relaxed);
                 });
             }
-            Err(Refusal { word: Some(word), pause }) => {
+            Err(Rejection { slot: Some(word), retry_after: pause }) => {
                 at.spawn(front.refuse(at.runtime.clone(), stream, pause), move || drop(word));
             }
             // No descriptor is left to wait with: what can be said at once is said, and it is closed.
-            Err(Refusal { pause, .. }) => {
+            Err(Rejection { retry_after: pause, .. }) => {
                 let _ = future::poll_once(front.refuse(at.runtime.clone(), stream, pause)).await;
             }
         }
@@ -173,9 +173,15 @@
     }
 }
 
-impl FrontContext {
+impl FrontendContext {
     /// Makes a request out of what a client said.
-    pub fn ask(&self, id: RequestId, demand: Demand, token: u32, reply: Sender<Reply>) -> Result<Ask, Bad> {
+    pub fn ask(
+        &self,
+        id: RequestId,
+        demand: Demand,
+        token: u32,
+        reply: Sender<Response>,
+    ) -> Result<PendingRequest, Bad> {
         let Demand { account, class, key, units, arrived, timeout, entries, payload } = demand;
         let (settings, front) = (&self.settings, &self.settings.settings.front);
         if units > front.most_units {
@@ -203,7 +209,17 @@
         let wait = timeout.unwrap_or(u64::MAX).min(rule.deadline_ms * 1000);
         let deadline = (arrived.saturating_add(wait)).saturating_sub(front.answer_margin_ms * 1000);
         let body = framing::frame(&Work { account: account.clone(), units, entries, payload });
-        let (units, work) = (f64::from(units), messages::Work { body, key });
-        Ok(Ask { id, class: class_no, account, customer, units, deadline, work, reply, token })
+        let (units, work) = (f64::from(units), messages::Work { body, idempotency_key: key });
+        Ok(PendingRequest {
+            id,
+            class: class_no,
+            account,
+            customer,
+            units,
+            deadline,
+            work,
+            response_sender: reply,
+            token,
+        })
     }
 }
--- a/crates/gateway/src/front/mqtt.rs
+++ b/crates/gateway/src/front/mqtt.rs
@@ -1,10 +1,10 @@
 //! The MQTT front (5.0 and 3.1.1): a publish is a request. Its answer is the PUBACK of QoS 1, the PUBREC of QoS 2, and a
 //! message to its response topic where it has one. QoS 0 without one has no answer, and is decided all the same.
 
-use super::{Bad, Demand, Front, FrontContext, WORD};
+use super::{Bad, Demand, Frontend, FrontendContext, WORD};
 use crate::gate::Permit;
 use crate::ledger::lock;
-use crate::messages::{Answer, Ask, Input, Reply};
+use crate::messages::{Answer, DriverEvent, PendingRequest, Response};
 use crate::settings::{self, Part};
 use crate::telemetry::add;
 use argon2::password_hash::phc::PasswordHash;
@@ -12,8 +12,8 @@
 use async_channel::{Receiver, Sender};
 use bytes::Bytes;
 use chalkgap_core::RequestId;
-use chalkgap_pipe::{Pipe, Turn};
 use chalkgap_runtime::{BoxFuture, Micros, Shared, Stream};
+use chalkgap_transport::{Pipe, Turn};
 use chalkgap_wire::mqtt::packet::{Connect, Publish, Subscribe, Will};
 use chalkgap_wire::mqtt::server::{Event, Limits, Server, Session};
 use chalkgap_wire::mqtt::{reason, topic, Properties, Property, QoS, Version};
@@ -204,12 +204,12 @@
     }
 }
 
-impl Front for Mqtt {
-    type Context = FrontContext;
+impl Frontend for Mqtt {
+    type Context = FrontendContext;
 
     fn serve(
         &self,
-        context: FrontContext,
+        context: FrontendContext,
         stream: Box<dyn Stream>,
         permit: Permit,
     ) -> BoxFuture<'static, ()> {
@@ -314,11 +314,11 @@
 
 struct Conn {
     shelf: Arc<Shelf>,
-    context: FrontContext,
+    context: FrontendContext,
     permit: Permit,
     waiting: HashMap<u32, Waiting>,
     next: u32,
-    reply: Sender<Reply>,
+    reply: Sender<Response>,
     filters: Vec<String>,
     user: Option<String>,
     client: String,
@@ -333,9 +333,9 @@
     gone: bool,
 }
 
-type Link = Pipe<Reply, Server>;
+type Link = Pipe<Response, Server>;
 
-async fn serve(shelf: Arc<Shelf>, context: FrontContext, stream: Box<dyn Stream>, permit: Permit) {
+async fn serve(shelf: Arc<Shelf>, context: FrontendContext, stream: Box<dyn Stream>, permit: Permit) {
     let (runtime, peer) = (context.runtime.clone(), stream.peer());
     let (reply, replies) = async_channel::unbounded(); // as many as `waiting` has, below
     let signal = permit.signal.clone();
@@ -635,7 +635,7 @@
                 let (qos, packet) = (p.qos, p.packet);
                 self.waiting.insert(token, Waiting { id, qos, packet, answer_to, account, preferred });
                 self.permit.request();
-                let _ = self.context.driver.send(Input::Ask(Box::new(ask))).await;
+                let _ = self.context.driver.send(DriverEvent::Request(Box::new(ask))).await;
                 // closed: the instance has stopped
             }
             Err(code) => {
@@ -646,15 +646,15 @@
     }
 
     /// The publish that a word is for; the gate hears how it ended.
-    fn known(&mut self, r: &Reply) -> Option<Waiting> {
+    fn known(&mut self, r: &Response) -> Option<Waiting> {
         let w = self.waiting.remove(&r.token)?;
         let served = matches!(r.answer, Answer::Served { .. }).then_some((w.account, w.preferred));
-        self.permit.ended(served, matches!(r.answer, Answer::Refused { .. }));
+        self.permit.ended(served, matches!(r.answer, Answer::Rejected { .. }));
         Some(w)
     }
 
     /// The one word on a request.
-    fn answer(&mut self, r: Reply, pipe: &mut Link) {
+    fn answer(&mut self, r: Response, pipe: &mut Link) {
         let Some(w) = self.known(&r) else { return };
         let (code, status, mut properties, body) = said(r.answer);
         if let Some((to, data)) = w.answer_to {
@@ -686,14 +686,15 @@
     }
 
     /// The connection is over: its session is put away when all in it is known, its will becomes a request.
-    async fn leave(mut self, mut pipe: Link, replies: Receiver<Reply>) {
+    async fn leave(mut self, mut pipe: Link, replies: Receiver<Response>) {
         let runtime = self.context.runtime.clone();
         if !self.gone {
             // A client that broke off waits for no answer of QoS 1 and sends it again; QoS 0 and 2 go on.
             let list: Vec<RequestId> =
                 self.waiting.values().filter(|w| w.qos == QoS::AtLeastOnce).map(|w| w.id).collect();
             for id in list {
-                let _ = self.context.driver.send(Input::Gone(id)).await; // closed: the instance has stopped
+                let _ = self.context.driver.send(DriverEvent::ClientGone(id)).await;
+                // closed: the instance has stopped
             }
         }
         let mut session = pipe.conn.take_session();
@@ -732,9 +733,10 @@
         let id = RequestId(self.context.ids.fetch_add(1, Ordering::Relaxed));
         let Ok(demand) = self.demand(&will.topic, &will.properties, will.payload) else { return };
         let demand = Demand { arrived: self.context.runtime.now(), ..demand };
-        let asked: Result<Ask, Bad> = self.context.ask(id, demand, 0, self.reply.clone());
+        let asked: Result<PendingRequest, Bad> = self.context.ask(id, demand, 0, self.reply.clone());
         if let Ok(ask) = asked {
-            let _ = self.context.driver.send(Input::Ask(Box::new(ask))).await; // closed: the instance has stopped
+            let _ = self.context.driver.send(DriverEvent::Request(Box::new(ask))).await;
+            // closed: the instance has stopped
         }
     }
 }
@@ -743,8 +745,10 @@
 fn said(answer: Answer) -> (u8, &'static str, Properties, Bytes) {
     match answer {
         Answer::Served { body, .. } => (reason::SUCCESS, "served", Properties::default(), body),
-        Answer::Refused { pause } => (reason::QUOTA_EXCEEDED, "refused", retry(pause), Bytes::new()),
-        Answer::Failed { .. } | Answer::Gone => {
+        Answer::Rejected { retry_after: pause } => {
+            (reason::QUOTA_EXCEEDED, "refused", retry(pause), Bytes::new())
+        }
+        Answer::Failed { .. } | Answer::ClientGone => {
             (reason::IMPLEMENTATION_SPECIFIC, "failed", Properties::default(), Bytes::new())
         }
     }
--- a/crates/gateway/src/gate.rs
+++ b/crates/gateway/src/gate.rs
@@ -39,7 +39,7 @@
 }
 
 /// The one gate of an instance.
-pub struct Gate {
+pub struct ConnectionGate {
     runtime: Shared,
     telemetry: Arc<Telemetry>,
     state: Mutex<State>,
@@ -53,24 +53,24 @@
 
 /// A connection that was let in.
 pub struct Permit {
-    gate: Arc<Gate>,
+    gate: Arc<ConnectionGate>,
     id: ConnId,
     /// Its other end is dropped when the connection is to go, or the drain begins.
     pub signal: Receiver<()>,
 }
 
 /// A connection that was not.
-pub struct Refusal {
+pub struct Rejection {
     /// When to come back.
-    pub pause: Micros,
+    pub retry_after: Micros,
     /// Held while the client is told; none: it is just closed.
-    pub word: Option<Word>,
+    pub slot: Option<RejectionSlot>,
 }
 
 /// A descriptor for refusing.
-pub struct Word(Arc<Gate>);
+pub struct RejectionSlot(Arc<ConnectionGate>);
 
-impl Drop for Word {
+impl Drop for RejectionSlot {
     fn drop(&mut self) {
         self.0.refusing.fetch_sub(1, Ordering::Relaxed);
     }
@@ -80,7 +80,7 @@
 const LEAST_CLIENTS: u64 = 8;
 
 /// What a gate goes by.
-pub struct GateConfig {
+pub struct ConnectionGateConfig {
     /// How descriptors are split.
     pub split: Split,
     /// The most descriptors, where that is less than the process may have.
@@ -97,12 +97,12 @@
     pub pace: Pace,
 }
 
-impl GateConfig {
+impl ConnectionGateConfig {
     /// What the settings say.
-    pub(crate) fn new(settings: &Compiled) -> GateConfig {
+    pub(crate) fn new(settings: &Compiled) -> ConnectionGateConfig {
         let (a, d, front) =
             (&settings.settings.admission, &settings.settings.descriptors, &settings.settings.front);
-        GateConfig {
+        ConnectionGateConfig {
             split: Split {
                 listeners: d.listeners,
                 nodes: d.nodes,
@@ -136,17 +136,17 @@
     }
 }
 
-impl Gate {
+impl ConnectionGate {
     /// A gate with nothing open.
     ///
     /// # Errors
     /// What is set aside leaves clients too little.
     pub fn new(
         runtime: Shared,
-        config: GateConfig,
+        config: ConnectionGateConfig,
         telemetry: Arc<Telemetry>,
-    ) -> Result<Arc<Gate>, BudgetError> {
-        let GateConfig { split, most, caps, places, named, snapshot, pace } = config;
+    ) -> Result<Arc<ConnectionGate>, BudgetError> {
+        let ConnectionGateConfig { split, most, caps, places, named, snapshot, pace } = config;
         let limit = runtime.descriptors().min(most);
         let budget = split.of(limit, LEAST_CLIENTS)?;
         tracing::info!(limit, clients = budget.clients, nodes = budget.nodes, "descriptors");
@@ -161,7 +161,7 @@
             unsaid: [0; 5],
             said: 0,
         };
-        Ok(Arc::new(Gate {
+        Ok(Arc::new(ConnectionGate {
             runtime,
             telemetry,
             state: Mutex::new(state),
@@ -179,7 +179,7 @@
     }
 
     /// A connection is offered.
-    pub fn offer(self: &Arc<Self>, address: IpAddr) -> Result<Permit, Refusal> {
+    pub fn offer(self: &Arc<Self>, address: IpAddr) -> Result<Permit, Rejection> {
         let now = self.runtime.now();
         let mut s = self.state();
         s.decider.accepted();
@@ -210,9 +210,9 @@
                 let free = self.refusing.load(Ordering::Relaxed) < self.split.spare / 2;
                 let word = (word && free).then(|| {
                     self.refusing.fetch_add(1, Ordering::Relaxed);
-                    Word(self.clone())
+                    RejectionSlot(self.clone())
                 });
-                Err(Refusal { pause, word })
+                Err(Rejection { retry_after: pause, slot: word })
             }
         }
     }
--- a/crates/gateway/src/instance.rs
+++ b/crates/gateway/src/instance.rs
@@ -1,13 +1,13 @@
 //! An instance: its parts put together, and the handle to it.
 
-use crate::driver::{Driver, Figures};
+use crate::driver::{Driver, DriverLimits};
 use crate::error::StartError;
 use crate::fleet::{Fleet, ShownView};
-use crate::front::{self, grpc::Grpc, mqtt::Mqtt, Acceptor, FrontContext};
-use crate::gate::{Gate, GateConfig};
+use crate::front::{self, grpc::Grpc, mqtt::Mqtt, Acceptor, FrontendContext};
+use crate::gate::{ConnectionGate, ConnectionGateConfig};
 use crate::ledger::Desk;
-use crate::messages::Input;
-use crate::nodes::{Book, NodeList};
+use crate::messages::DriverEvent;
+use crate::nodes::{EndpointIds, NodeList};
 use crate::peers::{Channel, Key, Opened, Opener, Sealer, MOST_DATAGRAM};
 use crate::settings::{Compiled, ListSource, Settings, SettingsError};
 use crate::sources;
@@ -15,8 +15,8 @@
 use crate::upstream::Connections;
 use async_channel::{Receiver, Sender};
 use chalkgap_core::Gateway;
-use chalkgap_pipe::while_alive;
 use chalkgap_runtime::{Datagrams, Micros, Shared};
+use chalkgap_transport::while_alive;
 use std::future::Future;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering};
@@ -36,10 +36,10 @@
     grpc: SocketAddr,
     mqtt: Option<SocketAddr>,
     peer: Option<SocketAddr>,
-    driver: Sender<Input>,
+    driver: Sender<DriverEvent>,
     telemetry: Arc<Telemetry>,
     open: Arc<AtomicUsize>,
-    gate: Arc<Gate>,
+    gate: Arc<ConnectionGate>,
     desk: Option<Arc<Desk>>,
     fleet: Option<Arc<Fleet>>,
     sessions: Option<Mqtt>,
@@ -74,7 +74,8 @@
             }
         };
         let (born, telemetry) = (runtime.now(), Arc::new(Telemetry::default()));
-        let gate = Gate::new(runtime.clone(), GateConfig::new(&settings), telemetry.clone());
+        let gate =
+            ConnectionGate::new(runtime.clone(), ConnectionGateConfig::new(&settings), telemetry.clone());
         let gate = gate.map_err(|e| SettingsError::Values {
             file: "settings".into(),
             complaints: vec![format!("settings.descriptors: {e}")],
@@ -144,13 +145,13 @@
         let connections =
             Connections::new(runtime.clone(), settings.clone(), driver.clone(), killed.clone(), &name);
         let limits = &settings.settings.limits;
-        let figures = Figures {
-            ingresses: fleet.ingresses,
-            me: fleet.me,
-            max_open: limits.max_open as usize,
-            pause: if limits.retry_after { limits.max_retry_after_ms * 1000 } else { 0 },
+        let figures = DriverLimits {
+            gateway_count: fleet.ingresses,
+            self_id: fleet.me,
+            max_in_flight: limits.max_open as usize,
+            rejection_retry_after: if limits.retry_after { limits.max_retry_after_ms * 1000 } else { 0 },
         };
-        let book = Book::new(settings.zones.clone(), settings.settings.nodes.most);
+        let book = EndpointIds::new(settings.zones.clone(), settings.settings.nodes.most);
         let main = Driver::new(runtime.clone(), figures, telemetry.clone(), core, connections, input)
             .reading(book)
             .telling(peers)
@@ -160,7 +161,7 @@
         if let Some(path) = &nodes.cache {
             if let Some(list) = sources::cached(&runtime, path).await {
                 // The channel is new and empty.
-                let _ = driver.try_send(Input::Nodes { list: Box::new(list), cached: true });
+                let _ = driver.try_send(DriverEvent::NodeList { list: Box::new(list), cached: true });
             }
             let (sender, lists) = async_channel::bounded(16);
             start(Box::pin(sources::keep(runtime.clone(), path.clone(), lists)));
@@ -192,7 +193,7 @@
         };
         let ids = Arc::new(AtomicU64::new(1));
         let context =
-            FrontContext { acceptor: acceptor.clone(), settings: settings.clone(), driver, ids, name };
+            FrontendContext { acceptor: acceptor.clone(), settings: settings.clone(), driver, ids, name };
         start(Box::pin(gate.watch()));
         if let Some((front, listener)) = mqtt {
             start(Box::pin(front.clone().watch(runtime.clone())));
@@ -241,7 +242,7 @@
 
     /// Tells a node list, as a source would.
     pub async fn nodes(&self, list: NodeList) {
-        let input = Input::Nodes { list: Box::new(list), cached: false };
+        let input = DriverEvent::NodeList { list: Box::new(list), cached: false };
         let _ = self.driver.send(input).await; // closed: it has been stopped
     }
 
@@ -316,7 +317,7 @@
     runtime: Shared,
     socket: Arc<dyn Datagrams>,
     mut opener: Opener,
-    (telemetry, driver, view): (Arc<Telemetry>, Sender<Input>, Option<Arc<Fleet>>),
+    (telemetry, driver, view): (Arc<Telemetry>, Sender<DriverEvent>, Option<Arc<Fleet>>),
 ) {
     let mut buffer = [0; MOST_DATAGRAM + 1];
     loop {
@@ -330,7 +331,7 @@
         };
         match (opener.open(runtime.now(), &buffer[..n]), &view) {
             (Ok(Opened { channel: Channel::Module, from, message }), _) => {
-                let input = Input::Peer { from, bytes: message.to_vec() };
+                let input = DriverEvent::Gossip { from, bytes: message.to_vec() };
                 if driver.send(input).await.is_err() {
                     return;
                 }
--- a/crates/gateway/src/ledger/consumer.rs
+++ b/crates/gateway/src/ledger/consumer.rs
@@ -6,7 +6,7 @@
 use chalkgap_ledger::entry::{Batch, What};
 use chalkgap_ledger::export::{Exporter, Rules, Step, Stuck, Word};
 use chalkgap_ledger::folder;
-use chalkgap_pipe::unary;
+use chalkgap_transport::unary;
 use chalkgap_wire::billing::{Hand, Handed, HAND};
 use chalkgap_wire::grpc;
 use prost::Message;
--- a/crates/gateway/src/ledger/mod.rs
+++ b/crates/gateway/src/ledger/mod.rs
@@ -6,7 +6,7 @@
 mod truth;
 
 use crate::error::StartError;
-use crate::messages::Input;
+use crate::messages::DriverEvent;
 use crate::settings::{self, Compiled, OnFailure, Period};
 use crate::telemetry::{add, Telemetry};
 use async_channel::{Receiver, Sender};
@@ -154,7 +154,7 @@
     pub fn tasks(
         self: &Arc<Self>,
         writer: Writer,
-        driver: Sender<Input>,
+        driver: Sender<DriverEvent>,
         alive: &Receiver<()>,
     ) -> Vec<BoxFuture<'static, ()>> {
         let Writer { store, woken, copies, group } = writer;
@@ -250,7 +250,7 @@
     woken: Receiver<()>,
     copies: Receiver<Copies>,
     snapshots: Receiver<Snapshot>,
-    driver: Sender<Input>,
+    driver: Sender<DriverEvent>,
 ) {
     let (runtime, telemetry) = (desk.runtime.clone(), desk.telemetry.clone());
     let mut ticked = 0;
@@ -293,7 +293,7 @@
             tracing::error!(%error, "ledger: the disk has failed, nothing is written any more");
             lock(&desk.clerk).failed();
             copies.close();
-            let _ = driver.send(Input::Durable).await; // closed: the instance has stopped
+            let _ = driver.send(DriverEvent::LedgerProgress).await; // closed: the instance has stopped
             return;
         }
         {
@@ -318,7 +318,7 @@
             }
         }
         desk.current.store(store.current(), Ordering::Relaxed);
-        if own.is_some() && driver.send(Input::Durable).await.is_err() {
+        if own.is_some() && driver.send(DriverEvent::LedgerProgress).await.is_err() {
             return;
         }
     }
--- a/crates/gateway/src/ledger/truth.rs
+++ b/crates/gateway/src/ledger/truth.rs
@@ -5,7 +5,7 @@
 use async_channel::Receiver;
 use chalkgap_ledger::clerk::Truth;
 use chalkgap_ledger::entry::Id;
-use chalkgap_pipe::{unary, while_alive};
+use chalkgap_transport::{unary, while_alive};
 use chalkgap_wire::grpc;
 use chalkgap_wire::truth::{Answer, Fate, Question, ASK, MOST};
 use prost::Message;
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -29,10 +29,12 @@
 /// What a protocol in a package of its own is built on: the driver that owns the module, what goes in and out of it, and
 /// the gate that lets connections in. An [`Instance`] is put together from the same parts.
 pub mod frontend {
-    pub use crate::driver::{Driver, Figures};
-    pub use crate::front::{listen, Acceptor, Front};
-    pub use crate::gate::{Gate, GateConfig, Permit};
-    pub use crate::messages::{Answer, Ask, Call, Ended, Input, Reply, Upstream};
+    pub use crate::driver::{Driver, DriverLimits};
+    pub use crate::front::{listen, Acceptor, Frontend};
+    pub use crate::gate::{ConnectionGate, ConnectionGateConfig, Permit};
+    pub use crate::messages::{
+        Answer, AttemptResult, DriverEvent, OutboundAttempt, PendingRequest, Response, Upstream,
+    };
     pub use crate::peers::Intake;
     pub use crate::settings::Customer;
 }
--- a/crates/gateway/src/messages.rs
+++ b/crates/gateway/src/messages.rs
@@ -5,7 +5,7 @@
 use crate::settings::Customer;
 use async_channel::Sender;
 use bytes::Bytes;
-use chalkgap_core::{BackendId, Listed, Outcome, Report, RequestId, RosterKind};
+use chalkgap_core::{BackendId, Endpoint, EndpointUpdate, LoadReport, Outcome, RequestId};
 use chalkgap_runtime::Micros;
 use std::net::SocketAddr;
 
@@ -15,11 +15,11 @@
     /// The framed message.
     pub(crate) body: Bytes,
     /// What they drop repeats by.
-    pub(crate) key: Option<Bytes>,
+    pub(crate) idempotency_key: Option<Bytes>,
 }
 
 /// A client's request, as a front hands it over. Its work is opaque to the driver: only the way out reads it.
-pub struct Ask<W = Work> {
+pub struct PendingRequest<W = Work> {
     /// Never used twice by an instance.
     pub id: RequestId,
     /// Index of its class.
@@ -35,13 +35,13 @@
     /// For nodes.
     pub work: W,
     /// Where its answer goes. The front bounds its asks by the room of this channel.
-    pub reply: Sender<Reply>,
+    pub response_sender: Sender<Response>,
     /// The front's name for it.
     pub token: u32,
 }
 
 /// The one thing that a front hears of each ask.
-pub struct Reply {
+pub struct Response {
     /// The front's name for it.
     pub token: u32,
     /// The request.
@@ -61,9 +61,9 @@
         node: SocketAddr,
     },
     /// Trying again is harmless.
-    Refused {
+    Rejected {
         /// How long to keep away; 0: no advice.
-        pause: Micros,
+        retry_after: Micros,
     },
     /// It may have run.
     Failed {
@@ -71,12 +71,12 @@
         late: bool,
     },
     /// None: the client left.
-    Gone,
+    ClientGone,
 }
 
 /// How an attempt ended, as its connection saw it.
 #[derive(Debug)]
-pub struct Ended {
+pub struct AttemptResult {
     /// The request.
     pub id: RequestId,
     /// The number of its attempt.
@@ -86,72 +86,81 @@
     /// The answer, with [`Outcome::Ok`].
     pub body: Bytes,
     /// The node's load, as it says.
-    pub report: Option<Report>,
+    pub report: Option<LoadReport>,
     /// The customer's metered use, where nodes tell it.
-    pub metered: Option<f64>,
+    pub metered_use: Option<f64>,
     /// What the node says it used.
-    pub units: Option<u32>,
+    pub used_units: Option<u32>,
     /// It ran nothing, as the request's key had come before.
-    pub repeat: bool,
+    pub deduplicated: bool,
 }
 
-impl Ended {
+impl AttemptResult {
     /// An attempt that brought nothing back.
     pub fn without_answer(id: RequestId, attempt: u16, outcome: Outcome) -> Self {
         let (body, report, metered, units, repeat) = (Bytes::new(), None, None, None, false);
-        Ended { id, attempt, outcome, body, report, metered, units, repeat }
+        AttemptResult {
+            id,
+            attempt,
+            outcome,
+            body,
+            report,
+            metered_use: metered,
+            used_units: units,
+            deduplicated: repeat,
+        }
     }
 }
 
 /// What happens to an instance.
-pub enum Input<W = Work> {
+pub enum DriverEvent<W = Work> {
     /// A client asks.
-    Ask(Box<Ask<W>>),
+    Request(Box<PendingRequest<W>>),
     /// A client left.
-    Gone(RequestId),
+    ClientGone(RequestId),
     /// An attempt ended.
-    Ended(Box<Ended>),
+    AttemptEnded(Box<AttemptResult>),
     /// A connection to a node has ended, or will with the attempt that is out on it.
     ConnectionClosed {
         /// Its number.
         connection: u64,
         /// It broke as soon as it was written to.
-        broke: bool,
+        broke_on_first_write: bool,
     },
     /// A message of a peer.
-    Peer {
+    Gossip {
         /// The sender's number.
         from: u16,
         /// The message.
         bytes: Vec<u8>,
     },
     /// The view of the fleet has lost a peer, or has it again.
-    Reach {
+    PeerReachability {
         /// Its number.
         peer: u16,
         /// It counts as in.
-        there: bool,
+        reachable: bool,
     },
     /// A whole list of nodes.
-    Nodes {
+    NodeList {
         /// The list.
         list: Box<NodeList>,
         /// It was kept from an earlier life.
         cached: bool,
     },
     /// A list, or changes to it, already in the module's words.
-    Roster {
+    Endpoints {
         /// How to read it.
-        kind: RosterKind,
+        update: EndpointUpdate,
         /// Its lines, with where each node listens.
-        lines: Vec<(Listed, SocketAddr)>,
+        endpoints: Vec<(Endpoint, SocketAddr)>,
     },
     /// The ledger's disk has more, or has failed.
-    Durable,
+    LedgerProgress,
 }
 
 /// An attempt to be made.
-pub struct Call<W = Work> {
+pub struct OutboundAttempt<W = Work> {
     /// The request.
     pub id: RequestId,
     /// The number of the attempt.
@@ -161,20 +170,25 @@
     /// What the front handed over.
     pub work: W,
     /// When the request's entry in the ledger was written.
-    pub entered: Option<Micros>,
+    pub ledger_entry_at: Option<Micros>,
     /// When the attempt is given up.
-    pub until: Micros,
+    pub deadline: Micros,
     /// Nothing of it may be written any more after this.
-    pub begin_by: Option<Micros>,
+    pub start_by: Option<Micros>,
 }
 
-/// A way out: connections to nodes in some protocol. What is started ends with [`Input::Ended`], and the driver ends it
+/// A way out: connections to nodes in some protocol. What is started ends with [`DriverEvent::AttemptEnded`], and the driver ends it
 /// by its own clock whatever the connection says. An implementation's counts bound what it is handed.
 pub trait Upstream: Send {
     /// What a front hands over for nodes.
     type Work: Clone + Send + 'static;
     /// Hands a call to a connection and gives the connection's number; none: there is no room, nothing was written.
-    fn start(&mut self, backend: BackendId, address: SocketAddr, call: Call<Self::Work>) -> Option<u64>;
+    fn start(
+        &mut self,
+        backend: BackendId,
+        address: SocketAddr,
+        call: OutboundAttempt<Self::Work>,
+    ) -> Option<u64>;
     /// An attempt is called off, or its time is up.
     fn stop(&mut self, connection: u64, id: RequestId, attempt: u16);
     /// Nobody waits for a call any more, or its backend may get nothing new: if nothing of it was written, nothing is, and
--- a/crates/gateway/src/nodes.rs
+++ b/crates/gateway/src/nodes.rs
@@ -1,7 +1,7 @@
-//! The list of nodes: its form, and [`Book`], which reads lists into what the module is told. No I/O is done here;
+//! The list of nodes: its form, and [`EndpointIds`], which reads lists into what the module is told. No I/O is done here;
 //! where lists come from is in `sources.rs`.
 
-use chalkgap_core::{Availability, BackendId, Listed};
+use chalkgap_core::{Availability, BackendId, Endpoint};
 use serde::{Deserialize, Serialize};
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -101,7 +101,7 @@
 }
 
 /// Reads lists. It remembers names by number for as long as the instance lives: a number is never given twice.
-pub struct Book {
+pub struct EndpointIds {
     zones: HashMap<String, u8>,
     most: usize,
     cells: HashMap<String, u16>,
@@ -109,17 +109,17 @@
     addresses: HashMap<BackendId, SocketAddr>,
 }
 
-impl Book {
+impl EndpointIds {
     /// A book for lists of at most `most` nodes in these zones.
     pub fn new(zones: HashMap<String, u8>, most: usize) -> Self {
-        Book { zones, most, cells: HashMap::new(), kinds: HashMap::new(), addresses: HashMap::new() }
+        EndpointIds { zones, most, cells: HashMap::new(), kinds: HashMap::new(), addresses: HashMap::new() }
     }
 
     /// Takes a whole list, or none of it.
     ///
     /// # Errors
     /// See [`ListError`].
-    pub fn take(&mut self, list: &NodeList) -> Result<Vec<Listed>, ListError> {
+    pub fn take(&mut self, list: &NodeList) -> Result<Vec<Endpoint>, ListError> {
         if list.nodes.len() > self.most {
             return Err(ListError::TooMany(list.nodes.len(), self.most));
         }
@@ -133,7 +133,7 @@
             if !(node.size.is_finite() && node.size > 0.0) {
                 return Err(ListError::Size(n, node.size));
             }
-            lines.push(Listed {
+            lines.push(Endpoint {
                 backend: id,
                 zone: *zone,
                 // Two cells under one number would let a repeat run twice: never wrapped, never forgotten.
@@ -144,8 +144,8 @@
                     State::Draining => Availability::Draining,
                     State::Gone => Availability::Gone,
                 },
-                size: node.size,
-                started: node.started_ms.saturating_mul(1000),
+                weight: node.size,
+                started_at: node.started_ms.saturating_mul(1000),
             });
         }
         self.addresses = addresses;
@@ -171,11 +171,11 @@
 mod tests {
     use super::*;
 
-    fn book() -> Book {
-        Book::new([("a".to_owned(), 0), ("b".to_owned(), 1)].into(), 3)
+    fn book() -> EndpointIds {
+        EndpointIds::new([("a".to_owned(), 0), ("b".to_owned(), 1)].into(), 3)
     }
 
-    fn list(text: &str) -> Result<Vec<Listed>, ListError> {
+    fn list(text: &str) -> Result<Vec<Endpoint>, ListError> {
         book().take(&NodeList::parse(text.as_bytes())?)
     }
 
@@ -186,8 +186,8 @@
             {"address": "[::1]:80", "zone": "a", "cell": "r2", "size": 2.5}]}"#;
         let lines = list(text).unwrap();
         assert_eq!(lines[0].backend, BackendId(0x7f00_0001_0050));
-        assert_eq!((lines[0].zone, lines[0].cell, lines[0].started), (1, 0, 7000));
-        assert_eq!((lines[1].zone, lines[1].cell, lines[1].size), (0, 1, 2.5));
+        assert_eq!((lines[0].zone, lines[0].cell, lines[0].started_at), (1, 0, 7000));
+        assert_eq!((lines[1].zone, lines[1].cell, lines[1].weight), (0, 1, 2.5));
         assert_eq!(lines[0].availability, Availability::Draining);
     }
 
