--- a/crates/gateway/src/settings/compiled.rs
+++ b/crates/gateway/src/settings/compiled.rs
@@ -246,69 +246,69 @@
     /// What the module is told at its start.
     pub fn core(&self) -> core::Settings {
         let s = &self.settings;
-        let class = |c: &super::Class| core::Class {
-            aim: ms(c.aim_ms),
-            aim_stretch: 0.0,
+        let class = |c: &super::Class| core::RequestClass {
+            latency_objective: ms(c.aim_ms),
+            objective_per_work: 0.0,
             deadline: ms(c.deadline_ms),
-            worth: c.worth,
-            late_worth: c.late_worth,
-            repeat: match c.repeat {
-                super::Repeat::Safe => core::Repeat::Safe,
-                super::Repeat::Once => core::Repeat::Once,
+            priority_weight: c.worth,
+            late_priority_weight: c.late_worth,
+            retry_safety: match c.repeat {
+                super::Repeat::Safe => core::RetrySafety::Idempotent,
+                super::Repeat::Once => core::RetrySafety::NotIdempotent,
                 super::Repeat::Keyed { group, window_ms } => {
                     let group = match group {
-                        Group::All => core::Group::All,
-                        Group::Zone => core::Group::Zone,
-                        Group::Cell => core::Group::Cell,
+                        Group::All => core::DeduplicationScope::Fleet,
+                        Group::Zone => core::DeduplicationScope::Zone,
+                        Group::Cell => core::DeduplicationScope::Cell,
                     };
-                    core::Repeat::Keyed { group, window: ms(window_ms) }
+                    core::RetrySafety::IdempotencyKey { scope: group, window: ms(window_ms) }
                 }
             },
-            stream: false,
+            streaming: false,
         };
         let plan = |p: &super::Plan| core::Plan {
-            rate: p.rate,
-            burst: p.burst,
-            open_cap: p.open_cap,
-            ceiling_rate: p.ceiling_rate,
-            ceiling_burst: p.ceiling_burst,
-            ceiling_slack: p.ceiling_slack,
-            price: p.price,
-            over_worth: p.over_worth,
-            over_cost: p.over_cost,
+            quota_rate: p.rate,
+            quota_burst: p.burst,
+            max_in_flight: p.open_cap,
+            hard_limit_rate: p.ceiling_rate,
+            hard_limit_burst: p.ceiling_burst,
+            hard_limit_slack: p.ceiling_slack,
+            priority_factor: p.price,
+            over_quota_weight: p.over_worth,
+            over_quota_penalty: p.over_cost,
         };
         core::Settings {
             gateways: s.fleet.ingresses,
-            me: core::GatewayNo(s.fleet.me),
+            self_id: core::GatewayId(s.fleet.me),
             zone: self.zones.get(&s.fleet.zone).copied().unwrap_or(0),
             tick: s.fleet.tick_us,
             classes: s.classes.iter().map(class).collect(),
             plans: s.plans.iter().map(plan).collect(),
             limits: core::Limits {
                 max_attempts: s.limits.max_attempts,
-                second_copies: s.limits.second_copies,
-                cancel: s.limits.cancel,
-                probes: false,
-                peers: s.fleet.peers.is_some(),
-                peer_in_per_s: s.fleet.peers.as_ref().map_or(0.0, |p| p.per_second),
+                hedging: s.limits.second_copies,
+                cancellation: s.limits.cancel,
+                health_checks: false,
+                gossip: s.fleet.peers.is_some(),
+                gossip_receive_rate: s.fleet.peers.as_ref().map_or(0.0, |p| p.per_second),
                 retry_after: s.limits.retry_after,
                 max_retry_after: ms(s.limits.max_retry_after_ms),
-                counter: false,
-                max_open: s.limits.max_open,
+                shared_counter: false,
+                max_in_flight: s.limits.max_open,
             },
             rules: core::Rules {
-                answer_slack: 0,
+                answer_grace: 0,
                 drain_grace: ms(s.rules.drain_grace_ms),
-                cold_from: s.rules.cold_from,
-                cold_time: ms(s.rules.cold_ms),
-                fall_factor: s.rules.fall_factor,
-                fall_time: ms(s.rules.fall_ms),
-                must_ask: 0,
+                slow_start_min_capacity: s.rules.cold_from,
+                slow_start_window: ms(s.rules.cold_ms),
+                overload_factor: s.rules.fall_factor,
+                overload_window: ms(s.rules.fall_ms),
+                max_poll_interval: 0,
             },
             discovery: core::Discovery::Push,
-            sizes: match s.nodes.sizes {
-                Sizes::None => core::SizeMeaning::None,
-                Sizes::Capacity => core::SizeMeaning::Capacity,
+            weight_meaning: match s.nodes.sizes {
+                Sizes::None => core::WeightMeaning::None,
+                Sizes::Capacity => core::WeightMeaning::Capacity,
             },
             meter_period: 0,
             post_paid: false,
--- a/crates/gateway/src/sources.rs
+++ b/crates/gateway/src/sources.rs
@@ -1,11 +1,11 @@
 //! Where node lists come from, and where the last one is kept.
 
-use crate::messages::Input;
+use crate::messages::DriverEvent;
 use crate::nodes::{Node, NodeList, State};
 use crate::telemetry::{add, Telemetry};
 use async_channel::{Receiver, Sender};
-use chalkgap_pipe::{Pipe, Turn};
 use chalkgap_runtime::{Micros, Shared};
+use chalkgap_transport::{Pipe, Turn};
 use chalkgap_wire::grpc::{self, Deframer, Status};
 use chalkgap_wire::http2::{Config, Connection, Event, Field};
 use chalkgap_wire::roster;
@@ -56,7 +56,7 @@
     telemetry: Arc<Telemetry>,
     path: PathBuf,
     every: Micros,
-    driver: Sender<Input>,
+    driver: Sender<DriverEvent>,
 ) {
     let (mut seen, mut said) = (None, String::new());
     loop {
@@ -74,7 +74,7 @@
         match found.await {
             Ok(Some(list)) => {
                 said.clear();
-                if driver.send(Input::Nodes { list: Box::new(list), cached: false }).await.is_err() {
+                if driver.send(DriverEvent::NodeList { list: Box::new(list), cached: false }).await.is_err() {
                     return;
                 }
             }
@@ -99,7 +99,7 @@
     telemetry: Arc<Telemetry>,
     ingress: u16,
     address: SocketAddr,
-    driver: Sender<Input>,
+    driver: Sender<DriverEvent>,
     alive: Receiver<()>,
 ) {
     let (mut pause, mut revision, mut told) = (AGAIN.0, 0, false);
@@ -129,7 +129,7 @@
     runtime: &Shared,
     ingress: u16,
     address: SocketAddr,
-    driver: &Sender<Input>,
+    driver: &Sender<DriverEvent>,
     alive: &Receiver<()>,
     revision: &mut u64,
 ) -> String {
@@ -174,7 +174,7 @@
                         match list {
                             Ok(list) => {
                                 *revision = list.revision;
-                                let input = Input::Nodes { list: Box::new(list), cached: false };
+                                let input = DriverEvent::NodeList { list: Box::new(list), cached: false };
                                 if driver.send(input).await.is_err() {
                                     return "stopped".into();
                                 }
--- a/crates/gateway/src/upstream.rs
+++ b/crates/gateway/src/upstream.rs
@@ -1,13 +1,13 @@
 //! Connections to nodes: HTTP/2, pooled, one gRPC call an attempt. Each connection is a task; [`Connections`] is the
 //! driver's side of them. What passed on the connection gives the outcome; when in doubt the attempt may have run.
 
-use crate::messages::{self, request_name, Ended, Input, Upstream, Work};
+use crate::messages::{self, request_name, AttemptResult, DriverEvent, Upstream, Work};
 use crate::settings::Compiled;
 use async_channel::{Receiver, Sender};
 use bytes::Bytes;
-use chalkgap_core::{BackendId, Outcome, Report, RequestId};
-use chalkgap_pipe::{while_alive, Pipe, Turn};
+use chalkgap_core::{BackendId, LoadReport, Outcome, RequestId};
 use chalkgap_runtime::{Micros, Shared};
+use chalkgap_transport::{while_alive, Pipe, Turn};
 use chalkgap_wire::grpc::{self, Deframer, Status};
 use chalkgap_wire::http2::{Code, Config, Connection, Event, Field};
 use chalkgap_wire::intake::{self, Done};
@@ -19,11 +19,11 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
 
-type Call = messages::Call<Work>;
+type OutboundAttempt = messages::OutboundAttempt<Work>;
 
 /// What a connection is told.
 pub(crate) enum Command {
-    Start(Box<Call>),
+    Start(Box<OutboundAttempt>),
     /// Called off, or its time is up.
     Stop {
         id: RequestId,
@@ -61,7 +61,7 @@
 struct World {
     runtime: Shared,
     settings: Arc<Compiled>,
-    driver: Sender<Input>,
+    driver: Sender<DriverEvent>,
     /// Sets this start's requests apart from all others.
     name: Arc<str>,
 }
@@ -70,7 +70,7 @@
     pub(crate) fn new(
         runtime: Shared,
         settings: Arc<Compiled>,
-        driver: Sender<Input>,
+        driver: Sender<DriverEvent>,
         kill: Receiver<()>,
         name: &str,
     ) -> Self {
@@ -90,7 +90,7 @@
 impl Upstream for Connections {
     type Work = Work;
 
-    fn start(&mut self, backend: BackendId, address: SocketAddr, call: Call) -> Option<u64> {
+    fn start(&mut self, backend: BackendId, address: SocketAddr, call: OutboundAttempt) -> Option<u64> {
         let limits = &self.world.settings.settings.upstream;
         let (most, wanted) = (limits.max_streams, limits.connections);
         let pool = self.pools.entry(backend).or_default();
@@ -169,7 +169,7 @@
 }
 
 struct Open {
-    call: Box<Call>,
+    call: Box<OutboundAttempt>,
     body: Deframer,
     answer: Option<Bytes>,
     /// The answer's fields were seen, and its status was 200.
@@ -181,16 +181,16 @@
     address: SocketAddr,
     usable: Arc<AtomicBool>,
     /// Not yet written to the connection.
-    waiting: VecDeque<Box<Call>>,
+    waiting: VecDeque<Box<OutboundAttempt>>,
     open: HashMap<u32, Open>,
     /// To be told to the driver.
-    ended: Vec<Ended>,
+    ended: Vec<AttemptResult>,
     idle_since: Micros,
     closing: bool,
 }
 
-fn ended(call: &Call, outcome: Outcome) -> Ended {
-    Ended::without_answer(call.id, call.attempt, outcome)
+fn ended(call: &OutboundAttempt, outcome: Outcome) -> AttemptResult {
+    AttemptResult::without_answer(call.id, call.attempt, outcome)
 }
 
 async fn run(
@@ -230,7 +230,8 @@
 impl Task {
     async fn tell(&mut self) {
         for e in self.ended.drain(..) {
-            let _ = self.world.driver.send(Input::Ended(Box::new(e))).await; // closed: the instance has stopped
+            let _ = self.world.driver.send(DriverEvent::AttemptEnded(Box::new(e))).await;
+            // closed: the instance has stopped
         }
     }
 
@@ -272,7 +273,7 @@
                 Turn::Time if self.waiting.is_empty() => {
                     pipe.conn.shutdown();
                     pipe.close(runtime.now() + 100_000).await;
-                    return Outcome::Moot;
+                    return Outcome::NotSent;
                 }
                 Turn::Time => {}
                 Turn::Bad(e) => {
@@ -280,24 +281,24 @@
                     self.events(&mut pipe);
                     self.tell().await;
                     pipe.close(runtime.now() + 100_000).await;
-                    return Outcome::Moot;
+                    return Outcome::NotSent;
                 }
                 Turn::Signal | Turn::Closed => {
                     let greeted = pipe.conn.greeted();
-                    return if greeted { Outcome::Moot } else { Outcome::ConnectFailed };
+                    return if greeted { Outcome::NotSent } else { Outcome::ConnectFailed };
                 }
             }
             self.events(&mut pipe);
             self.flush(&mut pipe);
             self.tell().await;
             if self.open.is_empty() && self.waiting.is_empty() && (pipe.conn.finished() || self.closing) {
-                return Outcome::Moot;
+                return Outcome::NotSent;
             }
             if pipe.conn.can_open() == Err(chalkgap_wire::http2::OpenError::GoingAway)
                 && !self.waiting.is_empty()
             {
                 let waiting = std::mem::take(&mut self.waiting);
-                self.ended.extend(waiting.iter().map(|call| ended(call, Outcome::Moot)));
+                self.ended.extend(waiting.iter().map(|call| ended(call, Outcome::NotSent)));
                 self.tell().await;
             }
         }
@@ -313,7 +314,7 @@
                 if self.withdraw(id, attempt) {
                     return;
                 }
-                let this = |c: &Call| c.id == id && c.attempt == attempt;
+                let this = |c: &OutboundAttempt| c.id == id && c.attempt == attempt;
                 // Few are open on one connection; the list is bounded by the settings.
                 let found = self.open.iter().find(|(_, o)| this(&o.call)).map(|(s, _)| *s);
                 if let Some((stream, o)) = found.and_then(|s| self.open.remove_entry(&s)) {
@@ -330,7 +331,7 @@
     fn withdraw(&mut self, id: RequestId, attempt: u16) -> bool {
         let at = self.waiting.iter().position(|c| c.id == id && c.attempt == attempt);
         let Some(call) = at.and_then(|at| self.waiting.remove(at)) else { return false };
-        self.ended.push(ended(&call, Outcome::Moot));
+        self.ended.push(ended(&call, Outcome::NotSent));
         true
     }
 
@@ -339,9 +340,9 @@
         while pipe.conn.greeted() && pipe.conn.can_open().is_ok() {
             let Some(call) = self.waiting.pop_front() else { return };
             let now = self.world.runtime.now();
-            let left = call.until.saturating_sub(now);
-            if left == 0 || call.begin_by.is_some_and(|by| now > by) {
-                self.ended.push(ended(&call, Outcome::Moot));
+            let left = call.deadline.saturating_sub(now);
+            if left == 0 || call.start_by.is_some_and(|by| now > by) {
+                self.ended.push(ended(&call, Outcome::NotSent));
                 continue;
             }
             let class = &self.world.settings.settings.classes[usize::from(call.class)].name;
@@ -355,14 +356,14 @@
                 Field::new("grpc-timeout", grpc::format_timeout(left)),
                 Field::new(intake::REQUEST, request_name(&self.world.name, call.id)),
             ];
-            if let Some(at) = call.entered {
+            if let Some(at) = call.ledger_entry_at {
                 fields.push(Field::new(truth::ENTERED, at.to_string()));
             }
-            if let Some(key) = &call.work.key {
+            if let Some(key) = &call.work.idempotency_key {
                 fields.push(Field::new(intake::KEY, key.clone()));
             }
             let Ok(stream) = pipe.conn.open(&fields, false) else {
-                self.ended.push(ended(&call, Outcome::Moot));
+                self.ended.push(ended(&call, Outcome::NotSent));
                 continue;
             };
             // The stream is new and its buffer empty: nothing to fail.
@@ -398,7 +399,7 @@
                 Event::Reset { stream, code, ours } => {
                     let Some(o) = self.open.remove(&stream) else { continue };
                     let never = code == Code::REFUSED_STREAM && !ours;
-                    self.ended.push(ended(&o.call, if never { Outcome::Full } else { Outcome::Reset }));
+                    self.ended.push(ended(&o.call, if never { Outcome::Rejected } else { Outcome::Reset }));
                     self.idle_since = self.world.runtime.now();
                 }
                 Event::GoAway(code) => {
@@ -420,15 +421,21 @@
         let done = done.and_then(|m| Done::decode(m).ok());
         let load = trailers.iter().find(|f| f.name == orca::TRAILER).and_then(|f| orca::parse(&f.value));
         let outcome = if done.is_some() { Outcome::Ok } else { Outcome::Error };
-        let report = load.map(|l| Report {
+        let report = load.map(|l| LoadReport {
             in_flight: l.in_flight,
-            queue: l.queue,
-            util: l.cpu_utilization.or(l.application_utilization),
+            queued: l.queue,
+            utilization: l.cpu_utilization.or(l.application_utilization),
             latency_ms: l.latency_ms,
-            served: l.rps,
-            errors: l.eps,
+            requests_per_second: l.rps,
+            errors_per_second: l.eps,
         });
         let Done { body, units, repeat } = done.unwrap_or_default();
-        self.ended.push(Ended { report, body, units, repeat, ..ended(&o.call, outcome) });
+        self.ended.push(AttemptResult {
+            report,
+            body,
+            used_units: units,
+            deduplicated: repeat,
+            ..ended(&o.call, outcome)
+        });
     }
 }
--- a/crates/gateway/tests/admission.rs
+++ b/crates/gateway/tests/admission.rs
@@ -2,13 +2,13 @@
 
 mod common;
 
-use chalkgap::runtime::altered::Altered;
+use chalkgap::runtime::faulty_runtime::FaultyRuntime;
 use chalkgap::runtime::{BoxFuture, Listener, Runtime, Shared, Stream};
 use chalkgap::Instance;
-use chalkgap_standin::client::Client;
-use chalkgap_standin::flood::{self, knock, Knock};
-use chalkgap_standin::journal::Answer;
-use chalkgap_standin::node::Machine;
+use chalkgap_testbed::client::Client;
+use chalkgap_testbed::flood::{self, knock, Knock};
+use chalkgap_testbed::journal::Answer;
+use chalkgap_testbed::node::Machine;
 use chalkgap_wire::http2::{Config, Connection, Event, PREFACE};
 use common::*;
 use futures_lite::{future, AsyncReadExt, AsyncWriteExt};
@@ -230,7 +230,7 @@
         run(|system| async move {
             let failing =
                 move |l| -> Box<dyn Listener> { Box::new(FailingDoor(l, AtomicU32::new(0), errno)) };
-            let world = Altered::new(system.clone()).listeners(failing);
+            let world = FaultyRuntime::new(system.clone()).listeners(failing);
             let ingress = Instance::start(settings(), Arc::new(world)).await.unwrap();
             let to = ingress.grpc_address();
             let begun = system.now();
--- a/crates/gateway/tests/fleet.rs
+++ b/crates/gateway/tests/fleet.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use chalkgap::fleet::ShownView;
-use chalkgap::runtime::virtual_world::{address, Cut, Power, Weather, World, USUAL};
+use chalkgap::runtime::simulated_runtime::{address, Cut, LinkFaults, Power, World, USUAL};
 use chalkgap::runtime::{Micros, Runtime};
 use chalkgap::settings::{self, Peers, Settings};
 use chalkgap::Instance;
@@ -32,7 +32,7 @@
     world: World,
     most: u16,
     here: BTreeMap<u16, (Instance, Power)>,
-    clock: std::sync::Arc<chalkgap::runtime::virtual_world::Host>,
+    clock: std::sync::Arc<chalkgap::runtime::simulated_runtime::Host>,
     _on: Power,
 }
 
@@ -75,7 +75,7 @@
         None
     }
 
-    fn cut(&self, weather: Option<Weather>, apart: impl Fn(u16, u16) -> bool) {
+    fn cut(&self, weather: Option<LinkFaults>, apart: impl Fn(u16, u16) -> bool) {
         let all = || 0..self.most;
         for (a, b) in all().flat_map(|a| all().map(move |b| (a, b))).filter(|(a, b)| apart(*a, *b)) {
             self.world.link(u32::from(a) + 1, u32::from(b) + 1, weather);
@@ -90,7 +90,7 @@
 /// A fleet that starts at once, loses one to a kill and has it back, is cut in halves, and meets again.
 fn a_bad_quarter_of_an_hour(count: u16) {
     let world = World::new(u64::from(count), 1_800_000_000 * SECOND);
-    world.weather(Weather { loss: 0.02, delay: (500, 8000), ..USUAL });
+    world.weather(LinkFaults { loss: 0.02, delay: (500, 8000), ..USUAL });
     let inside = world.clone();
     let ended = world.run(async move {
         let mut fleet = Fleet::start(inside, count).await;
@@ -102,7 +102,7 @@
         let known = known.unwrap_or_else(|| panic!("not within {late}"));
         fleet.up(count / 2).await;
         let back = fleet.until(30 * SECOND, |v| agreed(v, count)).await.expect("it is back");
-        let silent = Weather { cut: Some(Cut::Silent), ..USUAL };
+        let silent = LinkFaults { cut: Some(Cut::Silent), ..USUAL };
         fleet.cut(Some(silent), |a, b| (a < count / 2) != (b < count / 2));
         let most = 2 * late + u64::from(count) * SECOND / 8;
         let apart = fleet.until(most, |v| v.iter().all(|v| v.standing == "cut off")).await.expect("all know");
--- a/crates/gateway/tests/interop.rs
+++ b/crates/gateway/tests/interop.rs
@@ -7,9 +7,9 @@
 use chalkgap::runtime::system::System;
 use chalkgap::settings::Settings;
 use chalkgap::Instance;
-use chalkgap_standin::client::Client;
-use chalkgap_standin::journal::{Answer, Journal};
-use chalkgap_standin::node::{Machine, Node};
+use chalkgap_testbed::client::Client;
+use chalkgap_testbed::journal::{Answer, Journal};
+use chalkgap_testbed::node::{Machine, Node};
 use chalkgap_wire::intake::{Done, Work};
 use chalkgap_wire::ratelimit::{Descriptor, Entry, RateLimitRequest, RateLimitResponse, Verdict};
 use common::{ask, line_at, list, settings};
@@ -266,7 +266,7 @@
     let node = receiver.recv().unwrap();
     common::run(|system| async move {
         let (_ingress, client) = with_node(&system, node).await;
-        let asked = chalkgap_standin::client::Ask { timeout: 300_000, ..ask(1, "big", "referral") };
+        let asked = chalkgap_testbed::client::Ask { timeout: 300_000, ..ask(1, "big", "referral") };
         assert_eq!(client.call(&asked).await.answer, Answer::Failed { code: 4 });
     });
 }
--- a/crates/gateway/tests/ledger.rs
+++ b/crates/gateway/tests/ledger.rs
@@ -2,16 +2,16 @@
 
 mod common;
 
-use chalkgap::runtime::altered::Altered;
+use chalkgap::runtime::faulty_runtime::FaultyRuntime;
 use chalkgap::runtime::system::System;
 use chalkgap::runtime::{Append, BoxFuture, Files, Micros, Runtime, Shared};
 use chalkgap::settings::{Export, ExportTo, Ledger, LedgerGroup, OnFailure, Period, Settings};
 use chalkgap::Instance;
 use chalkgap_ledger::entry::Batch;
-use chalkgap_standin::billing::{Consumer, Faults as Wrong, Vault};
-use chalkgap_standin::client::Client;
-use chalkgap_standin::journal::{Answer, Journal, Seen};
-use chalkgap_standin::node::{Faults, Machine, Node, Tally};
+use chalkgap_testbed::billing::{Consumer, Faults as Wrong, Vault};
+use chalkgap_testbed::client::Client;
+use chalkgap_testbed::journal::{Answer, Journal, Seen};
+use chalkgap_testbed::node::{Faults, Machine, Node, Tally};
 use common::*;
 use prost::Message;
 use rand::rngs::SmallRng;
@@ -283,7 +283,7 @@
 
 async fn on_disk(system: &Arc<System>, folder: &Folder, on_failure: OnFailure) -> (Small, Arc<Trouble>) {
     let trouble = Arc::new(Trouble::default());
-    let world = Altered::new(system.clone()).files(Bad(system.clone(), trouble.clone()));
+    let world = FaultyRuntime::new(system.clone()).files(Bad(system.clone(), trouble.clone()));
     let mut settings = settings();
     settings.ledger = Some(Ledger { on_failure, slow_ms: 100, ..ledger(folder, "0", None) });
     let s = Small::start(Arc::new(world), settings, vec![Machine::default()]).await;
--- a/crates/gateway/tests/virtual_world.rs
+++ b/crates/gateway/tests/simulated_runtime.rs
@@ -2,13 +2,13 @@
 
 mod common;
 
-use chalkgap::runtime::virtual_world::{address, Weather, World, USUAL};
+use chalkgap::runtime::simulated_runtime::{address, LinkFaults, World, USUAL};
 use chalkgap::runtime::Shared;
 use chalkgap::settings::{self, Settings};
 use chalkgap::Instance;
-use chalkgap_standin::client::Client;
-use chalkgap_standin::journal::{Answer, Entry, Journal, Seen};
-use chalkgap_standin::node::{Faults, Machine, Node};
+use chalkgap_testbed::client::Client;
+use chalkgap_testbed::journal::{Answer, Entry, Journal, Seen};
+use chalkgap_testbed::node::{Faults, Machine, Node};
 use common::{ask, list};
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
@@ -25,7 +25,7 @@
 /// middle and starts again from its disk. What clients and nodes saw, and how many entries the ledger has.
 fn ten_minutes(seed: u64) -> (Vec<Entry>, u64) {
     let world = World::new(seed, 1_800_000_000_000_000);
-    world.weather(Weather { delay: (100, 3000), ..USUAL });
+    world.weather(LinkFaults { delay: (100, 3000), ..USUAL });
     let (node_host, _node_on) = world.host(0, 0);
     let (client_host, _client_on) = world.host(2, 0);
     let journal = Journal::default();
--- a/crates/ledger/tests/store.rs
+++ b/crates/ledger/tests/store.rs
@@ -3,7 +3,7 @@
 use chalkgap_ledger::entry::{Open, Settled};
 use chalkgap_ledger::store::{self, incarnation, Store, StoreError};
 use chalkgap_ledger::{Book, Entry, Id, Periods, Taken, What};
-use chalkgap_runtime::altered::Altered;
+use chalkgap_runtime::faulty_runtime::FaultyRuntime;
 use chalkgap_runtime::system::System;
 use chalkgap_runtime::*;
 use futures_lite::future::block_on;
@@ -131,7 +131,7 @@
 
 fn world(drive: Drive) -> (Shared, Memory) {
     let memory = Memory(Arc::new(Mutex::new(drive)));
-    (Arc::new(Altered::new(System::new()).files(memory.clone())), memory)
+    (Arc::new(FaultyRuntime::new(System::new()).files(memory.clone())), memory)
 }
 
 fn entry(number: u64) -> Entry {
--- a/crates/platform/src/answer.rs
+++ b/crates/platform/src/answer.rs
@@ -1,7 +1,7 @@
 //! What a backend's answer says, free of I/O.
 
 use bytes::{Bytes, BytesMut};
-use chalkgap_core::{Outcome, Report};
+use chalkgap_core::{LoadReport, Outcome};
 use chalkgap_resp::{answer, Limits, Value};
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Arc;
@@ -60,7 +60,7 @@
     /// The value, with [`Outcome::Ok`].
     pub value: Bytes,
     /// The load report that came along and could be read.
-    pub report: Option<Report>,
+    pub report: Option<LoadReport>,
     /// The connection may carry another request.
     pub usable: bool,
 }
@@ -95,7 +95,7 @@
         Value::Error(text) => {
             let mut words = text.split(|b| *b == b' ');
             let outcome = match words.next() {
-                Some(b"BUSY") => Outcome::Full,
+                Some(b"BUSY") => Outcome::Rejected,
                 Some(b"ERR") => Outcome::Error,
                 // Not of the protocol: nobody knows what it says of the request.
                 _ => return None,
@@ -108,7 +108,7 @@
 }
 
 /// Reads `name=number` pairs, joined by commas; none unless all of it is of that form.
-fn load(text: &[u8], names: &[String]) -> Option<Report> {
+fn load(text: &[u8], names: &[String]) -> Option<LoadReport> {
     let text = std::str::from_utf8(text).ok().filter(|t| t.len() <= 256)?;
     let pair = |item: &'_ str| {
         let (name, number) = item.split_once('=')?;
@@ -116,5 +116,5 @@
         Some((names.iter().find(|n| *n == name)?.as_str(), number))
     };
     let values: Vec<(&str, f64)> = text.split(',').map(pair).collect::<Option<_>>()?;
-    Some(chalkgap_terms::report(values))
+    Some(chalkgap_deployment_config::report(values))
 }
--- a/crates/platform/src/backend.rs
+++ b/crates/platform/src/backend.rs
@@ -6,10 +6,10 @@
 use crate::request::Work;
 use async_channel::{Receiver, Sender};
 use bytes::{Buf, Bytes, BytesMut};
-use chalkgap::frontend::{Call, Ended, Input, Upstream};
+use chalkgap::frontend::{AttemptResult, DriverEvent, OutboundAttempt, Upstream};
 use chalkgap_core::{BackendId, Outcome, RequestId};
-use chalkgap_pipe::while_alive;
 use chalkgap_runtime::{Alarm, Micros, Shared, Stream};
+use chalkgap_transport::while_alive;
 use futures_lite::{future, AsyncRead, AsyncWrite, Stream as _};
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -24,7 +24,7 @@
 const ROOM: usize = 8;
 
 enum Command {
-    Start(Box<Call<Work>>),
+    Start(Box<OutboundAttempt<Work>>),
     Stop {
         id: RequestId,
         attempt: u16,
@@ -40,12 +40,12 @@
 #[derive(Clone)]
 struct World {
     runtime: Shared,
-    driver: Sender<Input<Work>>,
-    figures: Arc<Figures>,
+    driver: Sender<DriverEvent<Work>>,
+    figures: Arc<DriverLimits>,
 }
 
 /// What connections go by.
-pub struct Figures {
+pub struct DriverLimits {
     /// Names of the values in a load report.
     pub report: Vec<String>,
     /// A connection still not made after this is not made.
@@ -69,8 +69,8 @@
     /// At most `most` connections.
     pub fn new(
         runtime: Shared,
-        driver: Sender<Input<Work>>,
-        figures: Figures,
+        driver: Sender<DriverEvent<Work>>,
+        figures: DriverLimits,
         most: usize,
         kill: Receiver<()>,
     ) -> Self {
@@ -82,7 +82,7 @@
 impl Upstream for Connections {
     type Work = Work;
 
-    fn start(&mut self, backend: BackendId, address: SocketAddr, call: Call<Work>) -> Option<u64> {
+    fn start(&mut self, backend: BackendId, address: SocketAddr, call: OutboundAttempt<Work>) -> Option<u64> {
         let number = match self.pool.take(self.world.runtime.now(), backend, address) {
             Checkout::Reuse(number) => number,
             Checkout::Full => return None,
@@ -153,8 +153,8 @@
 }
 
 /// Whether the time to begin is over.
-fn late(call: &Call<Work>, now: Micros) -> bool {
-    call.begin_by.is_some_and(|by| now > by)
+fn late(call: &OutboundAttempt<Work>, now: Micros) -> bool {
+    call.start_by.is_some_and(|by| now > by)
 }
 
 fn without(outcome: Outcome) -> Answered {
@@ -183,11 +183,15 @@
             connection.stream = None;
             // First: once it hears of the attempt's end the pool might give the connection away.
             let broke = outcome == Outcome::Reset && took < AT_ONCE;
-            let closed = Input::ConnectionClosed { connection: number, broke };
+            let closed = DriverEvent::ConnectionClosed { connection: number, broke_on_first_write: broke };
             let _ = world.driver.send(closed).await; // closed: the instance has stopped
         }
-        let ended = Ended { body: value, report, ..Ended::without_answer(call.id, call.attempt, outcome) };
-        let _ = world.driver.send(Input::Ended(Box::new(ended))).await;
+        let ended = AttemptResult {
+            body: value,
+            report,
+            ..AttemptResult::without_answer(call.id, call.attempt, outcome)
+        };
+        let _ = world.driver.send(DriverEvent::AttemptEnded(Box::new(ended))).await;
     }
 }
 
@@ -200,7 +204,7 @@
 
 impl Connection {
     /// Waits for the next request. A connection that grows too old, ends or says something unasked meanwhile is closed.
-    async fn next(&mut self, world: &World, number: u64) -> Option<Box<Call<Work>>> {
+    async fn next(&mut self, world: &World, number: u64) -> Option<Box<OutboundAttempt<Work>>> {
         loop {
             let until = self.stream.is_some().then_some(self.idle_since + world.figures.idle);
             let next = future::poll_fn(|cx| {
@@ -221,15 +225,20 @@
                 Some(None) => return None,
                 None => {
                     self.stream = None;
-                    let _ =
-                        world.driver.send(Input::ConnectionClosed { connection: number, broke: false }).await;
+                    let _ = world
+                        .driver
+                        .send(DriverEvent::ConnectionClosed {
+                            connection: number,
+                            broke_on_first_write: false,
+                        })
+                        .await;
                 }
             }
         }
     }
 
     /// Carries one request to its end.
-    async fn carry(&mut self, world: &World, address: SocketAddr, call: &Call<Work>) -> Answered {
+    async fn carry(&mut self, world: &World, address: SocketAddr, call: &OutboundAttempt<Work>) -> Answered {
         let runtime = &world.runtime;
         if self.stream.is_none() {
             let until = runtime.now() + world.figures.connect_timeout;
@@ -242,27 +251,27 @@
             match future::or(stopped, future::or(connect, late)).await {
                 Some(Some(stream)) => self.stream = Some(stream),
                 Some(None) => return without(Outcome::ConnectFailed),
-                None => return without(Outcome::Moot), // called off before anything was written
+                None => return without(Outcome::NotSent), // called off before anything was written
             }
         }
-        let left = call.until.saturating_sub(runtime.now());
+        let left = call.deadline.saturating_sub(runtime.now());
         if left == 0 || late(call, runtime.now()) {
-            return Answered { usable: true, ..without(Outcome::Moot) }; // nothing was written: it serves the next one
+            return Answered { usable: true, ..without(Outcome::NotSent) }; // nothing was written: it serves the next one
         }
         let mut out = BytesMut::with_capacity(256);
         call.work.put(&mut out, left.div_ceil(1000));
         let Exchange { answered, written } = self.exchange(world, call, out).await;
         match (written, answered.outcome) {
             // The backend begins a command with its last byte: it was never begun, whatever came back.
-            (false, Outcome::Cancelled) => without(Outcome::Moot),
-            (false, Outcome::Full) => Answered { usable: false, ..answered },
+            (false, Outcome::Cancelled) => without(Outcome::NotSent),
+            (false, Outcome::Rejected) => Answered { usable: false, ..answered },
             (false, _) => without(Outcome::ConnectFailed),
             (true, _) => answered,
         }
     }
 
     /// None once the call is called off, or nobody waits for it any more.
-    async fn stopped<T>(&mut self, call: &Call<Work>) -> Option<T> {
+    async fn stopped<T>(&mut self, call: &OutboundAttempt<Work>) -> Option<T> {
         loop {
             match future::poll_fn(|cx| self.commands.as_mut().poll_next(cx)).await {
                 Some(Command::Stop { id, attempt } | Command::Withdraw { id, attempt })
@@ -272,7 +281,7 @@
         }
     }
 
-    async fn exchange(&mut self, world: &World, call: &Call<Work>, mut out: BytesMut) -> Exchange {
+    async fn exchange(&mut self, world: &World, call: &OutboundAttempt<Work>, mut out: BytesMut) -> Exchange {
         let (mut input, mut share) = (BytesMut::new(), world.figures.answers.share());
         let Some(stream) = &mut self.stream else {
             return Exchange { answered: without(Outcome::ConnectFailed), written: false };
@@ -297,7 +306,7 @@
                 }
             }
             // A backend begins with the last byte.
-            if !out.is_empty() && (late(call, runtime.now()) || alarm.poll(call.begin_by, cx).is_ready()) {
+            if !out.is_empty() && (late(call, runtime.now()) || alarm.poll(call.start_by, cx).is_ready()) {
                 return Poll::Ready(without(Outcome::Cancelled));
             }
             while !out.is_empty() {
--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -1,7 +1,7 @@
 //! What the platform tells an ingress: a file of JSON, named by `RELAY_CONFIG`.
 
 use crate::list::List;
-use chalkgap_terms::Terms;
+use chalkgap_deployment_config::DeploymentConfig;
 use serde::Deserialize;
 use std::net::SocketAddr;
 use std::path::Path;
@@ -87,7 +87,7 @@
     /// The list of backends as this ingress last had it.
     pub known: Option<List>,
     /// What an instance is told.
-    pub terms: Terms,
+    pub terms: DeploymentConfig,
 }
 
 impl Config {
@@ -131,9 +131,10 @@
             let found = raw.limits.sockets;
             return Err(value(format!("limits.sockets: expected {LEAST_SOCKETS} or more, found {found}")));
         }
-        let terms = chalkgap_terms::from_json(&raw.settings).map_err(|e| value(format!("settings: {e}")))?;
+        let terms = chalkgap_deployment_config::from_json(&raw.settings)
+            .map_err(|e| value(format!("settings: {e}")))?;
         let (n, m) = (usize::from(terms.settings.gateways), raw.peers.len());
-        if terms.settings.limits.peers && raw.peer_listen.is_some() && n != m {
+        if terms.settings.limits.gossip && raw.peer_listen.is_some() && n != m {
             return Err(value(format!("peers: expected one for each of {n} ingresses, found {m}")));
         }
         let memory = (raw.limits.memory_mb.max(0.0) * 1e6) as u64;
--- a/crates/platform/src/discovery.rs
+++ b/crates/platform/src/discovery.rs
@@ -7,7 +7,7 @@
 use crate::list::{List, NotTaken, Roster};
 use crate::request::Work;
 use async_channel::{Receiver, Sender};
-use chalkgap::frontend::Input;
+use chalkgap::frontend::DriverEvent;
 use chalkgap_runtime::{Micros, Shared, Stream};
 use futures_lite::{future, AsyncReadExt, AsyncWriteExt};
 use std::future::Future;
@@ -92,7 +92,7 @@
     mut address: SocketAddr,
     waits: Waits,
     moves: Receiver<SocketAddr>,
-    driver: Sender<Input<Work>>,
+    driver: Sender<DriverEvent<Work>>,
     first: Sender<()>,
 ) {
     let (mut pause, mut told, mut slow, mut refused) = (AGAIN, false, 0, 0);
@@ -231,7 +231,7 @@
     roster: &mut Roster,
     address: SocketAddr,
     waits: Waits,
-    driver: &Sender<Input<Work>>,
+    driver: &Sender<DriverEvent<Work>>,
     taken: &mut bool,
     first: &Sender<()>,
 ) -> Lost {
@@ -261,10 +261,10 @@
     runtime: &Shared,
     roster: &mut Roster,
     list: &List,
-    driver: &Sender<Input<Work>>,
+    driver: &Sender<DriverEvent<Work>>,
 ) -> Result<(), Lost> {
     let (seq, hosts, whole) = (list.seq, list.hosts.len(), list.whole);
     let (kind, lines) = roster.take(runtime.now(), list)?;
     tracing::debug!(seq, hosts, whole, "list of backends");
-    driver.send(Input::Roster { kind, lines }).await.map_err(|_| Lost::Stopped)
+    driver.send(DriverEvent::Endpoints { update: kind, endpoints: lines }).await.map_err(|_| Lost::Stopped)
 }
--- a/crates/platform/src/front.rs
+++ b/crates/platform/src/front.rs
@@ -3,11 +3,11 @@
 use crate::request::{Grammar, Request, Work};
 use crate::session::{Heard, Session, MOST_OPEN};
 use async_channel::Sender;
-use chalkgap::frontend::{Answer, Ask, Customer, Front, Input, Permit, Reply};
+use chalkgap::frontend::{Answer, Customer, DriverEvent, Frontend, PendingRequest, Permit, Response};
 use chalkgap::telemetry::{add, Telemetry};
 use chalkgap_core::{CustomerId, RequestId};
-use chalkgap_pipe::{linger, Pipe, Turn};
 use chalkgap_runtime::{BoxFuture, Micros, Shared, Stream};
+use chalkgap_transport::{linger, Pipe, Turn};
 use futures_lite::{future, AsyncWriteExt};
 use std::collections::{HashMap, HashSet};
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -27,10 +27,10 @@
 
 /// What all connections share.
 #[derive(Clone)]
-pub struct FrontContext {
+pub struct FrontendContext {
     pub runtime: Shared,
     pub telemetry: Arc<Telemetry>,
-    pub driver: Sender<Input<Work>>,
+    pub driver: Sender<DriverEvent<Work>>,
     pub grammar: Arc<Grammar>,
     /// The next request's number.
     pub ids: Arc<AtomicU64>,
@@ -40,17 +40,27 @@
     pub overtime: Arc<AtomicU64>,
 }
 
-impl FrontContext {
+impl FrontendContext {
     fn open(&self) -> MutexGuard<'_, HashSet<u64>> {
         self.open.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn ask(&self, token: u32, request: Request, reply: Sender<Reply>) -> Ask<Work> {
+    fn ask(&self, token: u32, request: Request, reply: Sender<Response>) -> PendingRequest<Work> {
         let Request { customer, class, plan, wait, units, width, first, work, .. } = request;
         let customer = Customer { id: CustomerId(customer), plan, first, width };
         let deadline = self.runtime.now() + wait.saturating_sub(MARGIN);
         let id = RequestId(self.ids.fetch_add(1, Ordering::Relaxed));
-        Ask { id, class, account: String::new(), customer, units, deadline, work, reply, token }
+        PendingRequest {
+            id,
+            class,
+            account: String::new(),
+            customer,
+            units,
+            deadline,
+            work,
+            response_sender: reply,
+            token,
+        }
     }
 }
 
@@ -58,12 +68,12 @@
 #[derive(Clone)]
 pub struct Resp;
 
-impl Front for Resp {
-    type Context = FrontContext;
+impl Frontend for Resp {
+    type Context = FrontendContext;
 
     fn serve(
         &self,
-        context: FrontContext,
+        context: FrontendContext,
         stream: Box<dyn Stream>,
         permit: Permit,
     ) -> BoxFuture<'static, ()> {
@@ -97,9 +107,9 @@
 }
 
 struct Client {
-    context: FrontContext,
+    context: FrontendContext,
     permit: Permit,
-    reply: Sender<Reply>,
+    reply: Sender<Response>,
     /// Requests that are out, by the numbers of their slots.
     asked: HashMap<u32, (RequestId, u64)>,
     began: Micros,
@@ -109,7 +119,7 @@
     closing: Option<Micros>,
 }
 
-type ClientPipe = Pipe<Reply, Session>;
+type ClientPipe = Pipe<Response, Session>;
 
 impl Client {
     async fn serve(mut self, mut pipe: ClientPipe) {
@@ -194,7 +204,7 @@
             let id = request.id;
             let ask = self.context.ask(token, request, self.reply.clone());
             self.asked.insert(token, (ask.id, id));
-            match pipe.hand_over(&self.context.driver, Input::Ask(Box::new(ask))).await {
+            match pipe.hand_over(&self.context.driver, DriverEvent::Request(Box::new(ask))).await {
                 Some(true) => {}
                 Some(false) => pipe.conn.stop(), // the instance has stopped
                 None => return false,
@@ -202,10 +212,10 @@
         }
     }
 
-    fn answered(&mut self, reply: Reply, session: &mut Session) {
+    fn answered(&mut self, reply: Response, session: &mut Session) {
         let Some((_, id)) = self.asked.remove(&reply.token) else { return };
         self.context.open().remove(&id);
-        let refused = matches!(reply.answer, Answer::Refused { .. });
+        let refused = matches!(reply.answer, Answer::Rejected { .. });
         self.permit.ended(None, refused);
         session.answered(reply.token, reply.answer);
     }
@@ -224,7 +234,8 @@
         let asked = std::mem::take(&mut self.asked);
         for (request, id) in asked.values() {
             self.context.open().remove(id);
-            let _ = self.context.driver.send(Input::Gone(*request)).await; // closed: the instance has stopped
+            let _ = self.context.driver.send(DriverEvent::ClientGone(*request)).await;
+            // closed: the instance has stopped
         }
         asked.into_keys().collect()
     }
--- a/crates/platform/src/ingress.rs
+++ b/crates/platform/src/ingress.rs
@@ -5,19 +5,21 @@
 use crate::config::Config;
 use crate::discovery;
 use crate::ending::Ends;
-use crate::front::{FrontContext, Resp};
+use crate::front::{FrontendContext, Resp};
 use crate::list::Roster;
 use crate::peers;
 use crate::request::Grammar;
 use async_channel::{Receiver, Sender};
-use chalkgap::frontend::{listen, Acceptor, Driver, Figures, Gate, GateConfig, Input};
+use chalkgap::frontend::{
+    listen, Acceptor, ConnectionGate, ConnectionGateConfig, Driver, DriverEvent, DriverLimits,
+};
 use chalkgap::telemetry::{Counts, Telemetry};
 use chalkgap_admission::known::Places;
 use chalkgap_admission::pace::Pace;
 use chalkgap_admission::{BudgetError, Caps, GivesWay, Split};
 use chalkgap_core::Gateway;
-use chalkgap_pipe::while_alive;
 use chalkgap_runtime::{Datagrams, Micros, Shared};
+use chalkgap_transport::while_alive;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering};
 use std::sync::Arc;
@@ -58,7 +60,7 @@
     address: SocketAddr,
     telemetry: Arc<Telemetry>,
     open: Arc<AtomicUsize>,
-    gate: Arc<Gate>,
+    gate: Arc<ConnectionGate>,
     moves: Sender<SocketAddr>,
     ends: Ends,
     overtime: Arc<AtomicU64>,
@@ -75,8 +77,8 @@
     Split { listeners: OWN, nodes, peers: 0, files: 0, spare, most_clients: clients }
 }
 
-fn gate(sockets: u64) -> GateConfig {
-    GateConfig {
+fn gate(sockets: u64) -> ConnectionGateConfig {
+    ConnectionGateConfig {
         split: split(sockets),
         most: sockets,
         // All clients come by one front, from addresses that say nothing: nobody is told apart by them.
@@ -110,9 +112,9 @@
         let terms = Arc::new(config.terms.clone());
         let bind = |what, address, error| StartError::Bind { what, address, error };
         let telemetry = Arc::new(Telemetry::default());
-        let gate = Gate::new(runtime.clone(), gate(config.sockets), telemetry.clone())?;
+        let gate = ConnectionGate::new(runtime.clone(), gate(config.sockets), telemetry.clone())?;
         let socket: Option<Arc<dyn Datagrams>> =
-            match config.peer_listen.filter(|_| terms.settings.limits.peers) {
+            match config.peer_listen.filter(|_| terms.settings.limits.gossip) {
                 None => None,
                 Some(at) => Some(Arc::from(runtime.datagrams(at).map_err(|e| bind("peer_listen", at, e))?)),
             };
@@ -127,7 +129,7 @@
             let (tell, messages) = async_channel::bounded(PEER_ROOM);
             told = Some(tell);
             start(Box::pin(peers::tell(socket.clone(), config.peers.clone(), messages)));
-            let per_second = terms.settings.limits.peer_in_per_s;
+            let per_second = terms.settings.limits.gossip_receive_rate;
             let (runtime, telemetry) = (runtime.clone(), telemetry.clone());
             let hear =
                 peers::hear(runtime, socket, config.peers.clone(), per_second, telemetry, driver.clone());
@@ -137,8 +139,8 @@
         let connections = Connections::new(
             runtime.clone(),
             driver.clone(),
-            backend::Figures {
-                report: terms.report.clone(),
+            backend::DriverLimits {
+                report: terms.load_report_fields.clone(),
                 connect_timeout: terms.connect_timeout,
                 // Well before the backend does it: a request that crosses its closing may have run.
                 idle: terms.keepalive * 6 / 10,
@@ -148,22 +150,23 @@
             killed.clone(),
         );
         let limits = &terms.settings.limits;
-        let figures = Figures {
-            ingresses: terms.settings.gateways,
-            me: terms.settings.me.0,
-            max_open: limits.max_open as usize,
-            pause: if limits.retry_after { limits.max_retry_after } else { 0 },
+        let figures = DriverLimits {
+            gateway_count: terms.settings.gateways,
+            self_id: terms.settings.self_id.0,
+            max_in_flight: limits.max_in_flight as usize,
+            rejection_retry_after: if limits.retry_after { limits.max_retry_after } else { 0 },
         };
         let core = Gateway::new(terms.settings.clone(), config.seed, runtime.now());
         let main =
             Driver::new(runtime.clone(), figures, telemetry.clone(), core, connections, input).telling(told);
-        let mut roster = Roster::new(terms.zones.clone(), terms.kinds.clone());
+        let mut roster = Roster::new(terms.zone_names.clone(), terms.machine_kinds.clone());
         if let Some(list) = &config.known {
             let (kind, lines) = roster.known(runtime.now(), list);
-            let _ = driver.try_send(Input::Roster { kind, lines }); // the channel is new and empty
+            let _ = driver.try_send(DriverEvent::Endpoints { update: kind, endpoints: lines });
+            // the channel is new and empty
         }
         start(Box::pin(main.run()));
-        let asked = terms.settings.discovery == chalkgap_core::Discovery::Ask;
+        let asked = terms.settings.discovery == chalkgap_core::Discovery::Poll;
         let (first, listed) = async_channel::bounded::<()>(1);
         start(Box::pin(discovery::follow(
             runtime.clone(),
@@ -198,7 +201,7 @@
             open: open.clone(),
             gate: gate.clone(),
         };
-        let context = FrontContext {
+        let context = FrontendContext {
             runtime: runtime.clone(),
             telemetry: telemetry.clone(),
             driver,
--- a/crates/platform/src/list.rs
+++ b/crates/platform/src/list.rs
@@ -1,6 +1,6 @@
 //! Discovery's list of backends, and [`Roster`], which decides what of it the module is told.
 
-use chalkgap_core::{Availability, BackendId, Listed, Micros, RosterKind};
+use chalkgap_core::{Availability, BackendId, Endpoint, EndpointUpdate, Micros};
 use serde::Deserialize;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -70,7 +70,7 @@
 }
 
 /// A list in the module's words, with where each backend listens.
-pub type Lines = Vec<(Listed, SocketAddr)>;
+pub type Lines = Vec<(Endpoint, SocketAddr)>;
 
 /// The number of a backend's identity: the same at all ingresses and after every restart.
 pub fn backend(host: &str) -> BackendId {
@@ -135,18 +135,18 @@
     }
 
     /// The list that an ingress had in an earlier life.
-    pub fn known(&mut self, now: Micros, list: &List) -> (RosterKind, Lines) {
+    pub fn known(&mut self, now: Micros, list: &List) -> (EndpointUpdate, Lines) {
         (self.seq, self.newest) = (list.seq, list.seq);
         let lines = self.lines(list);
         self.note(now, list.whole, &lines);
-        (RosterKind::Cached, lines)
+        (EndpointUpdate::Cached, lines)
     }
 
     /// A list came.
     ///
     /// # Errors
     /// See [`NotTaken`].
-    pub fn take(&mut self, now: Micros, list: &List) -> Result<(RosterKind, Lines), NotTaken> {
+    pub fn take(&mut self, now: Micros, list: &List) -> Result<(EndpointUpdate, Lines), NotTaken> {
         if list.hosts.len() > MOST {
             return Err(NotTaken::Long { found: list.seq, hosts: list.hosts.len() });
         }
@@ -164,14 +164,14 @@
         }
         let mut lines = self.lines(list);
         if self.older.is_some() {
-            let again = |l: &Listed| self.out.get(&l.backend).is_some_and(|o| o.0 == l.started);
+            let again = |l: &Endpoint| self.out.get(&l.backend).is_some_and(|o| o.0 == l.started_at);
             for (l, _) in lines.iter_mut().filter(|(l, _)| l.availability == Availability::Ready && again(l))
             {
                 l.availability = Availability::Draining;
             }
         }
         self.note(now, list.whole, &lines);
-        let kind = if list.whole { RosterKind::Full } else { RosterKind::Delta };
+        let kind = if list.whole { EndpointUpdate::Snapshot } else { EndpointUpdate::Delta };
         Ok((kind, lines))
     }
 
@@ -182,9 +182,9 @@
             before.remove(&l.backend);
             if l.availability == Availability::Ready {
                 self.out.remove(&l.backend);
-                self.ready.insert(l.backend, l.started);
+                self.ready.insert(l.backend, l.started_at);
             } else {
-                let started = self.ready.remove(&l.backend).unwrap_or(l.started);
+                let started = self.ready.remove(&l.backend).unwrap_or(l.started_at);
                 self.out.entry(l.backend).or_insert((started, now));
             }
         }
@@ -203,7 +203,7 @@
             // A zone that the settings do not name is nobody's: told apart from all of theirs.
             let zone = number(&self.zones, &h.site).unwrap_or(self.zones.len());
             let kind = number(&self.kinds, &h.class).unwrap_or(self.kinds.len());
-            let listed = Listed {
+            let listed = Endpoint {
                 backend: backend(&h.host),
                 zone: zone.min(255) as u8,
                 cell: h.block,
@@ -213,8 +213,8 @@
                     Health::Draining => Availability::Draining,
                     Health::Gone => Availability::Gone,
                 },
-                size: h.share,
-                started: h.born_ms.saturating_mul(1000),
+                weight: h.share,
+                started_at: h.born_ms.saturating_mul(1000),
             };
             (listed, h.dial)
         };
--- a/crates/platform/src/peers.rs
+++ b/crates/platform/src/peers.rs
@@ -3,7 +3,7 @@
 
 use crate::request::Work;
 use async_channel::{Receiver, Sender};
-use chalkgap::frontend::{Input, Intake};
+use chalkgap::frontend::{DriverEvent, Intake};
 use chalkgap::telemetry::{add, Telemetry};
 use chalkgap_runtime::{Datagrams, Shared};
 use std::collections::HashMap;
@@ -30,7 +30,7 @@
     peers: Vec<SocketAddr>,
     per_second: f64,
     telemetry: Arc<Telemetry>,
-    driver: Sender<Input<Work>>,
+    driver: Sender<DriverEvent<Work>>,
 ) {
     let numbers: HashMap<SocketAddr, u16> = peers.into_iter().zip(0u16..).collect();
     let mut intake = Intake::new(per_second);
@@ -50,7 +50,7 @@
             add(&telemetry.peer_dropped);
             continue;
         };
-        if driver.send(Input::Peer { from, bytes: buffer[..n].to_vec() }).await.is_err() {
+        if driver.send(DriverEvent::Gossip { from, bytes: buffer[..n].to_vec() }).await.is_err() {
             return;
         }
     }
--- a/crates/platform/src/request.rs
+++ b/crates/platform/src/request.rs
@@ -2,9 +2,9 @@
 //! reaches a backend, nor the quota of the customer in whose name it comes.
 
 use bytes::{Bytes, BytesMut};
-use chalkgap_core::{Micros, Repeat};
+use chalkgap_core::{Micros, RetrySafety};
+use chalkgap_deployment_config::DeploymentConfig;
 use chalkgap_resp::{put_array, put_bulk, Command};
-use chalkgap_terms::Terms;
 use std::collections::HashMap;
 use std::io::Write;
 use std::sync::Arc;
@@ -115,7 +115,7 @@
 
 /// The settings, as requests are looked up in them.
 pub struct Grammar {
-    classes: HashMap<Vec<u8>, (u8, Repeat, Micros)>,
+    classes: HashMap<Vec<u8>, (u8, RetrySafety, Micros)>,
     plans: HashMap<Vec<u8>, u16>,
     most_units: f64,
     ingresses: f64,
@@ -135,16 +135,16 @@
 
 impl Grammar {
     /// The grammar of these settings.
-    pub fn new(terms: &Terms) -> Self {
-        let classes = terms.classes.iter().zip(&terms.settings.classes).enumerate();
-        let class = |(n, (name, c)): (usize, (&String, &chalkgap_core::Class))| {
-            (name.clone().into_bytes(), (n.min(255) as u8, c.repeat, c.deadline))
+    pub fn new(terms: &DeploymentConfig) -> Self {
+        let classes = terms.class_names.iter().zip(&terms.settings.classes).enumerate();
+        let class = |(n, (name, c)): (usize, (&String, &chalkgap_core::RequestClass))| {
+            (name.clone().into_bytes(), (n.min(255) as u8, c.retry_safety, c.deadline))
         };
-        let plans = terms.plans.iter().enumerate();
+        let plans = terms.plan_names.iter().enumerate();
         Grammar {
             classes: classes.map(class).collect(),
             plans: plans.map(|(n, name)| (name.clone().into_bytes(), n.min(65_535) as u16)).collect(),
-            most_units: terms.most_units,
+            most_units: terms.max_units,
             ingresses: f64::from(terms.settings.gateways),
         }
     }
@@ -196,14 +196,14 @@
         }
         let (class, repeat, most) =
             class.and_then(|c| self.classes.get(c.0)).copied().ok_or(Invalid::Class)?;
-        if query != (repeat == Repeat::Safe) {
+        if query != (repeat == RetrySafety::Idempotent) {
             return Err(Invalid::Class);
         }
         let plan = plan.and_then(|p| self.plans.get(p.0)).copied().ok_or(Invalid::Plan)?;
         let (digits, from) = wait.ok_or(Invalid::Deadline)?;
         let left =
             number(digits).filter(|_| digits.iter().all(u8::is_ascii_digit)).ok_or(Invalid::Deadline)?;
-        let keyed = matches!(repeat, Repeat::Keyed { .. });
+        let keyed = matches!(repeat, RetrySafety::IdempotencyKey { .. });
         if keyed != key.is_some() || key.is_some_and(|k| hex(k.0).is_none()) {
             return Err(Invalid::Key);
         }
--- a/crates/platform/src/session.rs
+++ b/crates/platform/src/session.rs
@@ -4,8 +4,8 @@
 use bytes::{Bytes, BytesMut};
 use chalkgap::frontend::Answer;
 use chalkgap_core::Micros;
-use chalkgap_pipe::Machine;
 use chalkgap_resp::{command, put_bulk, put_line, Limits};
+use chalkgap_transport::Machine;
 use std::collections::VecDeque;
 use std::convert::Infallible;
 use std::sync::Arc;
@@ -64,12 +64,14 @@
             out.reserve(body.len() + 16);
             put_bulk(out, body);
         }
-        Answer::Refused { pause: 0 } => put_line(out, b'-', "BUSY"),
+        Answer::Rejected { retry_after: 0 } => put_line(out, b'-', "BUSY"),
         // Up: who comes too early is refused again.
-        Answer::Refused { pause } => put_line(out, b'-', &format!("BUSY {}", pause.div_ceil(1000))),
+        Answer::Rejected { retry_after: pause } => {
+            put_line(out, b'-', &format!("BUSY {}", pause.div_ceil(1000)))
+        }
         Answer::Failed { late: true } => put_line(out, b'-', "ERR no answer in time"),
         Answer::Failed { late: false } => put_line(out, b'-', "ERR failed, it may have run"),
-        Answer::Gone => {}
+        Answer::ClientGone => {}
     }
 }
 
--- a/crates/platform/tests/common/mod.rs
+++ b/crates/platform/tests/common/mod.rs
@@ -81,19 +81,19 @@
     /// Says nothing, until the other side closes.
     Nothing,
     /// Writes this when the test lets it, and goes on.
-    SayWhen(&'static Gate, &'static [u8]),
+    SayWhen(&'static ConnectionGate, &'static [u8]),
 }
 
 /// What the test's word opens, for good.
 #[derive(Default)]
-pub struct Gate {
+pub struct ConnectionGate {
     open: Mutex<bool>,
     changed: Condvar,
 }
 
-impl Gate {
+impl ConnectionGate {
     /// A closed one; it lives as long as the tests do.
-    pub fn closed() -> &'static Gate {
+    pub fn closed() -> &'static ConnectionGate {
         Box::leak(Box::default())
     }
 
--- a/crates/platform/tests/discovery.rs
+++ b/crates/platform/tests/discovery.rs
@@ -2,12 +2,12 @@
 //! the bound; and how often the agent is asked.
 
 use async_channel::{Receiver, Sender};
-use chalkgap::frontend::Input;
+use chalkgap::frontend::DriverEvent;
 use chalkgap_core::Availability;
 use chalkgap_platform::discovery::{follow, Waits};
 use chalkgap_platform::list::Roster;
 use chalkgap_platform::request::Work;
-use chalkgap_runtime::virtual_world::{address, Power, World};
+use chalkgap_runtime::simulated_runtime::{address, Power, World};
 use chalkgap_runtime::{Micros, Runtime, Shared, Stream};
 use futures_lite::{future, AsyncReadExt, AsyncWriteExt};
 use std::net::SocketAddr;
@@ -141,7 +141,7 @@
     no: u32,
     asked: bool,
     at: SocketAddr,
-) -> (Shared, Power, Sender<SocketAddr>, Receiver<Input<Work>>) {
+) -> (Shared, Power, Sender<SocketAddr>, Receiver<DriverEvent<Work>>) {
     let (host, power) = world.host(no, 0);
     let runtime: Shared = host;
     let (moves, moved) = async_channel::bounded(4);
@@ -160,7 +160,7 @@
     agents: Vec<(Handle, SocketAddr)>,
     others: Vec<Sender<SocketAddr>>,
     moves: Sender<SocketAddr>,
-    input: Receiver<Input<Work>>,
+    input: Receiver<DriverEvent<Work>>,
     power: Vec<Power>,
 }
 
@@ -201,7 +201,7 @@
     }
 
     /// One more that follows the same agent, where lists are asked for.
-    fn further(&mut self, no: u32) -> Receiver<Input<Work>> {
+    fn further(&mut self, no: u32) -> Receiver<DriverEvent<Work>> {
         let (_, power, moves, input) = follower(&self.world, no, true, self.agents[0].1);
         self.power.push(power);
         self.others.push(moves);
@@ -228,7 +228,7 @@
         let want = chalkgap_platform::list::backend(&format!("s-{version}"));
         let told = async {
             while let Ok(input) = self.input.recv().await {
-                let Input::Roster { lines, .. } = input else { continue };
+                let DriverEvent::Endpoints { endpoints: lines, .. } = input else { continue };
                 if lines.iter().any(|l| l.0.backend == want && l.0.availability == Availability::Ready) {
                     return self.runtime.now() - begin;
                 }
@@ -403,9 +403,9 @@
 #[test]
 fn a_reset_watch_is_opened_again_at_once() {
     play(5, false, |rig| async move {
-        let cut = Some(chalkgap_runtime::weather::Cut::Reset);
-        let weather = chalkgap_runtime::virtual_world::USUAL;
-        rig.world.link(1, 3, Some(chalkgap_runtime::weather::Weather { cut, ..weather }));
+        let cut = Some(chalkgap_runtime::link_faults::Cut::Reset);
+        let weather = chalkgap_runtime::simulated_runtime::USUAL;
+        rig.world.link(1, 3, Some(chalkgap_runtime::link_faults::LinkFaults { cut, ..weather }));
         rig.world.link(1, 3, None);
         rig.agent().seq = 2;
         let took = rig.told(2).await;
--- a/crates/platform/tests/endings.rs
+++ b/crates/platform/tests/endings.rs
@@ -2,7 +2,7 @@
 //! `docs/design/endings.md`.
 
 use chalkgap_resp::put_command;
-use common::{backend, known, Act, Client, Gate, Journal, GOOD, PATIENCE};
+use common::{backend, known, Act, Client, ConnectionGate, Journal, GOOD, PATIENCE};
 use rig::{always, first, next_command, scripted, until, Fixture, Late, Script};
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -85,7 +85,7 @@
 /// Commands that were read, and wait for their turn behind those that are open, are answered in a drain as well.
 #[test]
 fn what_was_read_and_not_begun_is_answered_in_a_drain() {
-    let gate = Gate::closed();
+    let gate = ConnectionGate::closed();
     let f = Fixture::start(vec![Box::new(move |_, _| Act::SayWhen(gate, GOOD))]);
     let (mut c, mut rests) = (f.client(), f.resting());
     c.write(&queries(1, 60));
@@ -171,7 +171,7 @@
 /// No room: who comes is refused in words, with its request unread, as long as descriptors last.
 #[test]
 fn who_finds_no_room_is_told_so() {
-    let gate = Gate::closed();
+    let gate = ConnectionGate::closed();
     let long = ("\"objective_us\":1000000", "\"objective_us\":3900000");
     let f = Fixture::with(
         vec![Box::new(move |_, _| Act::SayWhen(gate, GOOD))],
@@ -204,8 +204,8 @@
 
 /// An ingress whose requests wait for a place, as its backends say nothing until the test's word; aims are long, so that they
 /// wait for long.
-fn waiting(cancel: bool) -> (Fixture, &'static Gate) {
-    let gate = Gate::closed();
+fn waiting(cancel: bool) -> (Fixture, &'static ConnectionGate) {
+    let gate = ConnectionGate::closed();
     let mut changes = vec![
         ("\"objective_us\":1000000", "\"objective_us\":20000000"),
         ("\"give_up_us\":4000000", "\"give_up_us\":20000000"),
@@ -259,7 +259,7 @@
 /// A client that reads nothing of what it is owed is not read from either.
 #[test]
 fn a_client_that_leaves_with_its_answers_unread_is_noticed() {
-    let (answers, errors) = (Gate::closed(), Gate::closed());
+    let (answers, errors) = (ConnectionGate::closed(), ConnectionGate::closed());
     let big: &'static [u8] = {
         let value = vec![b'v'; 900_000];
         let mut out = format!("*3\r\n${}\r\n", value.len()).into_bytes();
@@ -369,7 +369,7 @@
             // The first attempt may have run; its repeat is decided at once, and its connection comes up a second later.
             let window = ("\"window_us\":5000000", "\"window_us\":600000");
             let two = ("\"most_tries\":3", "\"most_tries\":2"); // a third would go by a connection of its own
-            let (late, gate, journal) = (Late::new(), Gate::closed(), Journal::default());
+            let (late, gate, journal) = (Late::new(), ConnectionGate::closed(), Journal::default());
             let port = {
                 let journal = journal.clone();
                 scripted(move |_, mut stream| {
@@ -420,7 +420,7 @@
 /// Half a line from a backend on a connection that rests: it is of no further use, and the next request is unharmed.
 #[test]
 fn half_a_line_on_a_resting_connection_harms_nobody() {
-    let noise = Gate::closed();
+    let noise = ConnectionGate::closed();
     let port = scripted(move |n, mut stream| {
         let mut buffer = bytes::BytesMut::new();
         while next_command(&mut stream, &mut buffer).is_some() {
--- a/crates/platform/tests/machines.rs
+++ b/crates/platform/tests/machines.rs
@@ -2,8 +2,7 @@
 
 use bytes::{Bytes, BytesMut};
 use chalkgap::frontend::Answer;
-use chalkgap_core::{Availability, BackendId, Outcome, RosterKind};
-use chalkgap_pipe::Machine;
+use chalkgap_core::{Availability, BackendId, EndpointUpdate, Outcome};
 use chalkgap_platform::answer::{take, Budget};
 use chalkgap_platform::ending::Ends;
 use chalkgap_platform::feed::{Feed, FeedError};
@@ -13,6 +12,7 @@
 use chalkgap_platform::session::{Session, MOST_OPEN};
 use chalkgap_platform::Config;
 use chalkgap_resp::{command, put_command, Command, Limits};
+use chalkgap_transport::Machine;
 use proptest::prelude::*;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -110,7 +110,7 @@
     assert_eq!(tokens.len(), 2);
     assert_eq!(session.waiting().map(|w| w.1).collect::<Vec<_>>(), [0x9b1f_03aa_5c7e_2d41, 10]);
     assert!(!session.reads(), "what follows a broken command is nobody's");
-    assert_eq!(session.answered(tokens[1], Answer::Refused { pause: 1500 }), Some(10));
+    assert_eq!(session.answered(tokens[1], Answer::Rejected { retry_after: 1500 }), Some(10));
     assert!(session.output().is_empty(), "it is not its turn");
     assert!(!session.over(), "earlier requests still get their answers");
     session.answered(tokens[0], served("value"));
@@ -137,7 +137,7 @@
 fn answer(bytes: &[u8]) -> Option<(Outcome, String, Option<f64>, bool)> {
     let found = take(&mut BytesMut::from(bytes), &["depth".to_owned()])?;
     let value = String::from_utf8(found.value.to_vec()).unwrap();
-    Some((found.outcome, value, found.report.and_then(|r| r.queue), found.usable))
+    Some((found.outcome, value, found.report.and_then(|r| r.queued), found.usable))
 }
 
 #[test]
@@ -145,7 +145,7 @@
     let good = b"*3\r\n$5\r\nvalue\r\n$-1\r\n$7\r\ndepth=2\r\n";
     assert_eq!(answer(good), Some((Outcome::Ok, "value".into(), Some(2.0), true)));
     assert_eq!(answer(&good[..good.len() - 1]), None);
-    assert_eq!(answer(b"-BUSY\r\n"), Some((Outcome::Full, String::new(), None, true)));
+    assert_eq!(answer(b"-BUSY\r\n"), Some((Outcome::Rejected, String::new(), None, true)));
     assert_eq!(answer(b"-ERR failed depth=3\r\n"), Some((Outcome::Error, String::new(), Some(3.0), true)));
     // Good, and more than belongs to it: the answer stands, the connection is done.
     assert_eq!(answer(&good.repeat(2)), Some((Outcome::Ok, "value".into(), Some(2.0), false)));
@@ -293,11 +293,11 @@
 fn lists_that_are_behind_call_nothing_back() {
     let mut roster = Roster::new(vec!["a".into(), "b".into()], vec!["k".into()]);
     let (kind, lines) = roster.take(0, &list(41, true, &[("s-1", "ready"), ("s-2", "draining")])).unwrap();
-    assert_eq!((kind, lines.len()), (RosterKind::Full, 2));
+    assert_eq!((kind, lines.len()), (EndpointUpdate::Snapshot, 2));
     let (l, address) = lines[0];
     assert_eq!((l.backend, address, l.zone, l.kind, l.cell), (backend("s-1"), at(1), 1, 0, 3));
-    assert_eq!((l.size, l.started), (2.5, 7000));
-    assert_eq!(roster.take(1, &list(42, false, &[("s-1", "gone")])).unwrap().0, RosterKind::Delta);
+    assert_eq!((l.weight, l.started_at), (2.5, 7000));
+    assert_eq!(roster.take(1, &list(42, false, &[("s-1", "gone")])).unwrap().0, EndpointUpdate::Delta);
     // An agent that is behind would bring back what drains.
     assert!(roster.take(2, &list(40, true, &[("s-1", "ready"), ("s-2", "ready")])).is_err());
     assert!(roster.take(3, &list(41, false, &[("s-2", "ready")])).is_err());
@@ -429,9 +429,9 @@
         said(&good.replace("\"quota_rate\":2.0", "\"quota_rate\":-2.0")).contains("contracts.0.quota_rate")
     );
     let config = Config::parse("c.json", good.as_bytes()).unwrap();
-    assert_eq!(config.terms.classes, ["sig-check", "report-upload"]);
-    assert_eq!(config.terms.settings.plans[0].rate, 2.0);
-    assert_eq!(config.terms.report, ["depth"]);
+    assert_eq!(config.terms.class_names, ["sig-check", "report-upload"]);
+    assert_eq!(config.terms.settings.plans[0].quota_rate, 2.0);
+    assert_eq!(config.terms.load_report_fields, ["depth"]);
 }
 
 proptest! {
--- a/crates/platform/tests/recorded_documents.rs
+++ b/crates/platform/tests/recorded_documents.rs
@@ -11,12 +11,12 @@
     std::fs::read(recorded::fixture(name)).expect("the recorded document")
 }
 
-fn show_lines(text: &mut String, lines: &[(chalkgap_core::Listed, std::net::SocketAddr)]) {
+fn show_lines(text: &mut String, lines: &[(chalkgap_core::Endpoint, std::net::SocketAddr)]) {
     for (line, address) in lines {
         writeln!(
             text,
             "{:016x} zone {} cell {} kind {} {:?} size {} started {} at {address}",
-            line.backend.0, line.zone, line.cell, line.kind, line.availability, line.size, line.started
+            line.backend.0, line.zone, line.cell, line.kind, line.availability, line.weight, line.started_at
         )
         .unwrap();
     }
@@ -31,51 +31,68 @@
     writeln!(text, "peer_listen {:?} peers {:?}", config.peer_listen, config.peers).unwrap();
     let terms = &config.terms;
     let settings = &terms.settings;
-    writeln!(text, "gateways {} self {} zone {}", settings.gateways, settings.me.0, settings.zone).unwrap();
-    writeln!(text, "tick {} meter {} post-paid {}", settings.tick, settings.meter_period, settings.post_paid)
+    writeln!(text, "gateways {} self {} zone {}", settings.gateways, settings.self_id.0, settings.zone)
         .unwrap();
-    writeln!(text, "names {:?} {:?} {:?} {:?}", terms.classes, terms.plans, terms.zones, terms.kinds)
+    writeln!(text, "tick {} meter {} post-paid {}", settings.tick, settings.meter_period, settings.post_paid)
         .unwrap();
-    writeln!(text, "report {:?} units {}", terms.report, terms.most_units).unwrap();
+    writeln!(
+        text,
+        "names {:?} {:?} {:?} {:?}",
+        terms.class_names, terms.plan_names, terms.zone_names, terms.machine_kinds
+    )
+    .unwrap();
+    writeln!(text, "report {:?} units {}", terms.load_report_fields, terms.max_units).unwrap();
     writeln!(text, "keepalive {} connect {}", terms.keepalive, terms.connect_timeout).unwrap();
     for class in &settings.classes {
         writeln!(
             text,
             "class: {} {} {} {} {} {}",
-            class.aim, class.aim_stretch, class.deadline, class.worth, class.late_worth, class.stream
+            class.latency_objective,
+            class.objective_per_work,
+            class.deadline,
+            class.priority_weight,
+            class.late_priority_weight,
+            class.streaming
         )
         .unwrap();
     }
     for plan in &settings.plans {
-        let rates = [plan.rate, plan.burst, plan.ceiling_rate, plan.ceiling_burst, plan.ceiling_slack];
-        writeln!(text, "plan: {rates:?} cap {}", plan.open_cap).unwrap();
-        writeln!(text, "plan: {:?}", [plan.price, plan.over_worth, plan.over_cost]).unwrap();
+        let rates = [
+            plan.quota_rate,
+            plan.quota_burst,
+            plan.hard_limit_rate,
+            plan.hard_limit_burst,
+            plan.hard_limit_slack,
+        ];
+        writeln!(text, "plan: {rates:?} cap {}", plan.max_in_flight).unwrap();
+        writeln!(text, "plan: {:?}", [plan.priority_factor, plan.over_quota_weight, plan.over_quota_penalty])
+            .unwrap();
     }
     let limits = &settings.limits;
     let flags = [
-        limits.second_copies,
-        limits.cancel,
-        limits.probes,
-        limits.peers,
+        limits.hedging,
+        limits.cancellation,
+        limits.health_checks,
+        limits.gossip,
         limits.retry_after,
-        limits.counter,
+        limits.shared_counter,
     ];
-    writeln!(text, "limits: {} {flags:?} {}", limits.max_attempts, limits.peer_in_per_s).unwrap();
-    writeln!(text, "limits: {} {}", limits.max_retry_after, limits.max_open).unwrap();
+    writeln!(text, "limits: {} {flags:?} {}", limits.max_attempts, limits.gossip_receive_rate).unwrap();
+    writeln!(text, "limits: {} {}", limits.max_retry_after, limits.max_in_flight).unwrap();
     let rules = &settings.rules;
     writeln!(
         text,
         "rules: {} {} {} {} {} {} {}",
-        rules.answer_slack,
+        rules.answer_grace,
         rules.drain_grace,
-        rules.cold_from,
-        rules.cold_time,
-        rules.fall_factor,
-        rules.fall_time,
-        rules.must_ask
+        rules.slow_start_min_capacity,
+        rules.slow_start_window,
+        rules.overload_factor,
+        rules.overload_window,
+        rules.max_poll_interval
     )
     .unwrap();
-    let mut roster = Roster::new(terms.zones.clone(), terms.kinds.clone());
+    let mut roster = Roster::new(terms.zone_names.clone(), terms.machine_kinds.clone());
     let known: &List = config.known.as_ref().expect("a known list");
     let (_, lines) = roster.known(1, known);
     writeln!(text, "known {} whole {}", known.seq, known.whole).unwrap();
--- a/crates/allotment/tests/never_over.rs
+++ b/crates/quota-lease/tests/never_over.rs
@@ -1,7 +1,7 @@
 //! Owners, voters and holders with clocks that differ, messages that are lost, late, doubled and overtake each other,
 //! instances that are killed, started again, stopped, and cut off; and one who counts every unit that is spent.
 
-use chalkgap_allotment::{Ask, Candidate, Grant, Holder, Limit, Micros, Owner, Terms, Units, Voter};
+use chalkgap_quota_lease::{Ask, Candidate, Grant, Holder, Limit, Micros, Owner, Terms, Units, Voter};
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 use std::collections::BTreeMap;
@@ -13,7 +13,7 @@
 #[derive(Clone, Copy)]
 enum Word {
     Stand { question: u64, epoch: u64 },
-    Vote(chalkgap_allotment::slot::Vote),
+    Vote(chalkgap_quota_lease::slot::Vote),
     Want { ask: Ask, units: Units },
     Give { question: u64, grant: Grant },
     Back { grant: Grant, spent: Units },
--- a/crates/runtime/src/altered.rs
+++ b/crates/runtime/src/faulty_runtime.rs
@@ -9,20 +9,20 @@
 type Doors = Box<dyn Fn(Box<dyn Listener>) -> Box<dyn Listener> + Send + Sync>;
 
 /// Another world, but for what is said here.
-pub struct Altered {
+pub struct FaultyRuntime {
     inner: Shared,
     files: Option<Box<dyn Files>>,
     doors: Option<Doors>,
 }
 
-impl Altered {
+impl FaultyRuntime {
     /// A world that is like `inner` in all.
-    pub fn new(inner: Shared) -> Altered {
-        Altered { inner, files: None, doors: None }
+    pub fn new(inner: Shared) -> FaultyRuntime {
+        FaultyRuntime { inner, files: None, doors: None }
     }
 
     /// With these files.
-    pub fn files(mut self, files: impl Files + 'static) -> Altered {
+    pub fn files(mut self, files: impl Files + 'static) -> FaultyRuntime {
         self.files = Some(Box::new(files));
         self
     }
@@ -31,13 +31,13 @@
     pub fn listeners(
         mut self,
         change: impl Fn(Box<dyn Listener>) -> Box<dyn Listener> + Send + Sync + 'static,
-    ) -> Altered {
+    ) -> FaultyRuntime {
         self.doors = Some(Box::new(change));
         self
     }
 }
 
-impl Runtime for Altered {
+impl Runtime for FaultyRuntime {
     fn now(&self) -> Micros {
         self.inner.now()
     }
--- a/crates/runtime/src/lib.rs
+++ b/crates/runtime/src/lib.rs
@@ -2,14 +2,14 @@
 //! listeners, datagrams, files and randomness. Nothing above this crate names a socket type of the system or asks the
 //! system for the time, so that all of it can be played through on another world.
 //!
-//! [`weather`] is what links do to what goes over them; [`altered::Altered`] is a world with a part of its own.
+//! [`weather`] is what links do to what goes over them; [`altered::FaultyRuntime`] is a world with a part of its own.
 //!
-//! [`system::System`] is the real one, on async-io and futures-lite; [`virtual_world::World`] has no system under it.
+//! [`system::System`] is the real one, on async-io and futures-lite; [`simulated_runtime::World`] has no system under it.
 
-pub mod altered;
+pub mod faulty_runtime;
+pub mod link_faults;
+pub mod simulated_runtime;
 pub mod system;
-pub mod virtual_world;
-pub mod weather;
 
 use futures_lite::{AsyncRead, AsyncWrite};
 use std::future::Future;
--- a/crates/runtime/src/weather.rs
+++ b/crates/runtime/src/link_faults.rs
@@ -21,7 +21,7 @@
 
 /// What a link does in one direction. Shares are from 0 to 1.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Weather {
+pub struct LinkFaults {
     /// Lost; on a stream it comes later.
     pub loss: f64,
     /// Datagrams sent twice.
@@ -38,7 +38,7 @@
     pub half_open: bool,
 }
 
-impl Weather {
+impl LinkFaults {
     /// How long something is under way.
     pub fn late(&self, rng: &mut SmallRng) -> Micros {
         let tail = self.tail > 0.0 && rng.random::<f64>() < self.tail;
--- a/crates/runtime/src/virtual_world.rs
+++ b/crates/runtime/src/simulated_runtime.rs
@@ -4,9 +4,9 @@
 //! A [`World`] has [`Host`]s, each a [`Runtime`]: a machine with an address, a disk and a clock of its own. A host that is
 //! killed loses its tasks, its streams and what its disk had not synced; started again it has what is left.
 
-pub use crate::weather::{Cut, Weather};
+pub use crate::link_faults::{Cut, LinkFaults};
 
-use crate::weather::LOOK;
+use crate::link_faults::LOOK;
 use crate::{Append, BoxFuture, Datagrams, Files, Listener, Micros, Runtime, Stream, Task};
 use async_executor::Executor;
 use futures_lite::future;
@@ -27,8 +27,8 @@
 const DATAGRAMS: usize = 4096;
 
 /// What links do that nobody has set.
-pub const USUAL: Weather =
-    Weather { delay: (100, 300), loss: 0.0, double: 0.0, tail: 0.0, rate: 0, cut: None, half_open: false };
+pub const USUAL: LinkFaults =
+    LinkFaults { delay: (100, 300), loss: 0.0, double: 0.0, tail: 0.0, rate: 0, cut: None, half_open: false };
 
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
@@ -78,9 +78,9 @@
 struct State {
     now: Micros,
     rng: SmallRng,
-    weather: Weather,
+    weather: LinkFaults,
     /// Those between two hosts, in one direction, that are not as usual.
-    links: BTreeMap<(u32, u32), Weather>,
+    links: BTreeMap<(u32, u32), LinkFaults>,
     set: u64,
     timers: BTreeMap<(Micros, u64), Waker>,
     doors: BTreeMap<SocketAddr, Door>,
@@ -141,12 +141,12 @@
     }
 
     /// Changes the weather of all links that have none of their own.
-    pub fn weather(&self, weather: Weather) {
+    pub fn weather(&self, weather: LinkFaults) {
         lock(&self.state).weather = weather;
     }
 
     /// Changes the link from one host to another, in this direction; none: it is like the others again.
-    pub fn link(&self, from: u32, to: u32, weather: Option<Weather>) {
+    pub fn link(&self, from: u32, to: u32, weather: Option<LinkFaults>) {
         let hit: Vec<Arc<Mutex<Way>>> = {
             let mut s = lock(&self.state);
             match weather {
@@ -227,7 +227,7 @@
         self.timers.insert((at, self.set), waker);
     }
 
-    fn link(&self, from: u32, to: u32) -> Weather {
+    fn link(&self, from: u32, to: u32) -> LinkFaults {
         self.links.get(&(from, to)).copied().unwrap_or(self.weather)
     }
 
--- a/crates/runtime/tests/virtual_world.rs
+++ b/crates/runtime/tests/simulated_runtime.rs
@@ -1,6 +1,6 @@
 //! The world without a system: its clock, streams, links and datagrams.
 
-use chalkgap_runtime::virtual_world::{address, Cut, Weather, World, USUAL};
+use chalkgap_runtime::simulated_runtime::{address, Cut, LinkFaults, World, USUAL};
 use chalkgap_runtime::{Micros, Runtime};
 use futures_lite::future;
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
@@ -94,8 +94,8 @@
         .run(async move {
             let mut near = b.connect(to).await.unwrap();
             let mut far = door.accept().await.unwrap();
-            let set = |from, to, w: Weather| links.link(from, to, Some(w));
-            set(2, 1, Weather { cut: Some(Cut::Silent), ..USUAL });
+            let set = |from, to, w: LinkFaults| links.link(from, to, Some(w));
+            set(2, 1, LinkFaults { cut: Some(Cut::Silent), ..USUAL });
             near.write_all(b"up").await.unwrap();
             far.write_all(b"down").await.unwrap();
             let mut word = [0; 4];
@@ -112,7 +112,7 @@
             far.read_exact(&mut word).await.unwrap();
             assert!(a.now() - begun >= 5_000_000, "what was under way came after the cut");
             // Killed, and nobody is told.
-            set(2, 1, Weather { half_open: true, ..USUAL });
+            set(2, 1, LinkFaults { half_open: true, ..USUAL });
             power.kill();
             let wait = async {
                 clock.sleep_until(clock.now() + 60_000_000).await;
@@ -124,7 +124,7 @@
             assert_eq!(far.read(&mut word).await.unwrap_err().kind(), io::ErrorKind::ConnectionReset);
             // Reset: what is there breaks, and nothing new comes about, between these two alone.
             let mut third = c.connect(to).await.unwrap();
-            set(3, 1, Weather { cut: Some(Cut::Reset), ..USUAL });
+            set(3, 1, LinkFaults { cut: Some(Cut::Reset), ..USUAL });
             assert!(third.read(&mut word).await.is_err() && c.connect(to).await.is_err());
             links.link(3, 1, None);
             assert!(c.connect(to).await.is_ok());
@@ -135,7 +135,7 @@
 #[test]
 fn datagrams_are_lost_and_doubled_by_share() {
     let world = World::new(3, 0);
-    world.weather(Weather { loss: 0.2, double: 0.1, ..USUAL });
+    world.weather(LinkFaults { loss: 0.2, double: 0.1, ..USUAL });
     let ((a, _on_a), (b, _on_b)) = (world.host(1, 0), world.host(2, 0));
     let got = world.run(async move {
         let (from, to) =
--- a/crates/simhost/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -43,8 +43,9 @@
             let event = match record.decode(&fields)? {
                 None => continue,
                 Some(wire::Decoded::Start { instance, seed, conf }) => {
-                    let terms = chalkgap_terms::parse(conf).map_err(|e| record.error("conf", &e))?;
-                    fields.insert(instance, terms.report);
+                    let terms =
+                        chalkgap_deployment_config::parse(conf).map_err(|e| record.error("conf", &e))?;
+                    fields.insert(instance, terms.load_report_fields);
                     gateways.insert(instance, Gateway::new(terms.settings, seed, batch.clock));
                     continue;
                 }
@@ -74,7 +75,7 @@
     match run() {
         Ok(()) => ExitCode::SUCCESS,
         Err(message) => {
-            eprintln!("chalkgap-simhost: {message}");
+            eprintln!("chalkgap-simulator-adapter: {message}");
             ExitCode::FAILURE
         }
     }
--- a/crates/simhost/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -1,8 +1,8 @@
 //! The simulator's frames: reading batches, writing replies. Every length and offset is checked.
 
 use chalkgap_core::{
-    Action, Availability, BackendId, CustomerId, Event, GatewayNo, Listed, Outcome, Report, Request,
-    RequestId, RosterKind,
+    Action, Availability, BackendId, CustomerId, Endpoint, EndpointUpdate, Event, GatewayId, LoadReport,
+    Outcome, Request, RequestId,
 };
 use std::collections::BTreeMap;
 
@@ -127,29 +127,29 @@
         Ok(match u16_at(self.body, at) {
             200 => Outcome::Ok,
             502 => Outcome::Error,
-            429 => Outcome::Full,
+            429 => Outcome::Rejected,
             408 => Outcome::TimedOut,
             521 => Outcome::ConnectFailed,
             520 => Outcome::Reset,
             444 => Outcome::Cancelled,
-            409 => Outcome::Moot,
+            409 => Outcome::NotSent,
             other => return Err(self.error("outcome", &format!("unknown code {other}"))),
         })
     }
 
-    fn report(&self, at: usize, fields: &[String]) -> Option<Report> {
+    fn report(&self, at: usize, fields: &[String]) -> Option<LoadReport> {
         let n = usize::from(self.body[at]).min(4);
         let values = fields.iter().take(n).enumerate();
         let values = values.map(|(i, name)| (name.as_str(), f32_at(self.body, at + 1 + 4 * i)));
-        (n > 0).then(|| chalkgap_terms::report(values.filter(|v| v.1.is_finite())))
+        (n > 0).then(|| chalkgap_deployment_config::report(values.filter(|v| v.1.is_finite())))
     }
 
     fn roster(&self) -> Result<Event, String> {
         let kind = match self.body[3] {
-            0 => RosterKind::Delta,
-            1 => RosterKind::Full,
-            2 => RosterKind::Cached,
-            3 => RosterKind::Failed,
+            0 => EndpointUpdate::Delta,
+            1 => EndpointUpdate::Snapshot,
+            2 => EndpointUpdate::Cached,
+            3 => EndpointUpdate::Failed,
             other => return Err(self.error("scope", &format!("unknown kind {other}"))),
         };
         let rows = self.tail_part(12, "rows", ENTRY)?;
@@ -161,17 +161,17 @@
                 2 => Availability::Gone,
                 other => return Err(self.error("rows.availability", &format!("unknown state {other}"))),
             };
-            list.push(Listed {
+            list.push(Endpoint {
                 backend: backend_at(row, 0),
                 zone: row[6],
                 kind: u16_at(row, 7),
                 cell: u16_at(row, 9),
                 availability,
-                size: f32_at(row, 12),
-                started: u64_at(row, 16),
+                weight: f32_at(row, 12),
+                started_at: u64_at(row, 16),
             });
         }
-        Ok(Event::Roster(kind, list))
+        Ok(Event::Endpoints(kind, list))
     }
 
     /// What the record says; none for a code that this adapter does not know.
@@ -194,33 +194,36 @@
                 customer: CustomerId(u64_at(b, 14)),
                 deadline: u64_at(b, 22),
                 units: f32_at(b, 30),
-                width: f32_at(b, 34),
-                first: f32_at(b, 38),
+                gateway_count: f32_at(b, 34),
+                first_gateway: f32_at(b, 38),
             }),
-            30 => Event::Probed {
+            30 => Event::HealthChecked {
                 backend: backend_at(b, 3),
                 outcome: self.outcome(9)?,
-                took: u64::from(u32_at(b, 11)),
+                elapsed: u64::from(u32_at(b, 11)),
                 report: self.report(15, names),
             },
-            20 => Event::Settled {
+            20 => Event::AttemptFinished {
                 id: RequestId(u64_at(b, 3)),
-                took: u64::from(u32_at(b, 11)),
+                elapsed: u64::from(u32_at(b, 11)),
                 outcome: self.outcome(15)?,
-                complete: b[17] != 0,
+                answered: b[17] != 0,
                 attempt: u16_at(b, 18),
                 metered: Some(u16_at(b, 20)).filter(|m| *m > 0).map(|m| f64::from(m - 1) / 100.0),
                 backend: backend_at(b, 22),
-                charged: Some(u16_at(b, 28)).filter(|c| *c > 0).map(f64::from),
+                charged_units: Some(u16_at(b, 28)).filter(|c| *c > 0).map(f64::from),
                 report: self.report(30, names),
             },
-            40 => Event::Counted { name: u64_at(b, 3), outcome: self.outcome(11)?, total: f32_at(b, 13) },
-            90 => Event::Withdrawn(RequestId(u64_at(b, 3))),
+            40 => {
+                Event::CounterUpdated { name: u64_at(b, 3), outcome: self.outcome(11)?, total: f32_at(b, 13) }
+            }
+            90 => Event::ClientCancelled(RequestId(u64_at(b, 3))),
             70 => Event::Timer(u32_at(b, 3)),
             100 => Event::FirstByte { id: RequestId(u64_at(b, 3)), attempt: u16_at(b, 11) },
-            80 => {
-                Event::Peer { from: GatewayNo(u16_at(b, 3)), bytes: self.tail_part(5, "octets", 1)?.to_vec() }
-            }
+            80 => Event::GossipReceived {
+                from: GatewayId(u16_at(b, 3)),
+                bytes: self.tail_part(5, "octets", 1)?.to_vec(),
+            },
             _ => return Ok(None),
         };
         Ok(Some(Decoded::Event { instance, event }))
@@ -249,13 +252,13 @@
             let mut code = |value: u8| put(0, &[value]);
             match action {
                 // What is sent on there has begun at once.
-                Action::Send { id, backend, expires, begin_by: _ } => {
+                Action::StartAttempt { id, backend, give_up_at: expires, start_by: _ } => {
                     code(10);
                     put(3, &id.0.to_le_bytes());
                     put(11, &expires.to_le_bytes());
                     put(19, &backend.0.to_le_bytes()[..6]);
                 }
-                Action::Refuse { id, pause } => {
+                Action::Reject { id, retry_after: pause } => {
                     code(20);
                     put(3, &id.0.to_le_bytes());
                     put(11, &u32::try_from(*pause).unwrap_or(u32::MAX).to_le_bytes());
@@ -274,7 +277,7 @@
                     put(3, &u32::try_from(*delay).unwrap_or(u32::MAX).to_le_bytes());
                     put(7, &token.to_le_bytes());
                 }
-                Action::Probe(backend) => {
+                Action::CheckHealth(backend) => {
                     code(60);
                     put(3, &backend.0.to_le_bytes()[..6]);
                 }
@@ -282,7 +285,7 @@
                     code(70);
                     put(3, &backend.0.to_le_bytes()[..6]);
                 }
-                Action::Tell { to, bytes } => {
+                Action::SendGossip { to, bytes } => {
                     code(80);
                     put(3, &to.map_or(u16::MAX, |peer| peer.0).to_le_bytes());
                     put(5, &(self.tail.len() as u32).to_le_bytes());
@@ -295,12 +298,12 @@
                     put(7, &(text.len() as u32).to_le_bytes());
                     self.tail.extend_from_slice(text.as_bytes());
                 }
-                Action::Watch(on) => {
+                Action::WatchEndpoints(on) => {
                     code(110);
                     put(3, &[u8::from(*on)]);
                 }
-                Action::FetchRoster => code(120),
-                Action::Count { name, delta, lifetime } => {
+                Action::FetchEndpoints => code(120),
+                Action::AddToCounter { name, delta, lifetime } => {
                     code(130);
                     put(3, &u32::try_from(*lifetime).unwrap_or(u32::MAX).to_le_bytes());
                     put(7, &(*delta as f32).to_le_bytes());
--- a/crates/simhost/tests/simhost.rs
+++ b/crates/simulator-adapter/tests/simulator_adapter.rs
@@ -4,7 +4,7 @@
 use std::process::{Command, Output, Stdio};
 
 fn run(input: &[u8]) -> Output {
-    let mut child = Command::new(env!("CARGO_BIN_EXE_chalkgap-simhost"))
+    let mut child = Command::new(env!("CARGO_BIN_EXE_chalkgap-simulator-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
--- a/crates/simhost/tests/unit/wire.rs
+++ b/crates/simulator-adapter/tests/unit/wire.rs
@@ -8,23 +8,23 @@
     let actions = [
         (
             10,
-            Action::Send { id, backend, expires: 77, begin_by: 0 },
+            Action::StartAttempt { id, backend, give_up_at: 77, start_by: 0 },
             vec![(3, 0x0c), (11, 77), (19, 1), (24, 6)],
         ),
-        (20, Action::Refuse { id, pause: 300 }, vec![(3, 0x0c), (11, 44), (12, 1)]),
+        (20, Action::Reject { id, retry_after: 300 }, vec![(3, 0x0c), (11, 44), (12, 1)]),
         (30, Action::Fail(id), vec![(3, 0x0c), (4, 0x0b)]),
         (40, Action::Cancel { id, attempt: 258 }, vec![(3, 0x0c), (11, 2), (12, 1)]),
         (50, Action::SetTimer { delay: 5, token: 9 }, vec![(3, 5), (7, 9)]),
-        (60, Action::Probe(backend), vec![(3, 1), (8, 6)]),
+        (60, Action::CheckHealth(backend), vec![(3, 1), (8, 6)]),
         (70, Action::CloseIdle(backend), vec![(3, 1), (8, 6)]),
-        (80, Action::Tell { to: Some(GatewayNo(2)), bytes: vec![8, 9] }, vec![(3, 2), (5, 0), (9, 2)]),
-        (80, Action::Tell { to: None, bytes: vec![7] }, vec![(3, 255), (4, 255), (5, 2), (9, 1)]),
+        (80, Action::SendGossip { to: Some(GatewayId(2)), bytes: vec![8, 9] }, vec![(3, 2), (5, 0), (9, 2)]),
+        (80, Action::SendGossip { to: None, bytes: vec![7] }, vec![(3, 255), (4, 255), (5, 2), (9, 1)]),
         (90, Action::Log("abc".into()), vec![(3, 3), (7, 3)]),
-        (110, Action::Watch(true), vec![(3, 1)]),
-        (120, Action::FetchRoster, vec![(3, 0)]),
+        (110, Action::WatchEndpoints(true), vec![(3, 1)]),
+        (120, Action::FetchEndpoints, vec![(3, 0)]),
         (
             130,
-            Action::Count { name: 6, delta: 4.0, lifetime: 8 },
+            Action::AddToCounter { name: 6, delta: 4.0, lifetime: 8 },
             vec![(3, 8), (9, 0x80), (10, 0x40), (11, 6)],
         ),
     ];
@@ -67,7 +67,7 @@
     );
     let text = read(call);
     assert!(text.contains("RequestId(9), class: 2, plan: 3, customer: CustomerId(4), deadline: 5"), "{text}");
-    assert!(text.contains("units: 2.0, width: 3.0, first: 0.0"), "{text}");
+    assert!(text.contains("units: 2.0, gateway_count: 3.0, first_gateway: 0.0"), "{text}");
     let settled = body(
         20,
         &[
@@ -88,20 +88,20 @@
         "attempt: 2",
         "BackendId(8)",
         "Ok",
-        "complete: true",
-        "took: 7",
+        "answered: true",
+        "elapsed: 7",
         "metered: Some(0.5)",
-        "queue: Some(6.0)",
+        "queued: Some(6.0)",
     ] {
         assert!(text.contains(part), "{part} in {text}");
     }
-    assert_eq!(read(body(90, &[(3, &[6])])), "Withdrawn(RequestId(6))");
+    assert_eq!(read(body(90, &[(3, &[6])])), "ClientCancelled(RequestId(6))");
     assert_eq!(read(body(70, &[(3, &[6])])), "Timer(6)");
     assert_eq!(read(body(100, &[(3, &[6]), (11, &[2])])), "FirstByte { id: RequestId(6), attempt: 2 }");
     let peer = body(80, &[(3, &[2]), (5, &[1]), (9, &[2])]);
-    assert_eq!(read(peer), "Peer { from: GatewayNo(2), bytes: [5, 6] }");
+    assert_eq!(read(peer), "GossipReceived { from: GatewayId(2), bytes: [5, 6] }");
     let probed = read(body(30, &[(3, &[8]), (9, &[0x99, 1]), (11, &[7])]));
-    assert!(probed.contains("Moot") && probed.contains("took: 7"), "{probed}");
+    assert!(probed.contains("NotSent") && probed.contains("elapsed: 7"), "{probed}");
     let counted = read(body(40, &[(3, &[5]), (11, &[200]), (13, &float(38.0))]));
     assert!(counted.contains("name: 5") && counted.contains("38.0"), "{counted}");
 }
--- a/crates/standin/src/billing.rs
+++ b/crates/testbed/src/billing.rs
@@ -4,9 +4,9 @@
 use crate::node::lock;
 use async_channel::Sender;
 use bytes::Bytes;
-use chalkgap_pipe::unary::{self, Handler, Limits};
-use chalkgap_pipe::while_alive;
 use chalkgap_runtime::Shared;
+use chalkgap_transport::unary::{self, Handler, Limits};
+use chalkgap_transport::while_alive;
 use chalkgap_wire::billing::{Hand, Handed, HAND};
 use chalkgap_wire::grpc::{self, Code, Status};
 use prost::Message;
--- a/crates/standin/src/client.rs
+++ b/crates/testbed/src/client.rs
@@ -3,8 +3,8 @@
 use crate::journal::{self, Journal, Seen, CALL_ENTRY};
 use async_channel::{Receiver, Sender};
 use bytes::Bytes;
-use chalkgap_pipe::{Pipe, Turn};
 use chalkgap_runtime::{Micros, Shared};
+use chalkgap_transport::{Pipe, Turn};
 use chalkgap_wire::grpc::{self, Deframer, Status};
 use chalkgap_wire::http2::{Code, Config, Connection, Event, Field};
 use chalkgap_wire::ratelimit::{
--- a/crates/standin/src/network.rs
+++ b/crates/testbed/src/network.rs
@@ -2,11 +2,11 @@
 //! datagrams and for streams. What goes over it is moved by relays on loopback: one for each receiver of datagrams, who
 //! knows senders by their addresses, and one for each pair that streams go between.
 
-pub use chalkgap_runtime::weather::{Cut, Weather};
+pub use chalkgap_runtime::link_faults::{Cut, LinkFaults};
 
-use chalkgap_pipe::while_alive;
-use chalkgap_runtime::weather::LOOK;
+use chalkgap_runtime::link_faults::LOOK;
 use chalkgap_runtime::{Datagrams, Listener, Micros, Shared, Stream};
+use chalkgap_transport::while_alive;
 use futures_lite::{future, AsyncReadExt, AsyncWriteExt};
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
@@ -31,8 +31,8 @@
 
 #[derive(Default)]
 struct State {
-    usual: Weather,
-    links: HashMap<(Party, Party), Weather>,
+    usual: LinkFaults,
+    links: HashMap<(Party, Party), LinkFaults>,
     /// Whose datagrams come from where.
     senders: HashMap<SocketAddr, Party>,
     /// Datagrams that were handed to relays, and their bytes, by sender and first byte.
@@ -47,7 +47,7 @@
 
 impl Network {
     /// A network on which all links of datagrams are alike to begin with; streams pass at once.
-    pub fn new(usual: Weather) -> Network {
+    pub fn new(usual: LinkFaults) -> Network {
         let network = Network::default();
         network.lock().usual = usual;
         network
@@ -58,12 +58,12 @@
     }
 
     /// What the links do that nobody has set.
-    pub fn usual(&self) -> Weather {
+    pub fn usual(&self) -> LinkFaults {
         self.lock().usual
     }
 
     /// Changes a link in one direction; none: it is like the others again.
-    pub fn set(&self, from: Party, to: Party, weather: Option<Weather>) {
+    pub fn set(&self, from: Party, to: Party, weather: Option<LinkFaults>) {
         let mut s = self.lock();
         match weather {
             Some(w) => s.links.insert((from, to), w),
@@ -82,10 +82,10 @@
     }
 
     /// A link as it is now; `stream`: what is usual for datagrams alone is not in it.
-    fn weather(&self, from: Option<Party>, to: Party, stream: bool) -> Weather {
+    fn weather(&self, from: Option<Party>, to: Party, stream: bool) -> LinkFaults {
         let s = self.lock();
         let link = from.and_then(|f| s.links.get(&(f, to)).copied());
-        link.unwrap_or_else(|| if stream { Weather::default() } else { s.usual })
+        link.unwrap_or_else(|| if stream { LinkFaults::default() } else { s.usual })
     }
 }
 
@@ -294,7 +294,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use chalkgap_runtime::virtual_world::World;
+    use chalkgap_runtime::simulated_runtime::World;
 
     const LINK: (Party, Party) = (Party::Ingress(1), Party::Node(0));
 
@@ -327,7 +327,7 @@
                 let mut far = listener.accept().await.unwrap();
                 let set = |from, to, w| network.set(from, to, Some(w));
                 let (there, back) = (LINK, (LINK.1, LINK.0));
-                set(there.0, there.1, Weather { cut: Some(Cut::Silent), ..Weather::default() });
+                set(there.0, there.1, LinkFaults { cut: Some(Cut::Silent), ..LinkFaults::default() });
                 near.write_all(b"up").await.unwrap();
                 far.write_all(b"down").await.unwrap();
                 assert_eq!(read(&runtime, &mut near, 1_000_000).await.unwrap().unwrap(), b"down");
@@ -338,12 +338,12 @@
                     b"up",
                     "nothing was lost"
                 );
-                set(back.0, back.1, Weather { rate: 1000, ..Weather::default() });
+                set(back.0, back.1, LinkFaults { rate: 1000, ..LinkFaults::default() });
                 let begun = runtime.now();
                 far.write_all(&[7; 50]).await.unwrap();
                 assert_eq!(read(&runtime, &mut near, 1_000_000).await.unwrap().unwrap().len(), 50);
                 assert!((50_000..80_000).contains(&(runtime.now() - begun)), "50 bytes at 1,000 a second");
-                set(back.0, back.1, Weather { half_open: true, ..Weather::default() });
+                set(back.0, back.1, LinkFaults { half_open: true, ..LinkFaults::default() });
                 drop(far);
                 assert!(read(&runtime, &mut near, 60_000_000).await.is_none(), "held for open");
                 network.set(back.0, back.1, None);
@@ -352,7 +352,7 @@
                 );
                 let mut near = runtime.connect(way.address()).await.unwrap();
                 let _far = listener.accept().await.unwrap();
-                set(there.0, there.1, Weather { cut: Some(Cut::Reset), ..Weather::default() });
+                set(there.0, there.1, LinkFaults { cut: Some(Cut::Reset), ..LinkFaults::default() });
                 let ends = |got: Option<io::Result<Vec<u8>>>| {
                     matches!(got, Some(Err(_))) || matches!(got, Some(Ok(b)) if b.is_empty())
                 };
@@ -377,7 +377,7 @@
                 let relay = Relay::start(runtime.clone(), network.clone(), party, c.address(), 7).unwrap();
                 network.sends_from(a.address(), Party::Ingress(0));
                 network.sends_from(b.address(), Party::Ingress(1));
-                let cut = Weather { cut: Some(Cut::Silent), ..Weather::default() };
+                let cut = LinkFaults { cut: Some(Cut::Silent), ..LinkFaults::default() };
                 network.set(Party::Ingress(0), party, Some(cut));
                 network.set(party, Party::Ingress(1), Some(cut)); // the other way: of no concern
                 for n in 0..10 {
--- a/crates/standin/src/node.rs
+++ b/crates/testbed/src/node.rs
@@ -4,8 +4,8 @@
 use crate::journal::{Journal, Seen, CALL_ENTRY};
 use async_channel::{Receiver, Sender};
 use bytes::Bytes;
-use chalkgap_pipe::{while_alive, Pipe, Turn};
 use chalkgap_runtime::{Listener, Micros, Shared, Stream};
+use chalkgap_transport::{while_alive, Pipe, Turn};
 use chalkgap_wire::grpc::{self, Deframer, Status};
 use chalkgap_wire::http2::{Code, Config, Connection, Event, Field};
 use chalkgap_wire::intake::{self, Done, Work};
--- a/crates/standin/src/rogue.rs
+++ b/crates/testbed/src/rogue.rs
@@ -3,8 +3,8 @@
 
 use crate::journal::CALL_ENTRY;
 use bytes::Bytes;
-use chalkgap_pipe::{Pipe, Turn};
 use chalkgap_runtime::{Micros, Shared, Stream};
+use chalkgap_transport::{Pipe, Turn};
 use chalkgap_wire::grpc::{self, Deframer};
 use chalkgap_wire::http2::{Config, Connection, Event, Field};
 use chalkgap_wire::intake::{self, Work};
--- a/crates/standin/src/roster.rs
+++ b/crates/testbed/src/roster.rs
@@ -2,8 +2,8 @@
 
 use crate::journal::{Journal, Seen};
 use async_channel::{Receiver, Sender};
-use chalkgap_pipe::{while_alive, Pipe, Turn};
 use chalkgap_runtime::{Listener, Micros, Shared, Stream};
+use chalkgap_transport::{while_alive, Pipe, Turn};
 use chalkgap_wire::grpc::{self, Deframer};
 use chalkgap_wire::http2::{Config, Connection, Event, Field};
 use chalkgap_wire::roster::{List, Node, WatchRequest};
--- a/crates/pipe/tests/leaving.rs
+++ b/crates/transport/tests/leaving.rs
@@ -1,8 +1,8 @@
 //! Peers that leave while nothing is read from them.
 
-use chalkgap_pipe::Pipe;
 use chalkgap_runtime::system::System;
 use chalkgap_runtime::Runtime;
+use chalkgap_transport::Pipe;
 use chalkgap_wire::http2::{Config, Connection};
 use futures_lite::{future, AsyncWriteExt};
 
