--- /dev/null
+++ b/crates/core/src/admission.rs
@@ -0,0 +1,235 @@
+//! Admission: what becomes of a request when it arrives.
+//!
+//! In order:
+//! 1. A malformed request, or one whose deadline is too close to serve it, is rejected.
+//! 2. Under an alert, load shedding rejects some customers for an epoch (see [`load_shedding`](crate::load_shedding)).
+//! 3. A request whose customer's quota is not known here is held for a short while, until an owner replies (see
+//!    [`quota_gossip`](crate::quota_gossip)); without a reply it is decided by what is known here.
+//! 4. A request over its quota or hard limit ("red") is rejected, with the time until there may be enough.
+//! 5. A request within them is rejected if the queue is too long for its customer; else it is charged and queued for an
+//!    endpoint (see [`load_balancing`](crate::load_balancing)).
+
+use crate::completion::MAX_QUEUE_WAIT_SHARE;
+use crate::customer::{Customer, OwnerQuery};
+use crate::decay::to_micros;
+use crate::interface::{Action, CustomerId, GatewayId, Micros, Request, RequestId};
+use crate::load_shedding::{shedding_draw, SHEDDING_EPOCH};
+use crate::quota::QuotaWait;
+use crate::request::InFlightRequest;
+use crate::{FleetSize, Gateway};
+use std::cmp::Reverse;
+
+/// An owner's reply that is younger than this need not be asked for again.
+const REPLY_VALIDITY: Micros = 100_000;
+/// The same where the reply says that the quota is used up: retries of a red customer would ask without end.
+const NEGATIVE_REPLY_VALIDITY: Micros = 500_000;
+/// A query to the owners that is younger than this serves requests that come meanwhile.
+const QUERY_VALIDITY: Micros = 100_000;
+/// Share of the wait for owners after which the second one is asked as well.
+const SECOND_OWNER_DELAY_SHARE: f64 = 0.4;
+/// Queries without a reply after which an owner's second is asked at once.
+const MAX_UNANSWERED_QUERIES: u32 = 2;
+
+/// Whether more replies of owners may come for a held request.
+#[derive(Clone, Copy, PartialEq)]
+pub(crate) enum OwnerReplies {
+    /// Yes: a request without quota stays held.
+    Pending,
+    /// No: the request is decided now.
+    Complete,
+}
+
+/// Which owners count a request as used already.
+#[derive(Default)]
+struct Reservations {
+    /// They said so.
+    confirmed: Vec<GatewayId>,
+    /// They have not replied.
+    unknown: Vec<GatewayId>,
+}
+
+impl Gateway {
+    /// A client sent a request.
+    pub(crate) fn on_request(&mut self, request: Request, actions: &mut Vec<Action>) {
+        if self.requests.contains_key(&request.id) {
+            return; // the same event twice: the first one gets the answer
+        }
+        if !self.is_well_formed(&request) || !self.has_time_to_wait(request.deadline, self.now) {
+            return self.reject(request.id, 0, actions);
+        }
+        let is_green = self.register_customer(&request);
+        let plans = &self.settings.plans;
+        let plan = &plans[usize::from(request.plan)];
+        if !self.load_shedding.passes(self.now, request.customer, plan, plans, is_green) {
+            let until_next_epoch = SHEDDING_EPOCH - self.now % SHEDDING_EPOCH;
+            return self.reject(request.id, until_next_epoch, actions);
+        }
+        let wait = self.quota_wait(&request);
+        let customer = &self.customers[&request.customer];
+        // Only the owners of the hard limit can help out.
+        let lacks_hard_limit = wait.hard_limit.is_some()
+            && wait.quota.is_none()
+            && customer.hard_limit_owners != [self.settings.self_id; 2];
+        let is_decided_here = self.is_quota_known(customer, &wait, &request) && !lacks_hard_limit;
+        let in_flight = InFlightRequest { request, arrived_at: self.now, ..InFlightRequest::default() };
+        if is_decided_here || !self.has_reachable_owner(customer) {
+            self.requests.insert(request.id, in_flight);
+            return self.admit(request.id, OwnerReplies::Complete, actions);
+        }
+        self.hold(in_flight, &wait, lacks_hard_limit, actions);
+    }
+
+    fn is_well_formed(&self, request: &Request) -> bool {
+        let class_exists = usize::from(request.class) < self.settings.classes.len();
+        let plan_exists = usize::from(request.plan) < self.settings.plans.len();
+        class_exists && plan_exists && request.units.is_finite() && request.units >= 0.0
+    }
+
+    /// Whether a customer's quota is known well enough to decide here: this gateway owns it, or an owner replied lately.
+    fn is_quota_known(&self, customer: &Customer, wait: &QuotaWait, request: &Request) -> bool {
+        let counts_attempts = self.settings.plans[usize::from(request.plan)].max_in_flight > 0;
+        let is_red = wait.quota.is_some() && !counts_attempts;
+        let validity = if is_red { NEGATIVE_REPLY_VALIDITY } else { REPLY_VALIDITY };
+        let reply_age = self.now - customer.owner_reply_at.min(self.now);
+        customer.is_owner || reply_age < validity
+    }
+
+    fn has_reachable_owner(&self, customer: &Customer) -> bool {
+        let mut owners = customer.hard_limit_owners.iter();
+        owners.any(|owner| *owner != self.settings.self_id && !self.is_unreachable(*owner))
+    }
+
+    /// Holds a request until owners reply, and asks them.
+    fn hold(
+        &mut self,
+        held: InFlightRequest,
+        wait: &QuotaWait,
+        lacks_hard_limit: bool,
+        actions: &mut Vec<Action>,
+    ) {
+        let now = self.now;
+        let request = held.request;
+        let max_wait = self.owner_reply_deadline(&held) - now;
+        self.requests.insert(request.id, InFlightRequest { awaiting_owner: true, ..held });
+        let query_second_at = now + (max_wait as f64 * SECOND_OWNER_DELAY_SHARE) as Micros;
+        self.checks.push(Reverse((query_second_at, request.id)));
+        let Some(customer) = self.customers.get_mut(&request.customer) else { return };
+        customer.awaiting_owner.push(request.id);
+        let is_first = customer.awaiting_owner.len() == 1;
+        if !is_first && now - customer.owner_query.started_at <= QUERY_VALIDITY && !lacks_hard_limit {
+            return; // the query that is under way serves this request as well
+        }
+        customer.owner_query = OwnerQuery {
+            started_at: now,
+            units: request.units,
+            wants_hard_limit_tokens: wait.hard_limit.is_some(),
+            ..OwnerQuery::default()
+        };
+        let [first, second] = customer.hard_limit_owners;
+        self.query_owner(request.customer, first, actions);
+        // In a large fleet all ask the first owner, which so knows the bucket; what it admits is reported to the second,
+        // for when the first fails. Asking both costs six messages for each request. Both hold hard-limit units.
+        let peer = self.peers.get(&first);
+        let is_silent = peer.is_some_and(|peer| peer.unanswered > MAX_UNANSWERED_QUERIES || peer.unreachable);
+        if lacks_hard_limit || self.fleet_size == FleetSize::Small || is_silent {
+            self.query_owner(request.customer, second, actions);
+        }
+    }
+
+    /// Admits a request if its limits and the queue allow it, else rejects it; without quota it stays held while replies
+    /// are pending.
+    pub(crate) fn admit(&mut self, id: RequestId, replies: OwnerReplies, actions: &mut Vec<Action>) {
+        let Some(held) = self.requests.get(&id) else { return };
+        let request = held.request;
+        let was_held = held.awaiting_owner;
+        let wait = self.quota_wait(&request).longest();
+        if wait.is_some() && replies == OwnerReplies::Pending {
+            return;
+        }
+        if let Some(held) = self.requests.get_mut(&id) {
+            held.awaiting_owner = false;
+        }
+        let reservations = if was_held { self.take_reservations(&request) } else { Reservations::default() };
+        let is_rejected = wait.is_some() || self.is_queue_full_for(request.customer);
+        if is_rejected {
+            if was_held {
+                self.release_hold(request.customer, id);
+            }
+            return self.reject_without_capacity(&request, wait, &reservations, actions);
+        }
+        self.load_shedding.record_admission();
+        self.admission_rate.record(self.now);
+        self.charge(&request);
+        if was_held {
+            self.release_hold(request.customer, id);
+        }
+        // Owners that reserved the units know of them.
+        self.report(request.customer, |owner| !reservations.confirmed.contains(&owner));
+        self.queue.push_back(id);
+        self.dispatch(actions);
+        self.give_up(id, actions);
+    }
+
+    /// Rejects a request that is over its limits, for as long as `wait` says in seconds, or that finds the queue full.
+    /// Owners that count it as used, or may, are told.
+    fn reject_without_capacity(
+        &mut self,
+        request: &Request,
+        wait: Option<f64>,
+        reservations: &Reservations,
+        actions: &mut Vec<Action>,
+    ) {
+        let retry_after = match wait {
+            Some(seconds) => to_micros(seconds),
+            None => {
+                self.load_shedding.record_rejection();
+                self.expected_queue_delay(request.class)
+            }
+        };
+        self.requests.remove(&request.id);
+        self.reject(request.id, retry_after, actions);
+        self.report(request.customer, |owner| {
+            reservations.confirmed.contains(&owner) || reservations.unknown.contains(&owner)
+        });
+    }
+
+    /// Whether the queue has no place for a customer's request: the longer it is the fewer customers may join it, the
+    /// same ones for an epoch, as in load shedding.
+    fn is_queue_full_for(&self, customer: CustomerId) -> bool {
+        let limit = self.max_in_flight();
+        let queue_utilization = self.queue.len() as f64 / (limit * MAX_QUEUE_WAIT_SHARE);
+        let has_no_place = f64::from(self.in_flight) >= limit;
+        has_no_place && shedding_draw(customer, self.now) >= 1.0 - queue_utilization
+    }
+
+    /// The owners that count a held request as used. The units that they reserved are for a request of the query's size
+    /// alone, and for one only.
+    fn take_reservations(&mut self, request: &Request) -> Reservations {
+        let Some(customer) = self.customers.get_mut(&request.customer) else {
+            return Reservations::default();
+        };
+        let query = &mut customer.owner_query;
+        let has_not_replied = |owner: &&GatewayId| !query.replied.contains(owner);
+        let unknown = query.queried.iter().filter(has_not_replied).copied().collect();
+        let is_for_this_size = request.units == query.units;
+        let confirmed = if is_for_this_size { std::mem::take(&mut query.reserving) } else { Vec::new() };
+        Reservations { confirmed, unknown }
+    }
+
+    /// A request is held no longer. Hard-limit units that were transferred for held requests lapse with the last of them.
+    pub(crate) fn release_hold(&mut self, customer: CustomerId, id: RequestId) {
+        if let Some(customer) = self.customers.get_mut(&customer) {
+            customer.awaiting_owner.retain(|held| *held != id);
+            if customer.awaiting_owner.is_empty() {
+                customer.transferred_tokens = 0.0;
+            }
+        }
+    }
+
+    /// Rejects a request, with the advice to come back after `retry_after` where the deployment allows advice.
+    pub(crate) fn reject(&self, id: RequestId, retry_after: Micros, actions: &mut Vec<Action>) {
+        let limits = &self.settings.limits;
+        let max_retry_after = if limits.retry_after { limits.max_retry_after } else { 0 };
+        actions.push(Action::Reject { id, retry_after: retry_after.min(max_retry_after) });
+    }
+}
--- a/crates/core/src/gossip/tests.rs
+++ b/crates/core/src/gossip/tests.rs
@@ -5,15 +5,14 @@
 #[test]
 fn messages_survive_the_way() {
     let customer = CustomerId((1 << 33) - 7);
-    let (first, width) = (400, 219);
     let one = UsageReport {
         customer,
         plan: 3,
         total_units: 65_000,
         in_flight: 99,
-        fill_level: 200,
-        first_gateway: first,
-        gateway_count: width,
+        fill_level: Some(200),
+        first_gateway: 400,
+        gateway_count: 219,
         wants_reply: true,
         requested_units: 1.25,
         wants_hard_limit_tokens: true,
@@ -32,19 +31,19 @@
     ];
     for body in [Body::Reports(uses), Body::Replies(9, news), Body::Reports(vec![])] {
         for count in 0..=MAX_SAMPLES {
-            let one = Sample { tag: tag(77), class: 6, elapsed: Some(0.5) };
+            let one = Sample { tag: endpoint_tag(77), class: 6, elapsed: Some(0.5) };
             let bad = Sample { elapsed: None, ..one };
             let samples = [one, bad, one][..count].to_vec();
             let message = Message { incarnation: 77, sequence: 3, samples, body: body.clone() };
             let bytes = message.pack();
-            assert!(bytes.len() <= MOST);
+            assert!(bytes.len() <= MAX_MESSAGE_BYTES);
             assert_eq!(Message::unpack(&bytes), Some(message));
             for cut in 0..bytes.len() {
                 assert_eq!(Message::unpack(&bytes[..cut]), None, "cut at {cut}");
             }
         }
     }
-    assert_eq!(gone_by(wrap(16_383.0), wrap(16_385.0)), 2.0);
+    assert_eq!(units_between(wrap_units(16_383.0), wrap_units(16_385.0)), 2.0);
 }
 
 #[path = "../../../../tests/support/recorded.rs"]
@@ -56,7 +55,7 @@
         plan: 5,
         total_units: 40_321,
         in_flight: 17,
-        fill_level: 254,
+        fill_level: Some(254),
         first_gateway: 299,
         gateway_count: 300,
         wants_reply: true,
@@ -65,7 +64,7 @@
     };
     let told = UsageReport {
         customer: CustomerId(7),
-        fill_level: 255,
+        fill_level: None,
         wants_reply: false,
         requested_units: 0.0,
         wants_hard_limit_tokens: false,
@@ -80,9 +79,9 @@
         transferred_tokens: 1.5,
     };
     let samples = vec![
-        Sample { tag: tag(1), class: 0, elapsed: Some(1.0) },
-        Sample { tag: tag(2), class: 7, elapsed: None },
-        Sample { tag: tag(3), class: 3, elapsed: Some(0.125) },
+        Sample { tag: endpoint_tag(1), class: 0, elapsed: Some(1.0) },
+        Sample { tag: endpoint_tag(2), class: 7, elapsed: None },
+        Sample { tag: endpoint_tag(3), class: 3, elapsed: Some(0.125) },
     ];
     let body = Body::Reports(vec![ask, told]);
     vec![
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -67,10 +67,27 @@
 //! assert!(actions.is_empty(), "the answer went to the client; nothing is left to do");
 //! ```
 
-mod control;
+mod admission;
+mod completion;
+mod concurrency;
+mod customer;
+mod decay;
+mod endpoints;
+mod gateway;
 mod gossip;
 mod interface;
-mod state;
+mod latency;
+mod load_balancing;
+mod load_shedding;
+mod outlier;
+mod ownership;
+mod quota;
+mod quota_gossip;
+mod random;
+mod request;
+mod retry;
+mod slow_start;
 
+pub(crate) use gateway::FleetSize;
+pub use gateway::Gateway;
 pub use interface::*;
-pub use state::Gateway;
--- /dev/null
+++ b/crates/core/src/quota_gossip/reports.rs
@@ -0,0 +1,162 @@
+//! Reports to owners: what goes into them, when they are sent, and what is forgotten.
+
+use super::next_round_robin;
+use crate::customer::{Customer, PendingReport};
+use crate::decay::to_micros;
+use crate::gossip::{
+    incarnation_at, wrap_units, Body, Message, UsageReport, MAX_FILL_LEVEL, MAX_IN_FLIGHT, MAX_PLAN,
+    MAX_REPORTS,
+};
+use crate::interface::{Action, CustomerId, GatewayId, Micros, Plan};
+use crate::ownership::CUSTOMER_IDLE_TIME;
+use crate::random::unit_hash;
+use crate::Gateway;
+
+/// How long samples of attempts are passed on: as long as they weigh in the pressure.
+const SAMPLE_LIFETIME: Micros = 1_000_000;
+/// How often what may have been lost is reported again, and what is old is forgotten.
+const MAINTENANCE_INTERVAL: Micros = 1_000_000;
+/// Attempts in flight of a peer that is silent for this long hold no places any more.
+const PEER_IN_FLIGHT_LIFETIME: Micros = 1_500_000;
+/// A bucket's fill level is reported for this part of the idle time after an owner's reply.
+const FILL_LEVEL_VALIDITY_DIVISOR: Micros = 10;
+/// Customers are kept for at least so many idle times, and until their buckets are full for sure.
+const RETENTION_IDLE_TIMES: Micros = 2;
+/// The longest time to fill a bucket that is reckoned with, in seconds.
+const MAX_REFILL_SECONDS: f64 = 1e6;
+
+/// Seconds until both buckets of a plan are full, whatever was in them. A customer that is met again starts with full ones.
+fn refill_seconds(plan: &Plan) -> f64 {
+    let quota = plan.quota_burst / plan.quota_rate;
+    let hard_limit = plan.hard_limit_burst / plan.hard_limit_rate;
+    quota.max(hard_limit).clamp(0.0, MAX_REFILL_SECONDS) // 0 / 0 is NaN, which `max` passes over
+}
+
+impl Customer {
+    /// An owner's upkeep: attempts of silent peers no longer count, and peers that are silent for long are forgotten.
+    fn expire_peers(&mut self, now: Micros, plan: &Plan) {
+        if plan.max_in_flight > 0 && self.is_owner {
+            let usages = self.usage_by_peer.values_mut();
+            let silent = usages.filter(|usage| now - usage.heard_at > PEER_IN_FLIGHT_LIFETIME);
+            silent.for_each(|usage| usage.in_flight = 0);
+            self.peers_in_flight = self.usage_by_peer.values().map(|usage| u32::from(usage.in_flight)).sum();
+        }
+        self.usage_by_peer
+            .retain(|_, usage| now - usage.heard_at <= RETENTION_IDLE_TIMES * CUSTOMER_IDLE_TIME);
+    }
+
+    /// Whether the customer may not be forgotten yet.
+    fn is_needed(&self, now: Micros, plan: &Plan) -> bool {
+        let lifetime = RETENTION_IDLE_TIMES * CUSTOMER_IDLE_TIME.max(to_micros(refill_seconds(plan)));
+        self.in_flight > 0 || !self.awaiting_owner.is_empty() || now - self.last_request_at <= lifetime
+    }
+
+    /// How full the quota's bucket is, in 254ths; none where no owner has replied lately.
+    fn reported_fill_level(&self, now: Micros, plan: &Plan) -> Option<u8> {
+        let reply_age = now - self.owner_reply_at.min(now);
+        let is_known = self.is_owner || reply_age < CUSTOMER_IDLE_TIME / FILL_LEVEL_VALIDITY_DIVISOR;
+        let levels = f64::from(MAX_FILL_LEVEL);
+        let level = (self.tokens / plan.quota_burst.max(1e-9) * levels).clamp(0.0, levels) as u8;
+        is_known.then_some(level)
+    }
+}
+
+impl Gateway {
+    /// Queues a report of a customer to those of its owners that `wants` it.
+    pub(crate) fn report(&mut self, id: CustomerId, wants: impl Fn(GatewayId) -> bool) {
+        if !self.settings.limits.gossip {
+            return;
+        }
+        let Some(customer) = self.customers.get(&id) else { return };
+        // Sent twice where a lost end of an attempt would hold a place for long.
+        let counts_attempts = self.settings.plans[customer.plan].max_in_flight > 0;
+        let remaining_sends = 1 + u8::from(counts_attempts);
+        let owners = customer.owners.iter().copied();
+        for owner in owners.filter(|owner| *owner != self.settings.self_id && wants(*owner)) {
+            let outbox = &mut self.peers.entry(owner).or_default().outbox;
+            outbox.entry(id).or_default().remaining_sends = remaining_sends;
+            self.peers_to_notify.insert(owner);
+        }
+    }
+
+    /// Sends a peer the reports that wait for it, as many as a message holds.
+    pub(crate) fn send_reports(&mut self, to: GatewayId, actions: &mut Vec<Action>) {
+        let Some(peer) = self.peers.get_mut(&to) else { return };
+        let outgoing = next_round_robin(&peer.outbox, peer.next_customer, MAX_REPORTS);
+        if let Some((last, _)) = outgoing.last() {
+            peer.next_customer = CustomerId(last.0 + 1);
+        }
+        for (id, pending) in &outgoing {
+            let remaining_sends = pending.remaining_sends - 1;
+            peer.outbox.insert(*id, PendingReport { remaining_sends, wants_reply: false });
+        }
+        peer.outbox.retain(|_, pending| pending.remaining_sends > 0);
+        if peer.outbox.is_empty() {
+            self.peers_to_notify.remove(&to);
+        }
+        let reports =
+            outgoing.into_iter().filter_map(|(id, pending)| self.usage_report(id, to, pending.wants_reply));
+        let reports: Vec<UsageReport> = reports.collect();
+        self.send_message(to, Body::Reports(reports), actions);
+    }
+
+    fn usage_report(&mut self, id: CustomerId, to: GatewayId, wants_reply: bool) -> Option<UsageReport> {
+        let now = self.now;
+        let self_id = self.settings.self_id;
+        self.refill(id)?;
+        let customer = self.customers.get(&id)?;
+        let plan = &self.settings.plans[customer.plan];
+        // One of the two owners is drawn to transfer hard-limit units: two transfers would waste one. Unless this gateway
+        // is one of them itself.
+        let owners = customer.hard_limit_owners;
+        let drawn = owners[usize::from(unit_hash(now ^ id.0) < 0.5)];
+        let may_transfer = drawn == to || owners.contains(&self_id);
+        Some(UsageReport {
+            customer: id,
+            plan: customer.plan.min(MAX_PLAN) as u8,
+            total_units: wrap_units(customer.used_units),
+            in_flight: customer.in_flight.min(u32::from(MAX_IN_FLIGHT)) as u8,
+            fill_level: customer.reported_fill_level(now, plan),
+            first_gateway: customer.first_gateway,
+            gateway_count: customer.gateway_count as u16,
+            wants_reply,
+            requested_units: customer.owner_query.units,
+            wants_hard_limit_tokens: wants_reply
+                && customer.owner_query.wants_hard_limit_tokens
+                && may_transfer,
+        })
+    }
+
+    /// Sends a message to a peer, with the latest samples.
+    pub(crate) fn send_message(&mut self, to: GatewayId, body: Body, actions: &mut Vec<Action>) {
+        let now = self.now;
+        self.samples.retain(|(sampled_at, _)| now < sampled_at + SAMPLE_LIFETIME);
+        let samples = self.samples.iter().map(|(_, sample)| *sample).collect();
+        let peer = self.peers.entry(to).or_default();
+        peer.last_sent = peer.last_sent.wrapping_add(1);
+        peer.next_message_at = now + self.report_period;
+        let incarnation = incarnation_at(self.started_at);
+        let bytes = Message { incarnation, sequence: peer.last_sent, samples, body }.pack();
+        actions.push(Action::SendGossip { to: Some(to), bytes });
+    }
+
+    /// Once a second: reports customers with attempts in flight again, and forgets what is old.
+    pub(crate) fn expire_customers(&mut self) {
+        let now = self.now;
+        if now < self.next_maintenance {
+            return;
+        }
+        self.next_maintenance = now + MAINTENANCE_INTERVAL;
+        let plans = &self.settings.plans;
+        let mut to_report = Vec::new();
+        self.customers.retain(|id, customer| {
+            let plan = &plans[customer.plan];
+            if plan.max_in_flight > 0 && customer.in_flight > 0 {
+                to_report.push(*id);
+            }
+            customer.expire_peers(now, plan);
+            customer.is_needed(now, plan)
+        });
+        to_report.into_iter().for_each(|id| self.report(id, |_| true));
+    }
+}
--- a/crates/core/tests/control.rs
+++ b/crates/core/tests/control.rs
@@ -568,9 +568,9 @@
             }
         }));
     }
-    let up = log.iter().find(|(_, l)| l.contains("rung 0 to 1")).expect("an alert");
+    let up = log.iter().find(|(_, l)| l.contains("step 0 to 1")).expect("an alert");
     assert!((100..300).contains(&up.0));
-    let down = log.iter().rev().find(|(_, l)| l.contains("rung 1 to 0")).expect("the end of the alert");
+    let down = log.iter().rev().find(|(_, l)| l.contains("step 1 to 0")).expect("the end of the alert");
     assert!(down.0 > 300);
 }
 
@@ -674,7 +674,7 @@
         }
         longest = longest.max(rig.now - let_in);
         let actions = rig.pass(50_000);
-        last_rung |= actions.iter().any(|a| matches!(a, Action::Log(l) if l.contains("rung 3 to 4")));
+        last_rung |= actions.iter().any(|a| matches!(a, Action::Log(l) if l.contains("step 3 to 4")));
     }
     assert!(last_rung, "nobody passes");
     assert!(longest <= 6 * S, "nobody was let in for {longest} us");
