--- a/crates/core/tests/common/mod.rs
+++ b/crates/core/tests/common/mod.rs
@@ -3,6 +3,8 @@
 
 use chalkgap_core::*;
 
+pub mod harness;
+
 pub const T0: Micros = 1_000_000_000;
 pub const S: Micros = 1_000_000;
 
