--- a/crates/core/src/concurrency.rs
+++ b/crates/core/src/concurrency.rs
@@ -130,3 +130,6 @@
         (self.latency_baselines[usize::from(class)].recent * rounds) as Micros
     }
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/core/src/concurrency/tests.rs
@@ -0,0 +1,59 @@
+//! The pressure and the concurrency limit.
+
+use super::*;
+
+const SECOND: Micros = 1_000_000;
+
+#[test]
+fn the_pressure_follows_the_answers() {
+    let mut pressure = Pressure::default();
+    for n in 1..=100 {
+        pressure.record(SECOND + n * 100_000, 2.0, FleetSize::Small);
+    }
+    assert!((1.9..=2.0).contains(&pressure.value()), "{}", pressure.value());
+    pressure.clear();
+    assert_eq!(pressure.value(), 0.0);
+}
+
+#[test]
+fn one_answer_counts_only_so_much() {
+    let mut pressure = Pressure::default();
+    pressure.record(SECOND, 0.0, FleetSize::Small);
+    pressure.record(SECOND, 1_000.0, FleetSize::Small);
+    assert_eq!(pressure.value(), MAX_SAMPLE * (1.0 - (1.0 - min_sample_weight(FleetSize::Small))));
+}
+
+#[test]
+fn a_gateway_has_its_part_of_the_limit_and_one_attempt_at_least() {
+    let limit = ConcurrencyLimit::default();
+    assert_eq!(limit.of_gateway(12, 3), 20.0);
+    assert_eq!(limit.of_gateway(4, 300), 1.0);
+    assert_eq!(limit.of_gateway(0, 1), 1.0);
+}
+
+#[test]
+fn the_limit_grows_only_while_it_is_used_and_the_pressure_is_low() {
+    let grown = |pressure, in_flight| {
+        let mut limit = ConcurrencyLimit::default();
+        limit.grow(pressure, in_flight, 20.0);
+        limit.of_gateway(12, 3) > 20.0
+    };
+    assert!(grown(0.3, 15));
+    assert!(!grown(0.3, 14), "seven tenths of it are in use");
+    assert!(!grown(0.5, 20));
+}
+
+#[test]
+fn an_alert_reduces_the_limit_once_in_a_time_constant_and_it_recovers() {
+    let mut limit = ConcurrencyLimit::default();
+    limit.reduce(2 * SECOND, 0.9);
+    assert_eq!(limit.of_gateway(12, 3), 20.0, "no alert");
+    limit.reduce(2 * SECOND, 1.1);
+    limit.reduce(2 * SECOND + SECOND / 2, 1.1);
+    assert_eq!(limit.of_gateway(12, 3), 17.0);
+    (2..100).for_each(|n| limit.reduce(2 * n * SECOND, 1.1));
+    let least = limit.of_gateway(12, 3);
+    assert!((3.3..3.4).contains(&least), "{least}: a sixth of the initial limit");
+    limit.grow(0.7, 20, least);
+    assert!(limit.of_gateway(12, 3) > least, "one that was reduced grows at any pressure short of an alert");
+}
--- a/crates/core/src/latency.rs
+++ b/crates/core/src/latency.rs
@@ -78,3 +78,6 @@
         elapsed / overloaded.max(1.0)
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/core/src/load_shedding.rs
+++ b/crates/core/src/load_shedding.rs
@@ -140,3 +140,6 @@
         self.concurrency_limit.reduce(self.now, pressure);
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/core/src/outlier.rs
+++ b/crates/core/src/outlier.rs
@@ -70,3 +70,6 @@
         self.consecutive_ejections > 0 && (now < self.ejected_until || attempts_in_flight > 0)
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/core/src/quota.rs
+++ b/crates/core/src/quota.rs
@@ -188,3 +188,6 @@
         must_report
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/core/src/retry.rs
+++ b/crates/core/src/retry.rs
@@ -195,3 +195,6 @@
         Some(&state.outlier_detectors[class])
     }
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/core/src/retry/tests.rs
@@ -0,0 +1,39 @@
+//! The retry budget and what a retry costs.
+
+use super::*;
+
+#[test]
+fn the_budget_allows_a_tenth_of_the_requests_to_be_retried() {
+    let mut budget = RetryBudget::new(3);
+    (0..10).for_each(|_| budget.withdraw(FULL_RETRY_COST));
+    assert!(!budget.covers(FULL_RETRY_COST), "the burst of one of three gateways is used up");
+    (0..9).for_each(|_| budget.deposit());
+    assert!(!budget.covers(FULL_RETRY_COST));
+    (0..2).for_each(|_| budget.deposit());
+    assert!(budget.covers(FULL_RETRY_COST));
+}
+
+#[test]
+fn the_burst_is_the_fleets_and_at_least_one_retry_each() {
+    let burst = |gateways| {
+        let mut budget = RetryBudget::new(gateways);
+        (0..1_000).for_each(|_| budget.deposit());
+        let mut retries = 0;
+        while budget.covers(FULL_RETRY_COST) {
+            budget.withdraw(FULL_RETRY_COST);
+            retries += 1;
+        }
+        retries
+    };
+    assert_eq!((burst(1), burst(3), burst(30), burst(300)), (30, 10, 1, 1));
+}
+
+#[test]
+fn a_retry_costs_what_the_failed_attempt_did() {
+    let cost = |outcome, elapsed| retry_cost(outcome, elapsed, 100_000.0);
+    assert_eq!(cost(Outcome::Reset, 1_000), MIN_RETRY_COST);
+    assert_eq!(cost(Outcome::Error, 50_000), 0.5);
+    assert_eq!(cost(Outcome::ConnectFailed, 500_000), FULL_RETRY_COST);
+    assert_eq!(cost(Outcome::TimedOut, 1_000), FULL_RETRY_COST);
+    assert_eq!(cost(Outcome::Rejected, 1_000), FULL_RETRY_COST);
+}
--- a/crates/core/src/slow_start.rs
+++ b/crates/core/src/slow_start.rs
@@ -124,3 +124,6 @@
         }
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/core/tests/arbitrary_events.rs
+++ b/crates/core/tests/arbitrary_events.rs
@@ -1,4 +1,4 @@
-//! Properties over arbitrary legal and hostile sequences of events, with a fixed seed.
+//! Properties over arbitrary sequences of events, legal and malformed, with a fixed seed.
 
 use chalkgap_core::*;
 use proptest::prelude::*;
@@ -8,21 +8,21 @@
 const T0: Micros = 50_000_000;
 
 fn settings() -> Settings {
-    let class = |repeat| RequestClass {
+    let class = |retry_safety| RequestClass {
         latency_objective: 500_000,
         objective_per_work: 0.0,
         deadline: 2_000_000,
         priority_weight: 1.0,
         late_priority_weight: 0.0,
-        retry_safety: repeat,
+        retry_safety,
         streaming: false,
     };
-    let plan = |ceiling_rate, ceiling_burst| Plan {
+    let plan = |hard_limit_rate, hard_limit_burst| Plan {
         quota_rate: 20.0,
         quota_burst: 40.0,
         max_in_flight: 0,
-        hard_limit_rate: ceiling_rate,
-        hard_limit_burst: ceiling_burst,
+        hard_limit_rate,
+        hard_limit_burst,
         hard_limit_slack: 1.0,
         priority_factor: 1.0,
         over_quota_weight: 0.0,
@@ -57,89 +57,97 @@
 
 #[derive(Clone, Debug)]
 enum Step {
-    Ask { class: u8, plan: u16, customer: u64, units: f64, width: f64, left: Micros },
-    Settle { pick: usize, outcome: usize, unknown: bool },
-    Withdraw(usize),
-    Peer { from: u16, bytes: Vec<u8> },
-    Reach(u16, bool),
-    Roster { kind: u8, states: Vec<u8>, cold: bool },
-    Pass(u64),
-    Stray(u64),
+    Request { class: u8, plan: u16, customer: u64, units: f64, gateway_count: f64, time_left: Micros },
+    FinishAttempt { pick: usize, outcome: usize, unknown: bool },
+    ClientLeaves(usize),
+    Gossip { from: u16, bytes: Vec<u8> },
+    Reachability(u16, bool),
+    Endpoints { kind: u8, states: Vec<u8>, starting: bool },
+    Advance(u64),
+    Unexpected(u64),
 }
 
 fn step() -> impl Strategy<Value = Step> {
     let units = prop_oneof![Just(1.0), Just(4.0), Just(0.0), Just(f64::NAN), Just(-3.0), Just(1e300)];
-    let width = prop_oneof![Just(3.0), Just(2.0), Just(0.0), Just(f64::INFINITY)];
+    let gateway_count = prop_oneof![Just(3.0), Just(2.0), Just(0.0), Just(f64::INFINITY)];
     prop_oneof![
-        8 => (0u8..4, 0u16..3, 0u64..6, units, width, 0u64..2_000_000).prop_map(
-            |(class, plan, customer, units, width, left)| Step::Ask { class, plan, customer, units, width, left }
+        8 => (0u8..4, 0u16..3, 0u64..6, units, gateway_count, 0u64..2_000_000).prop_map(
+            |(class, plan, customer, units, gateway_count, time_left)| Step::Request { class, plan, customer, units, gateway_count, time_left }
         ),
-        8 => (0usize..50, 0usize..7, prop::bool::weighted(0.05)).prop_map(|(pick, outcome, unknown)| Step::Settle {
+        8 => (0usize..50, 0usize..7, prop::bool::weighted(0.05)).prop_map(|(pick, outcome, unknown)| Step::FinishAttempt {
             pick,
             outcome,
             unknown
         }),
-        1 => (0usize..50).prop_map(Step::Withdraw),
+        1 => (0usize..50).prop_map(Step::ClientLeaves),
         2 => (0u16..5, prop::collection::vec(prop_oneof![0u8..4, any::<u8>()], 0..60))
-            .prop_map(|(from, bytes)| Step::Peer { from, bytes }),
-        1 => (0u16..5, any::<bool>()).prop_map(|(peer, there)| Step::Reach(peer, there)),
+            .prop_map(|(from, bytes)| Step::Gossip { from, bytes }),
+        1 => (0u16..5, any::<bool>()).prop_map(|(peer, reachable)| Step::Reachability(peer, reachable)),
         1 => (0u8..4, prop::collection::vec(0u8..3, 0..6), any::<bool>())
-            .prop_map(|(kind, states, cold)| Step::Roster { kind, states, cold }),
-        6 => (1u64..30).prop_map(Step::Pass),
-        1 => any::<u64>().prop_map(Step::Stray),
+            .prop_map(|(kind, states, starting)| Step::Endpoints { kind, states, starting }),
+        6 => (1u64..30).prop_map(Step::Advance),
+        1 => any::<u64>().prop_map(Step::Unexpected),
     ]
 }
 
-/// What a host knows, to hold the gateway to the rules.
+/// What a host knows, to check the gateway's rules.
 #[derive(Default)]
 struct Host {
     deadlines: BTreeMap<RequestId, Micros>,
     classes: BTreeMap<RequestId, u8>,
     ended: BTreeSet<RequestId>,
     attempts: BTreeMap<RequestId, u16>,
-    out: Vec<(RequestId, u16, BackendId)>,
-    unproved: BTreeMap<RequestId, u16>,
-    shut: BTreeSet<BackendId>,
-    ceiling: BTreeMap<u64, f64>,
+    in_flight: Vec<(RequestId, u16, BackendId)>,
+    may_have_run: BTreeMap<RequestId, u16>,
+    unavailable: BTreeSet<BackendId>,
+    hard_limit_use: BTreeMap<u64, f64>,
     customers: BTreeMap<RequestId, (u16, u64, f64)>,
     log: Vec<String>,
 }
 
 impl Host {
-    fn take(&mut self, now: Micros, actions: &[Action]) {
+    fn check(&mut self, now: Micros, actions: &[Action]) {
         for action in actions {
             self.log.push(format!("{now} {action:?}"));
             match action {
                 Action::StartAttempt { id, backend, .. } => {
-                    assert!(!self.ended.contains(id), "sent after its end");
-                    assert!(!self.shut.contains(backend), "sent to a draining or gone backend");
-                    assert!(!self.out.iter().any(|o| o.0 == *id), "two attempts at once");
+                    assert!(!self.ended.contains(id), "an attempt after the final answer");
+                    assert!(
+                        !self.unavailable.contains(backend),
+                        "an attempt at an endpoint that is draining or gone"
+                    );
+                    assert!(!self.in_flight.iter().any(|o| o.0 == *id), "two attempts at once");
                     let n = self.attempts.entry(*id).or_insert(0);
                     assert!(*n < 3, "more attempts than allowed");
-                    let unproved = self.unproved.entry(*id).or_insert(0);
-                    assert!(self.classes[id] != 2 || *unproved == 0, "an unsafe request sent again");
-                    *unproved += 1;
-                    self.out.push((*id, *n, *backend));
+                    let may_have_run = self.may_have_run.entry(*id).or_insert(0);
+                    assert!(
+                        self.classes[id] != 2 || *may_have_run == 0,
+                        "a retry of a request that is not idempotent"
+                    );
+                    *may_have_run += 1;
+                    self.in_flight.push((*id, *n, *backend));
                     *n += 1;
                     let (plan, customer, units) = self.customers[id];
                     if plan == 1 && *n == 1 {
-                        *self.ceiling.entry(customer).or_insert(0.0) += units;
+                        *self.hard_limit_use.entry(customer).or_insert(0.0) += units;
                     }
                 }
                 Action::Reject { id, .. } => {
                     assert!(self.ended.insert(*id), "a second answer");
-                    let unproved = self.unproved.get(id).copied().unwrap_or(0);
-                    assert!(self.classes[id] == 0 || unproved == 0, "refused what may have run");
+                    let may_have_run = self.may_have_run.get(id).copied().unwrap_or(0);
+                    assert!(self.classes[id] == 0 || may_have_run == 0, "rejected what may have run");
                 }
                 Action::Fail(id) => assert!(self.ended.insert(*id), "a second answer"),
-                Action::CheckHealth(_) | Action::AddToCounter { .. } => panic!("forbidden here"),
+                Action::CheckHealth(_) | Action::AddToCounter { .. } => {
+                    panic!("not permitted by these settings")
+                }
                 _ => {}
             }
         }
-        // A third of the ceiling is this gateway's, from nothing at its start; widths of 2 allow a half.
+        // A third of the hard_limit_use is this gateway's, from nothing at its start; widths of 2 allow a half.
         let life = (now - T0) as f64 / 1e6;
-        for used in self.ceiling.values() {
-            assert!(*used <= 30.0 * life + 60.0 + 1e-6, "the ceiling's share is overdrawn");
+        for used in self.hard_limit_use.values() {
+            assert!(*used <= 30.0 * life + 60.0 + 1e-6, "the hard_limit_use's share is overdrawn");
         }
     }
 }
@@ -156,10 +164,10 @@
         Outcome::TimedOut,
         Outcome::Cancelled,
     ];
-    let mut feed = |host: &mut Host, now: Micros, event: Event| {
+    let mut handle = |host: &mut Host, now: Micros, event: Event| {
         let mut actions = Vec::new();
         gateway.handle(now, event, &mut actions);
-        host.take(now, &actions);
+        host.check(now, &actions);
     };
     let listed = |n: u64, state: u8, started: Micros| Endpoint {
         backend: BackendId(n),
@@ -170,44 +178,40 @@
         started_at: started,
         ..Endpoint::default()
     };
-    feed(&mut host, now, Event::Endpoints(EndpointUpdate::Cached, (0..5).map(|n| listed(n, 0, 0)).collect()));
+    handle(
+        &mut host,
+        now,
+        Event::Endpoints(EndpointUpdate::Cached, (0..5).map(|n| listed(n, 0, 0)).collect()),
+    );
     for step in steps.iter().cloned() {
         match step {
-            Step::Ask { class, plan, customer, units, width, left } => {
+            Step::Request { class, plan, customer, units, gateway_count, time_left } => {
                 let id = RequestId(next);
                 next += 1;
-                let deadline = now + left;
+                let deadline = now + time_left;
                 host.deadlines.insert(id, deadline);
                 host.classes.insert(id, if class < 3 { class } else { 0 });
                 host.customers.insert(id, (plan, customer, units));
                 let customer = CustomerId(customer);
-                let req = Request {
-                    id,
-                    class,
-                    plan,
-                    customer,
-                    deadline,
-                    units,
-                    gateway_count: width,
-                    first_gateway: 0.0,
-                };
-                feed(&mut host, now, Event::Request(req));
+                let req =
+                    Request { id, class, plan, customer, deadline, units, gateway_count, first_gateway: 0.0 };
+                handle(&mut host, now, Event::Request(req));
             }
-            Step::Settle { pick, outcome, unknown } => {
+            Step::FinishAttempt { pick, outcome, unknown } => {
                 let outcome = outcomes[outcome];
-                let at = if host.out.is_empty() { None } else { Some(pick % host.out.len()) };
+                let at = if host.in_flight.is_empty() { None } else { Some(pick % host.in_flight.len()) };
                 let (id, attempt, backend) = match at.filter(|_| !unknown) {
-                    Some(at) => host.out.swap_remove(at),
+                    Some(at) => host.in_flight.swap_remove(at),
                     None => (RequestId(1 << 40), 7, BackendId(77)),
                 };
                 if outcome.never_ran() {
-                    host.unproved.entry(id).and_modify(|n| *n -= 1);
+                    host.may_have_run.entry(id).and_modify(|n| *n -= 1);
                 }
                 let complete = outcome == Outcome::Ok || host.ended.contains(&id);
                 if outcome == Outcome::Ok {
                     host.ended.insert(id);
                 }
-                feed(
+                handle(
                     &mut host,
                     now,
                     Event::AttemptFinished {
@@ -223,20 +227,20 @@
                     },
                 );
             }
-            Step::Withdraw(pick) => {
+            Step::ClientLeaves(pick) => {
                 let id = RequestId(pick as u64);
                 if id.0 < next {
                     host.ended.insert(id);
                 }
-                feed(&mut host, now, Event::ClientCancelled(id));
+                handle(&mut host, now, Event::ClientCancelled(id));
             }
-            Step::Peer { from, bytes } => {
-                feed(&mut host, now, Event::GossipReceived { from: GatewayId(from), bytes })
+            Step::Gossip { from, bytes } => {
+                handle(&mut host, now, Event::GossipReceived { from: GatewayId(from), bytes })
             }
-            Step::Reach(peer, there) => {
-                feed(&mut host, now, Event::PeerReachability { peer: GatewayId(peer), reachable: there });
+            Step::Reachability(peer, reachable) => {
+                handle(&mut host, now, Event::PeerReachability { peer: GatewayId(peer), reachable });
             }
-            Step::Roster { kind, states, cold } => {
+            Step::Endpoints { kind, states, starting } => {
                 let kind = [
                     EndpointUpdate::Delta,
                     EndpointUpdate::Snapshot,
@@ -244,44 +248,44 @@
                     EndpointUpdate::Failed,
                 ][usize::from(kind)];
                 let list: Vec<_> =
-                    (0..).zip(&states).map(|(n, s)| listed(n, *s, if cold { now } else { 0 })).collect();
+                    (0..).zip(&states).map(|(n, s)| listed(n, *s, if starting { now } else { 0 })).collect();
                 if kind == EndpointUpdate::Snapshot || kind == EndpointUpdate::Cached {
-                    host.shut = (0..6).map(BackendId).collect();
+                    host.unavailable = (0..6).map(BackendId).collect();
                 }
                 if kind != EndpointUpdate::Failed {
                     for l in &list {
-                        host.shut.remove(&l.backend);
+                        host.unavailable.remove(&l.backend);
                         if l.availability != Availability::Ready {
-                            host.shut.insert(l.backend);
+                            host.unavailable.insert(l.backend);
                         }
                     }
                 }
-                feed(&mut host, now, Event::Endpoints(kind, list));
+                handle(&mut host, now, Event::Endpoints(kind, list));
             }
-            Step::Pass(ticks) => {
+            Step::Advance(ticks) => {
                 for _ in 0..ticks {
                     now += 20_000;
-                    feed(&mut host, now, Event::Timer(0));
+                    handle(&mut host, now, Event::Timer(0));
                 }
             }
-            Step::Stray(n) => {
-                feed(&mut host, now, Event::Timer(n as u32));
-                feed(&mut host, now, Event::FirstByte { id: RequestId(n), attempt: n as u16 });
+            Step::Unexpected(n) => {
+                handle(&mut host, now, Event::Timer(n as u32));
+                handle(&mut host, now, Event::FirstByte { id: RequestId(n), attempt: n as u16 });
                 let report = Some(LoadReport { queued: Some(f64::NAN), ..LoadReport::default() });
                 let (backend, outcome) = (BackendId(n), Outcome::Ok);
-                feed(&mut host, now, Event::HealthChecked { backend, outcome, elapsed: n, report });
-                feed(&mut host, now, Event::CounterUpdated { name: n, outcome, total: f64::NAN });
+                handle(&mut host, now, Event::HealthChecked { backend, outcome, elapsed: n, report });
+                handle(&mut host, now, Event::CounterUpdated { name: n, outcome, total: f64::NAN });
             }
         }
     }
-    // At the end all that is out times out at the deadlines, and every request has its answer.
+    // At the end all attempts in flight time out, and every request has its answer.
     for _ in 0..150 {
         now += 20_000;
-        feed(&mut host, now, Event::Timer(0));
-        for (id, attempt, backend) in std::mem::take(&mut host.out) {
+        handle(&mut host, now, Event::Timer(0));
+        for (id, attempt, backend) in std::mem::take(&mut host.in_flight) {
             let complete = host.ended.contains(&id);
             let outcome = Outcome::TimedOut;
-            feed(
+            handle(
                 &mut host,
                 now,
                 Event::AttemptFinished {
