--- a/crates/deployment-config/src/lib.rs
+++ b/crates/deployment-config/src/lib.rs
@@ -1,6 +1,18 @@
-//! The settings object that an instance is given at its start: by the simulator as lines of text, by the platform as
-//! JSON with the same names and units. One reader of both; unknown keys are skipped, missing or bad ones named.
+//! The settings object that a deployment gives a gateway at its start, read into the types of `chalkgap-core`.
+//!
+//! The simulator sends it as lines of `path=value` ([`parse`]), the platform as nested JSON ([`from_json`]), with the
+//! same names and units. Both are turned into a flat table of keys and read by the same code. Unknown keys are skipped;
+//! a key that is missing or malformed is named by the error.
 
-mod conf;
+mod config;
+mod error;
+mod json;
+mod key_values;
+mod load_report;
+mod sections;
+#[cfg(test)]
+mod tests;
 
-pub use conf::{from_json, parse, report, DeploymentConfig};
+pub use config::{from_json, parse, DeploymentConfig};
+pub use error::SettingsError;
+pub use load_report::report;
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -43,8 +43,8 @@
             let event = match record.decode(&fields)? {
                 None => continue,
                 Some(wire::Decoded::Start { instance, seed, conf }) => {
-                    let terms =
-                        chalkgap_deployment_config::parse(conf).map_err(|e| record.error("conf", &e))?;
+                    let terms = chalkgap_deployment_config::parse(conf)
+                        .map_err(|e| record.error("conf", &e.to_string()))?;
                     fields.insert(instance, terms.load_report_fields);
                     gateways.insert(instance, Gateway::new(terms.settings, seed, batch.clock));
                     continue;
