--- a/crates/simulator-adapter/tests/unit/wire.rs
+++ b/crates/simulator-adapter/src/wire/tests.rs
@@ -1,9 +1,12 @@
-//! The codec of the simulator's wire, which a program of its own has to itself.
+//! Offsets and codes of the wire, in both directions.
 
-use super::*;
+use super::bytes::{u16_at, u32_at};
+use super::layout::{ACTION_BYTES, EVENT_BYTES, REPLY_HEADER_BYTES};
+use super::{Decoded, Record, Reply};
+use chalkgap_core::{Action, BackendId, GatewayId, RequestId};
 
 #[test]
-fn every_action_has_its_code_and_its_fields_in_place() {
+fn every_action_is_encoded_with_its_code_and_fields() {
     let (id, backend) = (RequestId(0x0a_0b0c), BackendId(0x0605_0403_0201));
     let actions = [
         (
@@ -34,9 +37,9 @@
     let frame = reply.finish();
     assert_eq!(u32_at(&frame, 0) as usize, actions.len());
     assert_eq!(u32_at(&frame, 4) as usize, frame.len());
-    assert_eq!(&frame[REPLY_HEADER + ACTION * actions.len()..], b"\x08\x09\x07abc");
+    assert_eq!(&frame[REPLY_HEADER_BYTES + ACTION_BYTES * actions.len()..], b"\x08\x09\x07abc");
     for (n, (code, action, fields)) in actions.iter().enumerate() {
-        let record = &frame[REPLY_HEADER + ACTION * n..][..ACTION];
+        let record = &frame[REPLY_HEADER_BYTES + ACTION_BYTES * n..][..ACTION_BYTES];
         assert_eq!((record[0], u16_at(record, 1)), (*code, 3), "{action:?}");
         for (at, value) in fields {
             assert_eq!(record[*at], *value, "{action:?} at {at}");
@@ -45,30 +48,30 @@
 }
 
 #[test]
-fn events_are_read_from_their_places() {
-    let read = |body: [u8; EVENT]| {
-        let fields = BTreeMap::from([(1, vec!["depth".to_string()])]);
+fn events_are_decoded_from_their_offsets() {
+    let read = |body: [u8; EVENT_BYTES]| {
         let record = Record { batch: 1, index: 0, body: &body, tail: &[4, 5, 6] };
-        match record.decode(&fields) {
-            Ok(Some(Decoded::Event { instance: 1, event })) => format!("{event:?}"),
-            _ => panic!("not an event of instance 1"),
+        assert_eq!(record.instance(), 1);
+        match record.decode(&["depth".to_string()]) {
+            Ok(Some(Decoded::Event(event))) => format!("{event:?}"),
+            other => panic!("not an event: {other:?}"),
         }
     };
     let body = |code: u8, parts: &[(usize, &[u8])]| {
-        let mut b = [0; EVENT];
+        let mut b = [0; EVENT_BYTES];
         (b[0], b[1]) = (code, 1);
         parts.iter().for_each(|(at, bytes)| b[*at..*at + bytes.len()].copy_from_slice(bytes));
         b
     };
     let float = |x: f32| x.to_le_bytes();
-    let call = body(
+    let request = body(
         10,
         &[(3, &[9]), (11, &[2]), (12, &[3]), (14, &[4]), (22, &[5]), (30, &float(2.0)), (34, &float(3.0))],
     );
-    let text = read(call);
+    let text = read(request);
     assert!(text.contains("RequestId(9), class: 2, plan: 3, customer: CustomerId(4), deadline: 5"), "{text}");
     assert!(text.contains("units: 2.0, gateway_count: 3.0, first_gateway: 0.0"), "{text}");
-    let settled = body(
+    let attempt_finished = body(
         20,
         &[
             (3, &[9]),
@@ -83,7 +86,7 @@
             (31, &float(6.0)),
         ],
     );
-    let text = read(settled);
+    let text = read(attempt_finished);
     for part in [
         "attempt: 2",
         "BackendId(8)",
@@ -98,10 +101,10 @@
     assert_eq!(read(body(90, &[(3, &[6])])), "ClientCancelled(RequestId(6))");
     assert_eq!(read(body(70, &[(3, &[6])])), "Timer(6)");
     assert_eq!(read(body(100, &[(3, &[6]), (11, &[2])])), "FirstByte { id: RequestId(6), attempt: 2 }");
-    let peer = body(80, &[(3, &[2]), (5, &[1]), (9, &[2])]);
-    assert_eq!(read(peer), "GossipReceived { from: GatewayId(2), bytes: [5, 6] }");
-    let probed = read(body(30, &[(3, &[8]), (9, &[0x99, 1]), (11, &[7])]));
-    assert!(probed.contains("NotSent") && probed.contains("elapsed: 7"), "{probed}");
-    let counted = read(body(40, &[(3, &[5]), (11, &[200]), (13, &float(38.0))]));
-    assert!(counted.contains("name: 5") && counted.contains("38.0"), "{counted}");
+    let gossip = body(80, &[(3, &[2]), (5, &[1]), (9, &[2])]);
+    assert_eq!(read(gossip), "GossipReceived { from: GatewayId(2), bytes: [5, 6] }");
+    let health_checked = read(body(30, &[(3, &[8]), (9, &[0x99, 1]), (11, &[7])]));
+    assert!(health_checked.contains("NotSent") && health_checked.contains("elapsed: 7"), "{health_checked}");
+    let counter_updated = read(body(40, &[(3, &[5]), (11, &[200]), (13, &float(38.0))]));
+    assert!(counter_updated.contains("name: 5") && counter_updated.contains("38.0"), "{counter_updated}");
 }
--- a/crates/simulator-adapter/tests/simulator_adapter.rs
+++ b/crates/simulator-adapter/tests/simulator_adapter.rs
@@ -1,4 +1,4 @@
-//! The adapter by its frames: the built binary on standard input and output.
+//! The built adapter, driven by frames on standard input.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
@@ -10,7 +10,7 @@
         .stderr(Stdio::piped())
         .spawn()
         .unwrap();
-    // The adapter may end before it has read all: that is what some of these tests are about.
+    // The adapter may exit before it has read all of a malformed input; the write then fails.
     let _ = child.stdin.take().unwrap().write_all(input);
     child.wait_with_output().unwrap()
 }
@@ -34,7 +34,7 @@
     r
 }
 
-fn complains(output: &Output, parts: &[&str]) {
+fn assert_rejected(output: &Output, parts: &[&str]) {
     let text = String::from_utf8_lossy(&output.stderr);
     assert!(!output.status.success(), "{text}");
     assert!(!text.contains("panicked"), "{text}");
@@ -44,37 +44,43 @@
 }
 
 #[test]
-fn an_empty_batch_is_answered_and_the_end_of_input_is_a_success() {
+fn an_empty_batch_is_answered_and_end_of_input_is_success() {
     let output = run(&batch(9, 5, &[], &[]));
     assert!(output.status.success());
     assert_eq!(output.stdout, [0, 0, 0, 0, 12, 0, 0, 0, 9, 0, 0, 0]);
 }
 
 #[test]
-fn cut_or_lying_frames_are_named_and_get_no_reply() {
-    complains(&run(&batch(1, 5, &[], &[])[..13]), &["13 bytes of a batch header"]);
-    let whole = batch(1, 5, &[record(70, &[0; 6])], &[]);
-    let output = run(&whole[..40]);
-    complains(&output, &["20 of 48 bytes"]);
+fn truncated_or_false_frames_are_named_and_get_no_reply() {
+    assert_rejected(&run(&batch(1, 5, &[], &[])[..13]), &["13 bytes of a batch header"]);
+    let frame = batch(1, 5, &[record(70, &[0; 6])], &[]);
+    let output = run(&frame[..40]);
+    assert_rejected(&output, &["20 of 48 bytes"]);
     assert!(output.stdout.is_empty());
-    let mut short = whole.clone();
+    let mut short = frame.clone();
     short[4] = 21;
-    complains(&run(&short), &["batch 1", "too short"]);
+    assert_rejected(&run(&short), &["batch 1", "too short"]);
 }
 
 #[test]
 fn bad_fields_are_named_by_batch_record_and_field() {
     // A message whose bytes leave the tail.
-    let peer = record(80, &[0, 0, 1, 0, 200, 0, 0, 0, 9, 0, 0, 0]);
-    complains(&run(&batch(4, 5, &[record(70, &[0; 6]), peer], b"abc")), &["batch 4", "record 1", "octets"]);
-    let settled = record(20, &[0; 30]);
-    complains(&run(&batch(4, 5, &[settled], &[])), &["record 0", "outcome", "unknown code 0"]);
+    let gossip = record(80, &[0, 0, 1, 0, 200, 0, 0, 0, 9, 0, 0, 0]);
+    assert_rejected(
+        &run(&batch(4, 5, &[record(70, &[0; 6]), gossip], b"abc")),
+        &["batch 4", "record 1", "octets"],
+    );
+    let attempt_finished = record(20, &[0; 30]);
+    assert_rejected(&run(&batch(4, 5, &[attempt_finished], &[])), &["record 0", "outcome", "unknown code 0"]);
     let start = record(50, &[0, 0, 1, 2, 3, 4, 5, 6, 7, 8, 0, 0, 0, 0, 15, 0, 0, 0]);
-    complains(&run(&batch(2, 5, &[start], b"grades.count=1\n")), &["record 0", "conf", "grades.0.effect"]);
+    assert_rejected(
+        &run(&batch(2, 5, &[start], b"grades.count=1\n")),
+        &["record 0", "conf", "grades.0.effect"],
+    );
 }
 
 #[test]
-fn unknown_codes_and_instances_that_are_not_running_harm_nobody() {
+fn unknown_codes_and_events_for_unknown_instances_are_skipped() {
     let output = run(&batch(3, 5, &[record(222, &[1; 40]), record(90, &[7, 0]), record(110, &[7, 0])], &[]));
     assert!(output.status.success());
     assert_eq!(output.stdout, [0, 0, 0, 0, 12, 0, 0, 0, 3, 0, 0, 0]);
