--- /dev/null
+++ b/crates/wire/src/http2/connection/messages.rs
@@ -0,0 +1,216 @@
+//! Frames that make up requests and responses: HEADERS, CONTINUATION and DATA (RFC 9113, sections 6.1, 6.2, 6.10 and 8.1).
+
+use super::super::frame::{unpad, Code, ConnError, Head, END_HEADERS, END_STREAM, PRIORITIZED};
+use super::super::hpack::{Field, HpackError};
+use super::receiving::LATE_FRAME_COST;
+use super::validation::{check, CheckedFields, MessageKind};
+use super::{protocol_error, Connection, Event, HeaderBlock};
+use bytes::{Buf, Bytes, BytesMut};
+
+/// CONTINUATION frames of a header block: 16 KiB need one, and a block without end must not take memory.
+const MAX_CONTINUATIONS: u32 = 16;
+/// What an empty DATA frame or an interim response takes from the allowance.
+const EMPTY_FRAME_COST: f64 = 1.0;
+/// Priority in front of a header block (section 6.2).
+const PRIORITY_BYTES: usize = 5;
+
+impl Connection {
+    pub(super) fn on_data(&mut self, head: Head, payload: Bytes) -> Result<(), ConnError> {
+        let id = head.stream;
+        if id == 0 || self.is_idle(id) {
+            return Err(protocol_error("DATA on a stream that is not open"));
+        }
+        let size = payload.len();
+        self.receive_window -= size as i64;
+        if self.receive_window < 0 {
+            return Err(ConnError::new(Code::FLOW_CONTROL_ERROR, "DATA beyond the connection's window"));
+        }
+        let data = unpad(&head, payload).ok_or(protocol_error("padding longer than the frame"))?;
+        let end = head.has(END_STREAM);
+        if data.is_empty() && !end {
+            self.spend(EMPTY_FRAME_COST, "too many empty DATA frames")?;
+        }
+        if !self.streams.contains_key(&id) {
+            self.consumed(id, size);
+            return self.on_late_data(id, end);
+        }
+        if let Err(code) = self.count_data(id, size, data.len(), end) {
+            self.consumed(id, size);
+            return self.stream_error(id, code);
+        }
+        let padding = size - data.len();
+        if padding > 0 {
+            self.consumed(id, padding);
+        }
+        if !data.is_empty() || end {
+            self.events.push_back(Event::Data { stream: id, data, end });
+        }
+        self.forget_if_ended(id);
+        Ok(())
+    }
+
+    /// DATA on a stream that is closed.
+    fn on_late_data(&mut self, id: u32, end: bool) -> Result<(), ConnError> {
+        match self.reset_streams.iter().position(|reset| *reset == id) {
+            // A client whose whole response was sent before its own end: that end costs it nothing, once.
+            Some(position) if end => {
+                self.reset_streams.remove(position);
+                Ok(())
+            }
+            Some(_) => self.spend(LATE_FRAME_COST, "too much DATA on streams that were reset"),
+            None => self.stream_error(id, Code::STREAM_CLOSED),
+        }
+    }
+
+    /// Counts DATA of an open stream; `size` includes padding.
+    ///
+    /// # Errors
+    /// The code that the stream ends with.
+    fn count_data(&mut self, id: u32, size: usize, length: usize, end: bool) -> Result<(), Code> {
+        let Some(stream) = self.streams.get_mut(&id) else { return Err(Code::STREAM_CLOSED) };
+        stream.receive_window -= size as i64;
+        if stream.end_received {
+            return Err(Code::STREAM_CLOSED);
+        }
+        if !stream.headers_received {
+            return Err(Code::PROTOCOL_ERROR);
+        }
+        if stream.receive_window < 0 {
+            return Err(Code::FLOW_CONTROL_ERROR);
+        }
+        stream.body_received += length as u64;
+        stream.end_received = end;
+        if stream.contradicts_length() {
+            return Err(Code::PROTOCOL_ERROR);
+        }
+        Ok(())
+    }
+
+    /// Forgets a stream that both sides have ended.
+    fn forget_if_ended(&mut self, id: u32) {
+        if self.streams.get(&id).is_some_and(|stream| stream.end_received && stream.end_sent) {
+            self.streams.remove(&id);
+            self.allowance.earn();
+        }
+    }
+
+    pub(super) fn on_headers(&mut self, head: Head, payload: Bytes) -> Result<(), ConnError> {
+        let id = head.stream;
+        if id == 0 || id % 2 == 0 {
+            return Err(protocol_error("HEADERS on a stream that a client cannot have opened"));
+        }
+        if !self.is_server && self.is_idle(id) {
+            return Err(protocol_error("an answer on a stream that was never opened"));
+        }
+        let mut part = unpad(&head, payload).ok_or(protocol_error("padding longer than the frame"))?;
+        if head.has(PRIORITIZED) {
+            if part.len() < PRIORITY_BYTES {
+                return Err(ConnError::new(Code::FRAME_SIZE_ERROR, "HEADERS too short for its priority"));
+            }
+            part.advance(PRIORITY_BYTES);
+        }
+        if head.has(END_HEADERS) {
+            return self.on_header_block(head, &part);
+        }
+        self.header_block = Some(HeaderBlock { head, bytes: BytesMut::from(&part[..]), frames: 0 });
+        Ok(())
+    }
+
+    pub(super) fn on_continuation(&mut self, head: Head, payload: &[u8]) -> Result<(), ConnError> {
+        let limit = self.config.header_list as usize;
+        let Some(block) = &mut self.header_block else {
+            return Err(protocol_error("CONTINUATION without an open header block"));
+        };
+        block.frames += 1;
+        if block.frames > MAX_CONTINUATIONS || block.bytes.len() + payload.len() > limit {
+            return Err(ConnError::new(Code::ENHANCE_YOUR_CALM, "a header block over the limit"));
+        }
+        block.bytes.extend_from_slice(payload);
+        if !head.has(END_HEADERS) {
+            return Ok(());
+        }
+        match self.header_block.take() {
+            Some(block) => self.on_header_block(block.head, &block.bytes),
+            None => Ok(()),
+        }
+    }
+
+    /// A whole header block. It is decoded in any case: the tables of both sides must stay alike.
+    fn on_header_block(&mut self, head: Head, block: &[u8]) -> Result<(), ConnError> {
+        let id = head.stream;
+        let end = head.has(END_STREAM);
+        let fields = self.decode_fields(block)?;
+        if self.is_server && self.is_idle(id) {
+            self.last_peer_stream = id;
+            if self.is_draining || self.goaway_sent.is_some_and(|last| id > last) {
+                return Ok(()); // above the last id of the GOAWAY: the client knows that it is not processed
+            }
+            if self.streams.len() >= self.config.max_streams as usize {
+                return self.stream_error(id, Code::REFUSED_STREAM);
+            }
+            let stream = self.new_stream();
+            self.streams.insert(id, stream);
+        }
+        let Some(stream) = self.streams.get(&id) else {
+            if self.reset_streams.contains(&id) {
+                return self.spend(LATE_FRAME_COST, "too many HEADERS on streams that were reset");
+            }
+            return Err(ConnError::new(Code::STREAM_CLOSED, "HEADERS on a closed stream"));
+        };
+        if stream.end_received {
+            return self.stream_error(id, Code::STREAM_CLOSED);
+        }
+        let kind = match (stream.headers_received, self.is_server) {
+            (true, _) => MessageKind::Trailers,
+            (false, true) => MessageKind::Request,
+            (false, false) => MessageKind::Response,
+        };
+        let Ok(checked) = check(&fields, kind) else {
+            return self.stream_error(id, Code::PROTOCOL_ERROR);
+        };
+        self.on_fields(id, kind, checked, fields, end)
+    }
+
+    fn decode_fields(&mut self, block: &[u8]) -> Result<Vec<Field>, ConnError> {
+        self.decoder.decode(block, self.config.header_list as usize).map_err(|error| match error {
+            HpackError::TooLarge(_) => {
+                ConnError::new(Code::ENHANCE_YOUR_CALM, "fields over the limit of a message")
+            }
+            _ => ConnError::new(Code::COMPRESSION_ERROR, "a header block that cannot be read"),
+        })
+    }
+
+    /// Fields that are well formed: a message begins or, with trailers, ends.
+    fn on_fields(
+        &mut self,
+        id: u32,
+        kind: MessageKind,
+        checked: CheckedFields,
+        fields: Vec<Field>,
+        end: bool,
+    ) -> Result<(), ConnError> {
+        let is_trailers = kind == MessageKind::Trailers;
+        if is_trailers && !end {
+            return self.stream_error(id, Code::PROTOCOL_ERROR);
+        }
+        if checked.informational {
+            if end {
+                return self.stream_error(id, Code::PROTOCOL_ERROR);
+            }
+            return self.spend(EMPTY_FRAME_COST, "too many 1xx");
+        }
+        let Some(stream) = self.streams.get_mut(&id) else { return Ok(()) };
+        stream.headers_received = true;
+        if !is_trailers {
+            stream.content_length = checked.content_length;
+        }
+        stream.end_received = end;
+        let is_short = stream.content_length.is_some_and(|length| length != stream.body_received);
+        if end && is_short && stream.body_received > 0 {
+            return self.stream_error(id, Code::PROTOCOL_ERROR);
+        }
+        self.events.push_back(Event::Headers { stream: id, fields, end });
+        self.forget_if_ended(id);
+        Ok(())
+    }
+}
--- /dev/null
+++ b/crates/wire/src/http2/connection/receiving.rs
@@ -0,0 +1,295 @@
+//! Frames from the peer: the preface, the dispatch by type, and the frames that manage the connection (RFC 9113,
+//! sections 6.3 to 6.9).
+
+use super::super::frame::{
+    write_goaway, write_head, write_u32, Code, ConnError, Head, ACK, CONTINUATION, DATA, GOAWAY, HEAD,
+    HEADERS, PING, PREFACE, PRIORITY, PUSH_PROMISE, RST_STREAM, SETTINGS, WINDOW_UPDATE,
+};
+use super::{
+    protocol_error, Connection, Event, DRAIN_PING, MAX_FRAME_BYTES, MAX_WINDOW, SETTINGS_ENABLE_PUSH,
+    SETTINGS_HEADER_TABLE_SIZE, SETTINGS_INITIAL_WINDOW_SIZE, SETTINGS_MAX_CONCURRENT_STREAMS,
+    SETTINGS_MAX_FRAME_SIZE,
+};
+use bytes::{Buf, BufMut, Bytes};
+
+/// What a control frame takes from the allowance.
+const CONTROL_FRAME_COST: f64 = 1.0;
+/// What a late frame on a stream that was reset takes.
+pub(super) const LATE_FRAME_COST: f64 = 0.1;
+/// SETTINGS cost more the longer they are: another unit for a hundred settings.
+const SETTINGS_BYTES_PER_COST: f64 = 600.0;
+const SETTING_BYTES: usize = 6;
+const PING_BYTES: usize = 8;
+const MIN_GOAWAY_BYTES: usize = 8;
+const PRIORITY_BYTES: usize = 5;
+/// Frame sizes that a peer may announce (section 4.2).
+const FRAME_SIZES: std::ops::RangeInclusive<u32> = 16_384..=16_777_215;
+
+fn u32_at(payload: &[u8], at: usize) -> u32 {
+    u32::from_be_bytes([payload[at], payload[at + 1], payload[at + 2], payload[at + 3]])
+}
+
+impl Connection {
+    /// Takes bytes of the peer at the time `now` (microseconds of any clock that does not go back).
+    ///
+    /// # Errors
+    /// The peer broke a rule of the connection, or used up its allowance: the GOAWAY is in the output, the connection
+    /// is to be closed once that is written, and each open stream has come as [`Event::Reset`].
+    pub fn receive(&mut self, now: u64, bytes: &[u8]) -> Result<(), ConnError> {
+        if let Some(error) = self.error {
+            return Err(error);
+        }
+        self.now = now;
+        self.bytes_received += bytes.len() as u64;
+        self.input.extend_from_slice(bytes);
+        let result = self.read_input();
+        if let Err(error) = result {
+            self.abort(error);
+        }
+        result
+    }
+
+    fn read_input(&mut self) -> Result<(), ConnError> {
+        self.read_preface()?;
+        while self.preface_left == 0 && self.input.len() >= HEAD {
+            let head = Head::read(&self.input);
+            if head.len > MAX_FRAME_BYTES {
+                return Err(ConnError::new(Code::FRAME_SIZE_ERROR, "frame of more than 16,384 bytes"));
+            }
+            if self.input.len() < HEAD + head.len {
+                break;
+            }
+            self.input.advance(HEAD);
+            let payload = self.input.split_to(head.len).freeze();
+            self.on_frame(head, payload)?;
+        }
+        Ok(())
+    }
+
+    fn read_preface(&mut self) -> Result<(), ConnError> {
+        let available = self.preface_left.min(self.input.len());
+        let start = PREFACE.len() - self.preface_left;
+        if self.input[..available] != PREFACE[start..start + available] {
+            return Err(protocol_error("expected the client's preface of HTTP/2"));
+        }
+        self.input.advance(available);
+        self.preface_left -= available;
+        Ok(())
+    }
+
+    /// Draws on the allowance for frames that cost the peer nothing.
+    pub(super) fn spend(&mut self, cost: f64, what: &'static str) -> Result<(), ConnError> {
+        self.allowance.spend(self.now, cost, what)
+    }
+
+    fn on_frame(&mut self, head: Head, payload: Bytes) -> Result<(), ConnError> {
+        if !self.is_ready && (head.kind != SETTINGS || head.has(ACK)) {
+            return Err(protocol_error("expected SETTINGS as the first frame"));
+        }
+        if let Some(block) = &self.header_block {
+            if head.kind != CONTINUATION || head.stream != block.head.stream {
+                return Err(protocol_error("expected the CONTINUATION of an open header block"));
+            }
+        }
+        match head.kind {
+            DATA => self.on_data(head, payload),
+            HEADERS => self.on_headers(head, payload),
+            PRIORITY => self.on_priority(head),
+            RST_STREAM => self.on_reset(head, &payload),
+            SETTINGS => self.on_settings(head, &payload),
+            PUSH_PROMISE => Err(protocol_error("PUSH_PROMISE where none is allowed")),
+            PING => self.on_ping(head, &payload),
+            GOAWAY => self.on_goaway(head, &payload),
+            WINDOW_UPDATE => self.on_window_update(head, &payload),
+            CONTINUATION => self.on_continuation(head, &payload),
+            // Passed over (section 5.5).
+            _ => self.spend(CONTROL_FRAME_COST, "too many frames of unknown types"),
+        }
+    }
+
+    /// Ends a stream for an error of the peer (section 5.4.2).
+    pub(super) fn stream_error(&mut self, id: u32, code: Code) -> Result<(), ConnError> {
+        self.spend(CONTROL_FRAME_COST, "too many broken streams")?;
+        write_u32(&mut self.output, RST_STREAM, id, code.0);
+        self.remember_reset(id);
+        if self.streams.remove(&id).is_some() {
+            self.events.push_back(Event::Reset { stream: id, code, ours: true });
+        }
+        Ok(())
+    }
+
+    fn on_priority(&mut self, head: Head) -> Result<(), ConnError> {
+        if head.stream == 0 {
+            return Err(protocol_error("PRIORITY on stream 0"));
+        }
+        self.spend(CONTROL_FRAME_COST, "too many PRIORITY frames")?;
+        if head.len != PRIORITY_BYTES {
+            return self.stream_error(head.stream, Code::FRAME_SIZE_ERROR);
+        }
+        Ok(())
+    }
+
+    fn on_reset(&mut self, head: Head, payload: &[u8]) -> Result<(), ConnError> {
+        if head.len != 4 {
+            return Err(ConnError::new(Code::FRAME_SIZE_ERROR, "RST_STREAM of other than four bytes"));
+        }
+        if head.stream == 0 || self.is_idle(head.stream) {
+            return Err(protocol_error("RST_STREAM on a stream that is not open"));
+        }
+        let code = Code(u32_at(payload, 0));
+        // Opening and resetting at once is work for this side and none for the peer.
+        self.spend(CONTROL_FRAME_COST, "too many streams reset")?;
+        if self.streams.remove(&head.stream).is_some() {
+            self.remember_reset(head.stream);
+            self.events.push_back(Event::Reset { stream: head.stream, code, ours: false });
+        }
+        Ok(())
+    }
+
+    fn on_settings(&mut self, head: Head, payload: &[u8]) -> Result<(), ConnError> {
+        if head.stream != 0 {
+            return Err(protocol_error("SETTINGS on a stream"));
+        }
+        if head.has(ACK) {
+            if head.len != 0 {
+                return Err(ConnError::new(Code::FRAME_SIZE_ERROR, "SETTINGS acknowledged with a payload"));
+            }
+            return self.spend(CONTROL_FRAME_COST, "too many SETTINGS");
+        }
+        if head.len % SETTING_BYTES != 0 {
+            return Err(ConnError::new(Code::FRAME_SIZE_ERROR, "SETTINGS of other than six bytes each"));
+        }
+        let cost = CONTROL_FRAME_COST + head.len as f64 / SETTINGS_BYTES_PER_COST;
+        self.spend(cost, "too many SETTINGS")?;
+        for setting in payload.chunks_exact(SETTING_BYTES) {
+            let id = u16::from_be_bytes([setting[0], setting[1]]);
+            self.apply_setting(id, u32_at(setting, 2))?;
+        }
+        write_head(&mut self.output, 0, SETTINGS, ACK, 0);
+        if !self.is_ready {
+            self.is_ready = true;
+            self.events.push_back(Event::Ready);
+        }
+        Ok(())
+    }
+
+    fn apply_setting(&mut self, id: u16, value: u32) -> Result<(), ConnError> {
+        match id {
+            SETTINGS_HEADER_TABLE_SIZE => self.encoder.allow(value),
+            SETTINGS_ENABLE_PUSH if value > 1 || (!self.is_server && value == 1) => {
+                return Err(protocol_error("ENABLE_PUSH of other than nought"));
+            }
+            SETTINGS_MAX_CONCURRENT_STREAMS if !self.is_server => self.peer_max_streams = value,
+            SETTINGS_INITIAL_WINDOW_SIZE => self.apply_initial_window(value)?,
+            SETTINGS_MAX_FRAME_SIZE => {
+                if !FRAME_SIZES.contains(&value) {
+                    return Err(protocol_error("MAX_FRAME_SIZE outside 2^14 to 2^24-1"));
+                }
+                self.peer_max_frame = (value as usize).min(MAX_FRAME_BYTES);
+            }
+            _ => {}
+        }
+        Ok(())
+    }
+
+    /// Changes the windows of all streams by as much as the initial one changes (section 6.9.2).
+    fn apply_initial_window(&mut self, value: u32) -> Result<(), ConnError> {
+        if i64::from(value) > MAX_WINDOW {
+            return Err(ConnError::new(Code::FLOW_CONTROL_ERROR, "initial window over 2^31-1"));
+        }
+        let change = i64::from(value) - self.peer_initial_window;
+        self.peer_initial_window = i64::from(value);
+        for (id, stream) in &mut self.streams {
+            stream.send_window += change;
+            if stream.send_window > MAX_WINDOW {
+                return Err(ConnError::new(Code::FLOW_CONTROL_ERROR, "a window over 2^31-1"));
+            }
+            if stream.may_resume() {
+                stream.is_scheduled = true;
+                self.scheduled.push_back(*id);
+            }
+        }
+        Ok(())
+    }
+
+    fn on_ping(&mut self, head: Head, payload: &[u8]) -> Result<(), ConnError> {
+        if head.stream != 0 {
+            return Err(protocol_error("PING on a stream"));
+        }
+        if head.len != PING_BYTES {
+            return Err(ConnError::new(Code::FRAME_SIZE_ERROR, "PING of other than eight bytes"));
+        }
+        self.spend(CONTROL_FRAME_COST, "too many PINGs")?;
+        if !head.has(ACK) {
+            write_head(&mut self.output, PING_BYTES, PING, ACK, 0);
+            self.output.put_slice(payload);
+        } else if *payload == DRAIN_PING.to_be_bytes() && self.goaway_sent.is_some() && !self.is_draining {
+            // The client read the first GOAWAY before this: streams that it opens from here on never run.
+            self.goaway_sent = Some(self.last_peer_stream);
+            self.is_draining = true;
+            write_goaway(&mut self.output, self.last_peer_stream, Code::NO_ERROR, b"drain");
+        } else if *payload == [0; PING_BYTES] {
+            self.events.push_back(Event::Pong);
+        }
+        Ok(())
+    }
+
+    fn on_goaway(&mut self, head: Head, payload: &[u8]) -> Result<(), ConnError> {
+        if head.stream != 0 {
+            return Err(protocol_error("GOAWAY on a stream"));
+        }
+        if head.len < MIN_GOAWAY_BYTES {
+            return Err(ConnError::new(Code::FRAME_SIZE_ERROR, "GOAWAY of less than eight bytes"));
+        }
+        self.spend(CONTROL_FRAME_COST, "too many GOAWAYs")?;
+        let last_processed = u32_at(payload, 0) & MAX_WINDOW as u32;
+        let code = Code(u32_at(payload, 4));
+        self.goaway_received = true;
+        if !self.is_server {
+            let unprocessed = self.streams.range(last_processed.saturating_add(1)..);
+            let unprocessed: Vec<u32> = unprocessed.map(|(id, _)| *id).collect();
+            for stream in unprocessed {
+                self.streams.remove(&stream);
+                self.events.push_back(Event::Reset { stream, code: Code::REFUSED_STREAM, ours: false });
+            }
+        }
+        self.events.push_back(Event::GoAway(code));
+        Ok(())
+    }
+
+    fn on_window_update(&mut self, head: Head, payload: &[u8]) -> Result<(), ConnError> {
+        if head.len != 4 {
+            return Err(ConnError::new(Code::FRAME_SIZE_ERROR, "WINDOW_UPDATE of other than four bytes"));
+        }
+        let id = head.stream;
+        let increment = i64::from(u32_at(payload, 0)) & MAX_WINDOW;
+        if id == 0 {
+            self.send_window += increment;
+            if increment == 0 {
+                return Err(protocol_error("WINDOW_UPDATE by nought"));
+            }
+            if self.send_window > MAX_WINDOW {
+                return Err(ConnError::new(Code::FLOW_CONTROL_ERROR, "the connection's window over 2^31-1"));
+            }
+            return Ok(());
+        }
+        if self.is_idle(id) {
+            return Err(protocol_error("WINDOW_UPDATE on a stream that is not open"));
+        }
+        let Some(stream) = self.streams.get_mut(&id) else {
+            return self.spend(LATE_FRAME_COST, "too many late WINDOW_UPDATEs");
+        };
+        stream.send_window += increment;
+        if increment == 0 {
+            return self.stream_error(id, Code::PROTOCOL_ERROR);
+        }
+        if stream.send_window > MAX_WINDOW {
+            return self.stream_error(id, Code::FLOW_CONTROL_ERROR);
+        }
+        if stream.may_resume() {
+            stream.is_scheduled = true;
+            self.scheduled.push_back(id);
+        }
+        Ok(())
+    }
+}
--- a/crates/wire/src/http2/mod.rs
+++ b/crates/wire/src/http2/mod.rs
@@ -1,11 +1,11 @@
 //! HTTP/2 (RFC 9113) as a state machine: [`Connection`] takes the peer's bytes and the time, gives [`Event`]s, and
 //! keeps the bytes that are to be written in [`Connection::output`].
 
-mod conn;
+mod connection;
 mod frame;
 mod hpack;
 mod huffman;
 
-pub use conn::{Config, Connection, Event, OpenError, SendError};
+pub use connection::{Config, Connection, Event, OpenError, SendError};
 pub use frame::{Code, ConnError, PREFACE};
 pub use hpack::{Decoder, Encoder, Field, HpackError};
