--- a/crates/wire/src/mqtt/property.rs
+++ b/crates/wire/src/mqtt/property.rs
@@ -1,6 +1,8 @@
 //! Properties (MQTT 5, section 2.2.2.2): which there are, what they hold, and where each may be.
 
-use super::codec::{Error, Reader};
+use super::encode::{put_binary, put_string, put_variable_byte_integer};
+use super::error::Error;
+use super::reader::Reader;
 use super::reason::{MALFORMED_PACKET, PROTOCOL_ERROR};
 use bytes::{BufMut, Bytes, BytesMut};
 
@@ -112,9 +114,9 @@
         })
     }
 
-    fn read(r: &mut Reader) -> Result<Property, Error> {
+    fn read(reader: &mut Reader) -> Result<Property, Error> {
         // An identifier is a variable byte integer; all that there are fit one byte.
-        let id = r.variable()?;
+        let id = reader.variable_byte_integer()?;
         let id = u8::try_from(id).ok().filter(|id| Property::places(*id).is_some());
         let id = id.ok_or(Error::new(MALFORMED_PACKET, "a property that there is not"))?;
         let flag = |n: u8, what| match n {
@@ -122,56 +124,57 @@
             _ => Err(Error::new(PROTOCOL_ERROR, what)),
         };
         Ok(match id {
-            0x01 => P::PayloadFormat(flag(r.byte()?, "payload format indicator: expected 0 or 1")?),
-            0x02 => P::MessageExpiry(r.long()?),
-            0x03 => P::ContentType(r.text()?),
-            0x08 => P::ResponseTopic(r.text()?),
-            0x09 => P::CorrelationData(r.binary()?),
-            0x0b => match r.variable()? {
+            0x01 => P::PayloadFormat(flag(reader.u8()?, "payload format indicator: expected 0 or 1")?),
+            0x02 => P::MessageExpiry(reader.u32()?),
+            0x03 => P::ContentType(reader.string()?),
+            0x08 => P::ResponseTopic(reader.string()?),
+            0x09 => P::CorrelationData(reader.binary()?),
+            0x0b => match reader.variable_byte_integer()? {
                 0 => return Err(Error::new(PROTOCOL_ERROR, "subscription identifier 0")),
                 n => P::SubscriptionIdentifier(n),
             },
-            0x11 => P::SessionExpiry(r.long()?),
-            0x12 => P::AssignedClientIdentifier(r.text()?),
-            0x13 => P::ServerKeepAlive(r.short()?),
-            0x15 => P::AuthenticationMethod(r.text()?),
-            0x16 => P::AuthenticationData(r.binary()?),
-            0x17 => {
-                P::RequestProblemInformation(flag(r.byte()?, "request problem information: expected 0 or 1")?)
-            }
-            0x18 => P::WillDelay(r.long()?),
+            0x11 => P::SessionExpiry(reader.u32()?),
+            0x12 => P::AssignedClientIdentifier(reader.string()?),
+            0x13 => P::ServerKeepAlive(reader.u16()?),
+            0x15 => P::AuthenticationMethod(reader.string()?),
+            0x16 => P::AuthenticationData(reader.binary()?),
+            0x17 => P::RequestProblemInformation(flag(
+                reader.u8()?,
+                "request problem information: expected 0 or 1",
+            )?),
+            0x18 => P::WillDelay(reader.u32()?),
             0x19 => P::RequestResponseInformation(flag(
-                r.byte()?,
+                reader.u8()?,
                 "request response information: expected 0 or 1",
             )?),
-            0x1a => P::ResponseInformation(r.text()?),
-            0x1c => P::ServerReference(r.text()?),
-            0x1f => P::ReasonString(r.text()?),
-            0x21 => match r.short()? {
+            0x1a => P::ResponseInformation(reader.string()?),
+            0x1c => P::ServerReference(reader.string()?),
+            0x1f => P::ReasonString(reader.string()?),
+            0x21 => match reader.u16()? {
                 0 => return Err(Error::new(PROTOCOL_ERROR, "receive maximum 0")),
                 n => P::ReceiveMaximum(n),
             },
-            0x22 => P::TopicAliasMaximum(r.short()?),
-            0x23 => P::TopicAlias(r.short()?),
-            0x24 => P::MaximumQoS(flag(r.byte()?, "maximum QoS: expected 0 or 1")?),
-            0x25 => P::RetainAvailable(flag(r.byte()?, "retain available: expected 0 or 1")?),
-            0x26 => P::User(r.text()?, r.text()?),
-            0x27 => match r.long()? {
+            0x22 => P::TopicAliasMaximum(reader.u16()?),
+            0x23 => P::TopicAlias(reader.u16()?),
+            0x24 => P::MaximumQoS(flag(reader.u8()?, "maximum QoS: expected 0 or 1")?),
+            0x25 => P::RetainAvailable(flag(reader.u8()?, "retain available: expected 0 or 1")?),
+            0x26 => P::User(reader.string()?, reader.string()?),
+            0x27 => match reader.u32()? {
                 0 => return Err(Error::new(PROTOCOL_ERROR, "maximum packet size 0")),
                 n => P::MaximumPacketSize(n),
             },
             0x28 => {
-                P::WildcardSubscriptionAvailable(flag(r.byte()?, "wildcards available: expected 0 or 1")?)
+                P::WildcardSubscriptionAvailable(flag(reader.u8()?, "wildcards available: expected 0 or 1")?)
             }
-            0x29 => {
-                P::SubscriptionIdentifierAvailable(flag(r.byte()?, "identifiers available: expected 0 or 1")?)
-            }
-            _ => P::SharedSubscriptionAvailable(flag(r.byte()?, "shared available: expected 0 or 1")?),
+            0x29 => P::SubscriptionIdentifierAvailable(flag(
+                reader.u8()?,
+                "identifiers available: expected 0 or 1",
+            )?),
+            _ => P::SharedSubscriptionAvailable(flag(reader.u8()?, "shared available: expected 0 or 1")?),
         })
     }
 
     fn write(&self, out: &mut BytesMut) {
-        use super::codec::{put_binary, put_text, put_variable};
         out.put_u8(self.id());
         match self {
             P::PayloadFormat(n)
@@ -188,18 +191,18 @@
             P::MessageExpiry(n) | P::SessionExpiry(n) | P::WillDelay(n) | P::MaximumPacketSize(n) => {
                 out.put_u32(*n);
             }
-            P::SubscriptionIdentifier(n) => put_variable(out, *n),
+            P::SubscriptionIdentifier(n) => put_variable_byte_integer(out, *n),
             P::ContentType(t)
             | P::ResponseTopic(t)
             | P::AssignedClientIdentifier(t)
             | P::AuthenticationMethod(t)
             | P::ResponseInformation(t)
             | P::ServerReference(t)
-            | P::ReasonString(t) => put_text(out, t),
+            | P::ReasonString(t) => put_string(out, t),
             P::CorrelationData(b) | P::AuthenticationData(b) => put_binary(out, b),
             P::User(k, v) => {
-                put_text(out, k);
-                put_text(out, v);
+                put_string(out, k);
+                put_string(out, v);
             }
         }
     }
@@ -210,13 +213,14 @@
 pub struct Properties(pub Vec<Property>);
 
 /// Properties in one packet: a good client sends a handful.
-const MOST: usize = 256;
+const MAX_PROPERTIES: usize = 256;
 
 impl Properties {
-    pub(super) fn read(r: &mut Reader, place: Place) -> Result<Properties, Error> {
-        let length = r.variable()? as usize;
-        let mut part = r.part(length)?;
-        let (mut list, mut seen) = (Vec::new(), 0u64);
+    pub(super) fn read(reader: &mut Reader, place: Place) -> Result<Properties, Error> {
+        let length = reader.variable_byte_integer()? as usize;
+        let mut part = reader.sub_reader(length)?;
+        let mut list = Vec::new();
+        let mut seen = 0u64;
         while !part.is_empty() {
             let p = Property::read(&mut part)?;
             let id = p.id();
@@ -229,7 +233,7 @@
                 return Err(Error::new(PROTOCOL_ERROR, "a property that is there twice"));
             }
             seen |= 1 << id;
-            if list.len() == MOST {
+            if list.len() == MAX_PROPERTIES {
                 return Err(Error::new(super::reason::PACKET_TOO_LARGE, "more than 256 properties"));
             }
             list.push(p);
@@ -240,7 +244,7 @@
     pub(super) fn write(&self, out: &mut BytesMut) {
         let mut part = BytesMut::new();
         self.0.iter().for_each(|p| p.write(&mut part));
-        super::codec::put_variable(out, part.len() as u32);
+        put_variable_byte_integer(out, part.len() as u32);
         out.extend_from_slice(&part);
     }
 
--- a/crates/wire/src/mqtt/server.rs
+++ b/crates/wire/src/mqtt/server.rs
@@ -5,7 +5,9 @@
 //! again with DUP, and must not be taken to mean a new one: the session remembers what was said under that identifier
 //! until a PUBLISH without DUP takes it.
 
-use super::codec::{decode, encode, Error};
+use super::decode::decode;
+use super::encode::encode;
+use super::error::Error;
 use super::packet::{
     Ack, Acks, ConnAck, Connect, Packet, Publish, QoS, Reason, Subscribe, Unsubscribe, Version,
 };
