--- /dev/null
+++ b/crates/platform/src/backend/connection.rs
@@ -0,0 +1,203 @@
+//! The task of one connection to a backend: waits for attempts, connects when needed and reports how each attempt ended.
+
+use super::exchange::Exchange;
+use super::{ConnectionCommand, ConnectionContext};
+use crate::backend_reply::BackendReply;
+use crate::request::Work;
+use async_channel::Receiver;
+use bytes::BytesMut;
+use chalkgap::frontend::{AttemptResult, DriverEvent, OutboundAttempt};
+use chalkgap_core::Outcome;
+use chalkgap_runtime::{Alarm, Micros, Stream};
+use futures_lite::{future, AsyncRead, Stream as _};
+use std::net::SocketAddr;
+use std::pin::Pin;
+use std::task::{Context, Poll};
+
+/// A reset this soon after a request says something about the connection and little about the backend.
+const FIRST_WRITE_MICROS: Micros = 5000;
+
+/// Runs a connection's task until the sender of its commands is dropped.
+pub(super) async fn run(
+    context: ConnectionContext,
+    number: u64,
+    address: SocketAddr,
+    commands: Receiver<ConnectionCommand>,
+) {
+    let mut connection = Connection {
+        number,
+        address,
+        stream: None,
+        commands: Box::pin(commands),
+        alarm: Alarm::new(context.runtime.clone()),
+        idle_since: 0,
+        context,
+    };
+    while let Some(attempt) = connection.next_attempt().await {
+        connection.run_attempt(&attempt).await;
+    }
+}
+
+/// Whether the last moment to write an attempt has passed.
+pub(super) fn start_window_closed(attempt: &OutboundAttempt<Work>, now: Micros) -> bool {
+    attempt.start_by.is_some_and(|start_by| now > start_by)
+}
+
+/// What ends the wait for the next attempt.
+enum Wakeup {
+    Command(ConnectionCommand),
+    /// The driver dropped the connection.
+    Dropped,
+    /// The connection was idle for too long, was closed, or sent bytes that no request asked for.
+    Unusable,
+}
+
+/// The result of connecting.
+enum Connect {
+    Connected(Box<dyn Stream>),
+    Failed,
+    /// The attempt was cancelled meanwhile.
+    Cancelled,
+}
+
+struct Connection {
+    context: ConnectionContext,
+    number: u64,
+    address: SocketAddr,
+    /// None before the first attempt and after an end of the stream: the next attempt connects anew.
+    stream: Option<Box<dyn Stream>>,
+    commands: Pin<Box<Receiver<ConnectionCommand>>>,
+    alarm: Alarm,
+    idle_since: Micros,
+}
+
+impl Connection {
+    /// Waits for the next attempt; none when the driver drops the connection. The stream is closed meanwhile if it becomes
+    /// unusable.
+    async fn next_attempt(&mut self) -> Option<Box<OutboundAttempt<Work>>> {
+        loop {
+            match future::poll_fn(|cx| self.poll_wakeup(cx)).await {
+                Wakeup::Command(ConnectionCommand::Start(attempt)) => return Some(attempt),
+                // Their attempt has ended already.
+                Wakeup::Command(ConnectionCommand::Stop { .. } | ConnectionCommand::Withdraw { .. }) => {}
+                Wakeup::Dropped => return None,
+                Wakeup::Unusable => {
+                    self.stream = None;
+                    self.context.notify_closed(self.number, false).await;
+                }
+            }
+        }
+    }
+
+    fn poll_wakeup(&mut self, cx: &mut Context<'_>) -> Poll<Wakeup> {
+        // Before a command is taken: no request must be written to a connection that has ended.
+        if let Some(stream) = &mut self.stream {
+            if Pin::new(stream).poll_read(cx, &mut [0; 1]).is_ready() {
+                return Poll::Ready(Wakeup::Unusable);
+            }
+        }
+        match self.commands.as_mut().poll_next(cx) {
+            Poll::Ready(Some(command)) => return Poll::Ready(Wakeup::Command(command)),
+            Poll::Ready(None) => return Poll::Ready(Wakeup::Dropped),
+            Poll::Pending => {}
+        }
+        let idle_until =
+            self.stream.is_some().then_some(self.idle_since + self.context.settings.idle_timeout);
+        self.alarm.poll(idle_until, cx).map(|()| Wakeup::Unusable)
+    }
+
+    /// Makes one attempt and reports its end to the driver.
+    async fn run_attempt(&mut self, attempt: &OutboundAttempt<Work>) {
+        let started_at = self.context.runtime.now();
+        let idle_micros = self.stream.is_some().then(|| started_at.saturating_sub(self.idle_since));
+        let reply = self.send_attempt(attempt).await;
+        let BackendReply { outcome, value, load_report, reusable } = reply;
+        let now = self.context.runtime.now();
+        let elapsed_micros = now.saturating_sub(started_at);
+        tracing::debug!(backend = %self.address, ?outcome, elapsed_micros, ?idle_micros, reusable, "attempt ended");
+        if reusable {
+            self.idle_since = now;
+        } else {
+            self.stream = None;
+            // Before the end of the attempt is reported, as the pool may hand out the connection after that.
+            let broke_on_first_write = outcome == Outcome::Reset && elapsed_micros < FIRST_WRITE_MICROS;
+            self.context.notify_closed(self.number, broke_on_first_write).await;
+        }
+        let result = AttemptResult {
+            body: value,
+            report: load_report,
+            ..AttemptResult::without_answer(attempt.id, attempt.attempt, outcome)
+        };
+        // Fails only when the instance has stopped.
+        let _ = self.context.driver.send(DriverEvent::AttemptEnded(Box::new(result))).await;
+    }
+
+    /// Connects if needed, writes the request and reads its reply.
+    async fn send_attempt(&mut self, attempt: &OutboundAttempt<Work>) -> BackendReply {
+        if self.stream.is_none() {
+            match self.connect(attempt).await {
+                Connect::Connected(stream) => self.stream = Some(stream),
+                Connect::Failed => return BackendReply::without_value(Outcome::ConnectFailed),
+                // Nothing was written.
+                Connect::Cancelled => return BackendReply::without_value(Outcome::NotSent),
+            }
+        }
+        let now = self.context.runtime.now();
+        let remaining_micros = attempt.deadline.saturating_sub(now);
+        if remaining_micros == 0 || start_window_closed(attempt, self.context.runtime.now()) {
+            // Nothing was written: the connection can serve the next attempt.
+            return BackendReply { reusable: true, ..BackendReply::without_value(Outcome::NotSent) };
+        }
+        let mut request = BytesMut::with_capacity(256);
+        attempt.work.put(&mut request, remaining_micros.div_ceil(1000));
+        let Some(stream) = &mut self.stream else {
+            return BackendReply::without_value(Outcome::ConnectFailed);
+        };
+        let mut exchange =
+            Exchange::new(&self.context, attempt, request, stream, &mut self.commands, &mut self.alarm);
+        let reply = future::poll_fn(|cx| exchange.poll(cx)).await;
+        if exchange.request_written() {
+            return reply;
+        }
+        // A backend starts a command when its last byte has arrived: this one never ran, whatever came back.
+        match reply.outcome {
+            Outcome::Cancelled => BackendReply::without_value(Outcome::NotSent),
+            Outcome::Rejected => BackendReply { reusable: false, ..reply },
+            _ => BackendReply::without_value(Outcome::ConnectFailed),
+        }
+    }
+
+    async fn connect(&mut self, attempt: &OutboundAttempt<Work>) -> Connect {
+        let runtime = self.context.runtime.clone();
+        let give_up_at = runtime.now() + self.context.settings.connect_timeout;
+        let address = self.address;
+        let connect = async {
+            match runtime.connect(address).await {
+                Ok(stream) => Connect::Connected(stream),
+                Err(_) => Connect::Failed,
+            }
+        };
+        let timeout = async {
+            runtime.sleep_until(give_up_at).await;
+            Connect::Failed
+        };
+        let cancelled = async {
+            self.cancelled(attempt).await;
+            Connect::Cancelled
+        };
+        future::or(cancelled, future::or(connect, timeout)).await
+    }
+
+    /// Returns once the attempt is cancelled or withdrawn, or the driver drops the connection.
+    async fn cancelled(&mut self, attempt: &OutboundAttempt<Work>) {
+        loop {
+            match future::poll_fn(|cx| self.commands.as_mut().poll_next(cx)).await {
+                // For an earlier attempt.
+                Some(ConnectionCommand::Stop { id, attempt: number })
+                | Some(ConnectionCommand::Withdraw { id, attempt: number })
+                    if (id, number) != (attempt.id, attempt.attempt) => {}
+                _ => return,
+            }
+        }
+    }
+}
--- /dev/null
+++ b/crates/platform/src/backend/exchange.rs
@@ -0,0 +1,131 @@
+//! One request and its reply on an open connection, as a future that can be cancelled between any two writes.
+
+use super::connection::start_window_closed;
+use super::{ConnectionCommand, ConnectionContext};
+use crate::backend_reply::{decode_backend_reply, BackendReply};
+use crate::memory_budget::MemoryReservation;
+use crate::request::Work;
+use async_channel::Receiver;
+use bytes::{Buf, BytesMut};
+use chalkgap::frontend::OutboundAttempt;
+use chalkgap_core::Outcome;
+use chalkgap_runtime::{Alarm, Stream};
+use futures_lite::{AsyncRead, AsyncWrite, Stream as _};
+use std::pin::Pin;
+use std::task::{Context, Poll};
+
+const READ_BUFFER_BYTES: usize = 16 << 10;
+
+/// The state of one exchange.
+pub(super) struct Exchange<'a> {
+    context: &'a ConnectionContext,
+    attempt: &'a OutboundAttempt<Work>,
+    stream: &'a mut Box<dyn Stream>,
+    commands: &'a mut Pin<Box<Receiver<ConnectionCommand>>>,
+    alarm: &'a mut Alarm,
+    /// What is still to be written.
+    unwritten: BytesMut,
+    request_bytes: usize,
+    received: BytesMut,
+    memory: MemoryReservation,
+}
+
+impl<'a> Exchange<'a> {
+    pub(super) fn new(
+        context: &'a ConnectionContext,
+        attempt: &'a OutboundAttempt<Work>,
+        request: BytesMut,
+        stream: &'a mut Box<dyn Stream>,
+        commands: &'a mut Pin<Box<Receiver<ConnectionCommand>>>,
+        alarm: &'a mut Alarm,
+    ) -> Self {
+        Exchange {
+            context,
+            attempt,
+            stream,
+            commands,
+            alarm,
+            request_bytes: request.len(),
+            unwritten: request,
+            received: BytesMut::new(),
+            memory: context.settings.reply_memory.reservation(),
+        }
+    }
+
+    /// Whether all of the request has been written.
+    pub(super) fn request_written(&self) -> bool {
+        self.unwritten.is_empty()
+    }
+
+    /// Gives the reply; [`Outcome::Cancelled`] or [`Outcome::Reset`] where there is none.
+    pub(super) fn poll(&mut self, cx: &mut Context<'_>) -> Poll<BackendReply> {
+        if self.poll_cancelled(cx).is_ready() {
+            return Poll::Ready(BackendReply::without_value(Outcome::Cancelled));
+        }
+        // Until its last byte is written, the backend has not started the request.
+        if !self.request_written() {
+            let now = self.context.runtime.now();
+            if start_window_closed(self.attempt, now) || self.alarm.poll(self.attempt.start_by, cx).is_ready()
+            {
+                return Poll::Ready(BackendReply::without_value(Outcome::Cancelled));
+            }
+        }
+        if let Poll::Ready(failed) = self.poll_write(cx) {
+            return Poll::Ready(failed);
+        }
+        self.poll_read(cx)
+    }
+
+    /// Ready when the attempt is cancelled, withdrawn in time, or the driver drops the connection.
+    fn poll_cancelled(&mut self, cx: &mut Context<'_>) -> Poll<()> {
+        loop {
+            match self.commands.as_mut().poll_next(cx) {
+                Poll::Ready(Some(ConnectionCommand::Stop { id, attempt })) => {
+                    if (id, attempt) == (self.attempt.id, self.attempt.attempt) {
+                        return Poll::Ready(());
+                    }
+                }
+                Poll::Ready(Some(ConnectionCommand::Withdraw { id, attempt })) => {
+                    let nothing_written = self.unwritten.len() == self.request_bytes;
+                    if (id, attempt) == (self.attempt.id, self.attempt.attempt) && nothing_written {
+                        return Poll::Ready(());
+                    }
+                }
+                Poll::Ready(Some(ConnectionCommand::Start(_)) | None) => return Poll::Ready(()),
+                Poll::Pending => return Poll::Pending,
+            }
+        }
+    }
+
+    /// Writes as much as the stream takes; ready only when it fails.
+    fn poll_write(&mut self, cx: &mut Context<'_>) -> Poll<BackendReply> {
+        while !self.unwritten.is_empty() {
+            match Pin::new(&mut *self.stream).poll_write(cx, &self.unwritten) {
+                Poll::Ready(Ok(count)) if count > 0 => self.unwritten.advance(count),
+                Poll::Ready(_) => return Poll::Ready(BackendReply::without_value(Outcome::Reset)),
+                Poll::Pending => break,
+            }
+        }
+        Poll::Pending
+    }
+
+    fn poll_read(&mut self, cx: &mut Context<'_>) -> Poll<BackendReply> {
+        let mut buffer = [0; READ_BUFFER_BYTES];
+        loop {
+            let count = match Pin::new(&mut *self.stream).poll_read(cx, &mut buffer) {
+                Poll::Ready(Ok(count)) if count > 0 => count,
+                Poll::Ready(_) => return Poll::Ready(BackendReply::without_value(Outcome::Reset)),
+                Poll::Pending => return Poll::Pending,
+            };
+            if !self.memory.grow(count) {
+                // The request has run, but its reply is given up for want of memory.
+                return Poll::Ready(BackendReply::without_value(Outcome::Reset));
+            }
+            self.received.extend_from_slice(&buffer[..count]);
+            let fields = &self.context.settings.load_report_fields;
+            if let Some(reply) = decode_backend_reply(&mut self.received, fields) {
+                return Poll::Ready(reply);
+            }
+        }
+    }
+}
--- /dev/null
+++ b/crates/platform/src/backend/mod.rs
@@ -0,0 +1,165 @@
+//! Connections to backends. [`BackendConnections`] is the driver's side: it picks the connection for an attempt and
+//! sends commands to its task in [`connection`]. What passed on a connection gives the outcome of the attempt; when in
+//! doubt, the attempt may have run.
+
+mod connection;
+mod exchange;
+
+use crate::memory_budget::MemoryBudget;
+use crate::pool::{Checkout, Pool};
+use crate::request::Work;
+use async_channel::{Receiver, Sender};
+use chalkgap::frontend::{DriverEvent, OutboundAttempt, Upstream};
+use chalkgap_core::{BackendId, RequestId};
+use chalkgap_runtime::{Micros, Shared};
+use chalkgap_transport::while_alive;
+use std::collections::HashMap;
+use std::net::SocketAddr;
+use std::sync::Arc;
+
+/// Commands that may await a connection's task: a start, two withdrawals and a stop, and one more of each that crossed
+/// the end of a request.
+const COMMAND_QUEUE: usize = 8;
+
+/// What the driver tells a connection's task.
+enum ConnectionCommand {
+    Start(Box<OutboundAttempt<Work>>),
+    Stop {
+        id: RequestId,
+        attempt: u16,
+    },
+    /// Cancels the attempt only if nothing of it has been written.
+    Withdraw {
+        id: RequestId,
+        attempt: u16,
+    },
+}
+
+/// What the tasks of all connections share.
+#[derive(Clone)]
+struct ConnectionContext {
+    runtime: Shared,
+    driver: Sender<DriverEvent<Work>>,
+    settings: Arc<BackendSettings>,
+}
+
+impl ConnectionContext {
+    async fn notify_closed(&self, connection: u64, broke_on_first_write: bool) {
+        let closed = DriverEvent::ConnectionClosed { connection, broke_on_first_write };
+        // Fails only when the instance has stopped.
+        let _ = self.driver.send(closed).await;
+    }
+}
+
+/// Settings of all connections to backends.
+pub struct BackendSettings {
+    /// Names of the values in a load report.
+    pub load_report_fields: Vec<String>,
+    /// A connection that is not established after this has failed.
+    pub connect_timeout: Micros,
+    /// An idle connection is closed after this; less than the backend's own limit.
+    pub idle_timeout: Micros,
+    /// Bounds the memory of replies that are arriving.
+    pub reply_memory: Arc<MemoryBudget>,
+}
+
+/// All connections to backends.
+pub struct BackendConnections {
+    context: ConnectionContext,
+    /// Closed to end all tasks.
+    kill: Receiver<()>,
+    pool: Pool,
+    /// Command channels by the connections' numbers; dropping one ends its connection's task.
+    commands: HashMap<u64, Sender<ConnectionCommand>>,
+}
+
+impl BackendConnections {
+    /// No connections yet, and at most `max_connections` later.
+    pub fn new(
+        runtime: Shared,
+        driver: Sender<DriverEvent<Work>>,
+        settings: BackendSettings,
+        max_connections: usize,
+        kill: Receiver<()>,
+    ) -> Self {
+        let context = ConnectionContext { runtime, driver, settings: Arc::new(settings) };
+        BackendConnections { context, kill, pool: Pool::new(max_connections), commands: HashMap::new() }
+    }
+
+    fn spawn_connection(&mut self, number: u64, address: SocketAddr) {
+        let (commands, receiver) = async_channel::bounded(COMMAND_QUEUE);
+        let task = connection::run(self.context.clone(), number, address, receiver);
+        self.context.runtime.spawn(Box::pin(while_alive(self.kill.clone(), task))).detach();
+        self.commands.insert(number, commands);
+    }
+}
+
+impl Upstream for BackendConnections {
+    type Work = Work;
+
+    fn start(
+        &mut self,
+        backend: BackendId,
+        address: SocketAddr,
+        attempt: OutboundAttempt<Work>,
+    ) -> Option<u64> {
+        let number = match self.pool.check_out(self.context.runtime.now(), backend, address) {
+            Checkout::Reuse(number) => number,
+            Checkout::Full => return None,
+            Checkout::Open { number, evict } => {
+                if let Some(evicted) = evict {
+                    self.commands.remove(&evicted);
+                }
+                self.spawn_connection(number, address);
+                number
+            }
+        };
+        let start = ConnectionCommand::Start(Box::new(attempt));
+        let sent = self.commands.get(&number).map(|commands| commands.try_send(start));
+        if !matches!(sent, Some(Ok(()))) {
+            self.closed(number, false);
+            self.ended(number);
+            return None;
+        }
+        Some(number)
+    }
+
+    fn stop(&mut self, connection: u64, id: RequestId, attempt: u16) {
+        if let Some(commands) = self.commands.get(&connection) {
+            // If the queue is full, the task was notified already. To cancel an attempt is to close its connection.
+            let _ = commands.try_send(ConnectionCommand::Stop { id, attempt });
+            self.closed(connection, false);
+        }
+    }
+
+    fn withdraw(&mut self, connection: u64, id: RequestId, attempt: u16) {
+        if let Some(commands) = self.commands.get(&connection) {
+            // If the queue is full, the task was notified already.
+            let _ = commands.try_send(ConnectionCommand::Withdraw { id, attempt });
+        }
+    }
+
+    fn ended(&mut self, connection: u64) {
+        if !self.pool.release(self.context.runtime.now(), connection) {
+            self.commands.remove(&connection);
+        }
+    }
+
+    fn closed(&mut self, connection: u64, broke_on_first_write: bool) {
+        if self.pool.mark_closed(self.context.runtime.now(), connection, broke_on_first_write) {
+            self.commands.remove(&connection);
+        }
+    }
+
+    fn retain(&mut self, listed: &dyn Fn(BackendId) -> bool) {
+        for connection in self.pool.retain(listed) {
+            self.commands.remove(&connection);
+        }
+    }
+
+    fn close_idle(&mut self, backend: BackendId) {
+        for connection in self.pool.close_idle(backend) {
+            self.commands.remove(&connection);
+        }
+    }
+}
--- a/crates/platform/src/front.rs
+++ b/crates/platform/src/front.rs
@@ -1,7 +1,7 @@
 //! Clients' connections: bytes to [`Session`], requests to the driver, answers back.
 
 use crate::request::{Grammar, Request, Work};
-use crate::session::{Heard, Session, MOST_OPEN};
+use crate::session::{IncomingRequest, Session, MAX_PENDING_COMMANDS};
 use async_channel::Sender;
 use chalkgap::frontend::{Answer, Customer, DriverEvent, Frontend, PendingRequest, Permit, Response};
 use chalkgap::telemetry::{add, Telemetry};
@@ -78,7 +78,7 @@
         permit: Permit,
     ) -> BoxFuture<'static, ()> {
         Box::pin(async move {
-            let (reply, replies) = async_channel::bounded(MOST_OPEN);
+            let (reply, replies) = async_channel::bounded(MAX_PENDING_COMMANDS);
             let runtime = context.runtime.clone();
             let session = Session::new(context.grammar.clone());
             let pipe = Pipe::new(runtime, stream, session, replies, permit.signal.clone());
@@ -125,12 +125,13 @@
     async fn serve(mut self, mut pipe: ClientPipe) {
         loop {
             let overtime = Some(self.context.overtime.load(Ordering::Relaxed)).filter(|o| *o > 0);
-            let silent = (pipe.conn.commands() == 0 && !pipe.conn.stopped()).then_some(self.began + PATIENCE);
+            let silent = (pipe.conn.commands_received() == 0 && !pipe.conn.has_stopped_reading())
+                .then_some(self.began + PATIENCE);
             let half = self.partial.map(|p| p + PATIENCE);
             let unread = pipe.backlog().map(|b| b.0 + UNREAD);
-            let rest = self.closing.filter(|_| pipe.conn.reads()).map(|c| c + SENDING);
+            let rest = self.closing.filter(|_| pipe.conn.wants_input()).map(|c| c + SENDING);
             let until = [overtime, silent, half, unread, rest].into_iter().flatten().min();
-            let read = pipe.conn.reads();
+            let read = pipe.conn.wants_input();
             match pipe.turn(until, read).await {
                 Turn::Read => {}
                 Turn::Command(reply) => {
@@ -145,9 +146,9 @@
                     let sending = self.partial.is_some_and(|p| now < p + SENDING);
                     if self.permit.draining() {
                         self.closing = Some(now);
-                        pipe.conn.close();
-                    } else if pipe.conn.idle() && !sending {
-                        pipe.conn.stop();
+                        pipe.conn.start_draining();
+                    } else if pipe.conn.is_idle() && !sending {
+                        pipe.conn.stop_reading();
                     } else {
                         pipe.watch(self.permit.stays());
                     }
@@ -160,7 +161,7 @@
                     } else if due(unread) {
                         break;
                     } else if due(rest) {
-                        pipe.conn.shut();
+                        pipe.conn.abandon_partial_command();
                     } else if due(half) || due(silent) {
                         add(&self.context.telemetry.too_slow);
                         pipe.conn.fail("ERR no whole command in time");
@@ -172,21 +173,23 @@
                     break;
                 }
             }
-            let before = pipe.conn.commands();
+            let before = pipe.conn.commands_received();
             if !self.heard(&mut pipe).await {
                 break;
             }
-            if before == 0 && pipe.conn.commands() > 0 {
+            if before == 0 && pipe.conn.commands_received() > 0 {
                 self.permit.handshaken();
             }
             // Who sends without a pause always has the beginning of the next command here: only one that does not grow
             // whole is half a command.
-            self.partial = match pipe.conn.partial() && pipe.conn.reads() {
-                true if before == pipe.conn.commands() => self.partial.or(Some(self.context.runtime.now())),
+            self.partial = match pipe.conn.has_partial_command() && pipe.conn.wants_input() {
+                true if before == pipe.conn.commands_received() => {
+                    self.partial.or(Some(self.context.runtime.now()))
+                }
                 true => Some(self.context.runtime.now()),
                 false => None,
             };
-            if pipe.conn.over() {
+            if pipe.conn.is_finished() {
                 let until = self.context.runtime.now() + LINGER;
                 self.permit.linger(pipe.close(until)).await;
                 break;
@@ -198,15 +201,15 @@
     /// Takes what can be taken of what the client has sent; false if it has left meanwhile.
     async fn heard(&mut self, pipe: &mut ClientPipe) -> bool {
         loop {
-            let next = pipe.conn.next(|id| self.context.open().insert(id));
-            let Some(Heard { token, request }) = next else { return true };
+            let next = pipe.conn.next_request(|id| self.context.open().insert(id));
+            let Some(IncomingRequest { token, request }) = next else { return true };
             self.permit.request();
             let id = request.id;
             let ask = self.context.ask(token, request, self.reply.clone());
             self.asked.insert(token, (ask.id, id));
             match pipe.hand_over(&self.context.driver, DriverEvent::Request(Box::new(ask))).await {
                 Some(true) => {}
-                Some(false) => pipe.conn.stop(), // the instance has stopped
+                Some(false) => pipe.conn.stop_reading(), // the instance has stopped
                 None => return false,
             }
         }
@@ -217,16 +220,16 @@
         self.context.open().remove(&id);
         let refused = matches!(reply.answer, Answer::Rejected { .. });
         self.permit.ended(None, refused);
-        session.answered(reply.token, reply.answer);
+        session.answer(reply.token, reply.answer);
     }
 
     /// The process will be killed soon: what is still open has failed.
     async fn overtime(&mut self, session: &mut Session) {
         for token in self.give_up().await {
             self.permit.ended(None, false);
-            session.answered(token, Answer::Failed { late: true });
+            session.answer(token, Answer::Failed { late: true });
         }
-        session.refuse_rest();
+        session.reject_buffered_commands();
     }
 
     /// Nobody waits for what is out any more; gives the numbers of its slots.
--- a/crates/platform/src/ingress.rs
+++ b/crates/platform/src/ingress.rs
@@ -1,12 +1,12 @@
 //! An ingress of the platform: its parts put together, and the handle to it.
 
-use crate::answer::Budget;
-use crate::backend::{self, Connections};
+use crate::backend::{BackendConnections, BackendSettings};
 use crate::config::Config;
 use crate::discovery;
 use crate::ending::Ends;
 use crate::front::{FrontendContext, Resp};
 use crate::list::Roster;
+use crate::memory_budget::MemoryBudget;
 use crate::peers;
 use crate::request::Grammar;
 use async_channel::{Receiver, Sender};
@@ -136,15 +136,15 @@
             start(Box::pin(hear));
         }
 
-        let connections = Connections::new(
+        let connections = BackendConnections::new(
             runtime.clone(),
             driver.clone(),
-            backend::DriverLimits {
-                report: terms.load_report_fields.clone(),
+            BackendSettings {
+                load_report_fields: terms.load_report_fields.clone(),
                 connect_timeout: terms.connect_timeout,
                 // Well before the backend does it: a request that crosses its closing may have run.
-                idle: terms.keepalive * 6 / 10,
-                answers: Budget::new((config.memory / ANSWERS) as usize),
+                idle_timeout: terms.keepalive * 6 / 10,
+                reply_memory: MemoryBudget::new((config.memory / ANSWERS) as usize),
             },
             split(config.sockets).nodes as usize,
             killed.clone(),
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -8,13 +8,13 @@
 //! - [`discovery`]: follows it, within stated waits
 //! - [`request`]: a client's command
 //! - [`session`]: a client's connection
-//! - [`answer`]: a backend's answer
+//! - [`backend_reply`]: a backend's reply
 //! - [`ending`]: when an ingress that was told to end does what
 //! - [`pool`]: which connection an attempt goes by
 //! - [`Ingress`]: all of it, running
 
-pub mod answer;
 mod backend;
+pub mod backend_reply;
 pub mod config;
 pub mod discovery;
 pub mod ending;
@@ -22,10 +22,12 @@
 mod front;
 mod ingress;
 pub mod list;
+pub mod memory_budget;
 mod peers;
 pub mod pool;
 pub mod request;
 pub mod session;
+mod stale_connections;
 
 pub use config::{Config, ConfigError};
 pub use ingress::{Ingress, StartError};
--- a/crates/platform/src/pool.rs
+++ b/crates/platform/src/pool.rs
@@ -1,178 +1,152 @@
-//! Which connection an attempt goes by, free of I/O and clock.
+//! Which connection an attempt uses, free of I/O and clock.
 //!
-//! A connection carries one request at a time: to give an attempt up is to close its connection, and an answer that is
-//! spoilt spoils whatever waits behind it. Of a backend's idle connections the one used last is taken first, so that the
-//! others grow old and are closed, and a few are always in use. Where descriptors are short an idle connection to
-//! another backend makes room; where all are busy there is none, which says nothing about the backend.
+//! A connection carries one request at a time: an attempt is cancelled by closing its connection, and a malformed reply
+//! would spoil the requests behind it. Of a backend's idle connections the most recently used is taken first, so that the
+//! others age out and a few stay in use. When the pool is full, an idle connection to any backend is evicted; when all
+//! are busy there is none, which says nothing about the backend.
 
+use crate::stale_connections::StaleStatistics;
 use chalkgap_core::{BackendId, Micros};
 use std::collections::{BTreeSet, HashMap};
 use std::net::SocketAddr;
 
-/// How long a connection rests after an answer: what comes behind an answer, and belongs to nobody, may come some
-/// milliseconds late. A request written earlier would take it for its own, and nobody could tell.
-const REST: Micros = 20_000;
-
-/// Ages of connections are told apart by the power of two of their milliseconds.
-const AGES: usize = 16;
-/// Memory of what became of them, in microseconds.
-const FADE: f64 = 20e6;
-/// Breaks, faded, that an age must have had to be judged, and the share of its uses beyond that of new connections.
-const JUDGED: f64 = 1.5;
-const WORN: f64 = 0.08;
-
-/// What became of requests by how long their connection had been idle. Backends, and what stands before them, close idle
-/// connections when they like, at the latest after the platform's limit, and not always with a sign: the next request
-/// then ends as a reset and may have run, which costs far more than a new connection does. It acts only where requests
-/// on idle connections break at once clearly more often than on new ones; would do harm if new connections were dear.
-#[derive(Default)]
-struct StaleStatistics {
-    /// New connections first, then by age: uses, breaks, and when they were last faded.
-    ages: [(f64, f64, Micros); AGES + 1],
-}
-
-impl StaleStatistics {
-    fn place(age: Option<Micros>) -> usize {
-        age.map_or(0, |a| 1 + ((a / 1000).max(1).ilog2() as usize).min(AGES - 1))
-    }
-
-    fn note(&mut self, now: Micros, age: Option<Micros>, broke: bool) {
-        let (uses, breaks, at) = &mut self.ages[Self::place(age)];
-        let keep = (-(now.saturating_sub(*at) as f64) / FADE).exp();
-        (*uses, *breaks, *at) = (*uses * keep + 1.0, *breaks * keep + f64::from(u8::from(broke)), now);
-    }
+/// How long a connection is not reused after a reply. Surplus bytes behind a reply may arrive some milliseconds late, and a
+/// request written before them would take them for its own reply.
+const REUSE_DELAY_MICROS: Micros = 20_000;
 
-    /// Whether a connection of this age is as good as a new one. One that is worn makes all older ones so.
-    fn good(&self, now: Micros, age: Micros) -> bool {
-        let (uses, breaks, _) = self.ages[0];
-        let least = breaks / uses.max(1.0);
-        !self.ages[1..=Self::place(Some(age))].iter().any(|(uses, breaks, at)| {
-            // The evidence fades, and with it the judgement: it is tried again by and by.
-            let left = breaks * (-(now.saturating_sub(*at) as f64) / FADE).exp();
-            left > JUDGED && breaks / uses.max(1.0) > least + WORN
-        })
-    }
-}
+/// Idle connections by the time they became idle, and their number.
+type IdleOrder = BTreeSet<(Micros, u64)>;
 
 struct PooledConnection {
     backend: BackendId,
     address: SocketAddr,
     /// How long it had been idle when its request came; none for a new one.
-    age: Option<Micros>,
+    idle_before_use: Option<Micros>,
     /// Since when it is idle; none while it carries a request.
-    idle: Option<Micros>,
-    /// It ends with its request.
-    leaving: bool,
+    idle_since: Option<Micros>,
+    /// It is closed when its request ends.
+    closing: bool,
 }
 
-/// What an attempt goes by.
+/// The connection for an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Checkout {
-    /// A connection that is there.
+    /// An existing connection.
     Reuse(u64),
-    /// A new one of this number; another, idle one is to be closed for it.
+    /// A connection to be opened.
     Open {
         /// Its number.
         number: u64,
-        /// The one to close.
-        close: Option<u64>,
+        /// The idle connection to close in its place.
+        evict: Option<u64>,
     },
-    /// All are busy.
+    /// All connections are busy.
     Full,
 }
 
-/// The connections.
+/// The connections to all backends.
 pub struct Pool {
-    most: usize,
+    max_connections: usize,
     connections: HashMap<u64, PooledConnection>,
-    idle: HashMap<BackendId, BTreeSet<(Micros, u64)>>,
-    /// All idle ones, the longest idle first.
-    oldest: BTreeSet<(Micros, u64)>,
-    next: u64,
+    idle_by_backend: HashMap<BackendId, IdleOrder>,
+    idle: IdleOrder,
+    next_number: u64,
     stale: StaleStatistics,
 }
 
 impl Pool {
-    /// A pool of at most `most` connections.
-    pub fn new(most: usize) -> Self {
-        let (connections, idle, oldest, stale) = Default::default();
-        Pool { most, connections, idle, oldest, next: 1, stale }
+    /// A pool of at most `max_connections`.
+    pub fn new(max_connections: usize) -> Self {
+        Pool {
+            max_connections,
+            connections: HashMap::new(),
+            idle_by_backend: HashMap::new(),
+            idle: BTreeSet::new(),
+            next_number: 1,
+            stale: StaleStatistics::default(),
+        }
     }
 
-    /// How many connections there are.
+    /// How many connections there are, idle and busy.
     pub fn count(&self) -> usize {
         self.connections.len()
     }
 
-    /// Finds a checkout for an attempt.
-    pub fn take(&mut self, now: Micros, backend: BackendId, address: SocketAddr) -> Checkout {
-        let rested = (now.saturating_sub(REST), u64::MAX);
-        let mut close = None;
-        let last = self.idle.get(&backend).and_then(|i| i.range(..=rested).next_back()).copied();
-        if let Some((since, number)) = last {
-            self.unidle(number);
-            let age = now.saturating_sub(since);
-            let good = self.stale.good(now, age);
-            if let Some(connection) =
-                self.connections.get_mut(&number).filter(|l| good && l.address == address)
-            {
-                (connection.idle, connection.age) = (None, Some(age));
+    /// Picks the connection for an attempt and marks it busy.
+    pub fn check_out(&mut self, now: Micros, backend: BackendId, address: SocketAddr) -> Checkout {
+        let mut evict = None;
+        if let Some((idle_since, number)) = self.last_used(now, backend) {
+            self.remove_from_idle(number);
+            let idle_micros = now.saturating_sub(idle_since);
+            let reusable = self.stale.is_reusable(now, idle_micros);
+            let connection = self.connections.get_mut(&number);
+            if let Some(connection) = connection.filter(|c| reusable && c.address == address) {
+                connection.idle_since = None;
+                connection.idle_before_use = Some(idle_micros);
                 return Checkout::Reuse(number);
             }
-            self.connections.remove(&number); // worn, or the backend is reached elsewhere by now
-            close = Some(number);
+            self.connections.remove(&number); // probably stale, or the backend has moved
+            evict = Some(number);
         }
-        if self.connections.len() >= self.most {
-            let Some((_, victim)) = self.oldest.first().copied() else { return Checkout::Full };
-            self.remove(victim);
-            close = Some(victim);
+        if self.connections.len() >= self.max_connections {
+            let Some((_, longest_idle)) = self.idle.first().copied() else { return Checkout::Full };
+            self.remove(longest_idle);
+            evict = Some(longest_idle);
         }
-        let number = self.next;
-        self.next += 1;
-        self.connections
-            .insert(number, PooledConnection { backend, address, age: None, idle: None, leaving: false });
-        Checkout::Open { number, close }
+        let number = self.next_number;
+        self.next_number += 1;
+        let connection =
+            PooledConnection { backend, address, idle_before_use: None, idle_since: None, closing: false };
+        self.connections.insert(number, connection);
+        Checkout::Open { number, evict }
+    }
+
+    /// The backend's most recently used idle connection that may be reused already.
+    fn last_used(&self, now: Micros, backend: BackendId) -> Option<(Micros, u64)> {
+        let latest = (now.saturating_sub(REUSE_DELAY_MICROS), u64::MAX);
+        self.idle_by_backend.get(&backend)?.range(..=latest).next_back().copied()
     }
 
-    fn unidle(&mut self, number: u64) {
+    fn remove_from_idle(&mut self, number: u64) {
         let Some(connection) = self.connections.get(&number) else { return };
-        let Some(since) = connection.idle else { return };
-        self.oldest.remove(&(since, number));
-        if let Some(idle) = self.idle.get_mut(&connection.backend) {
-            idle.remove(&(since, number));
+        let Some(idle_since) = connection.idle_since else { return };
+        self.idle.remove(&(idle_since, number));
+        if let Some(idle) = self.idle_by_backend.get_mut(&connection.backend) {
+            idle.remove(&(idle_since, number));
             if idle.is_empty() {
-                self.idle.remove(&connection.backend);
+                self.idle_by_backend.remove(&connection.backend);
             }
         }
     }
 
     fn remove(&mut self, number: u64) {
-        self.unidle(number);
+        self.remove_from_idle(number);
         self.connections.remove(&number);
     }
 
-    /// A connection's request has ended; false if the connection is to end with it.
-    pub fn free(&mut self, now: Micros, number: u64) -> bool {
-        let Some(connection) = self.connections.get_mut(&number).filter(|l| l.idle.is_none()) else {
-            return true;
-        };
-        if connection.leaving {
+    /// A connection's request has ended. False if the connection is to be closed now.
+    pub fn release(&mut self, now: Micros, number: u64) -> bool {
+        let connection = self.connections.get_mut(&number);
+        let Some(connection) = connection.filter(|c| c.idle_since.is_none()) else { return true };
+        if connection.closing {
             self.connections.remove(&number);
             return false;
         }
-        self.stale.note(now, connection.age, false);
-        connection.idle = Some(now);
-        self.idle.entry(connection.backend).or_default().insert((now, number));
-        self.oldest.insert((now, number));
+        self.stale.record(now, connection.idle_before_use, false);
+        connection.idle_since = Some(now);
+        self.idle_by_backend.entry(connection.backend).or_default().insert((now, number));
+        self.idle.insert((now, number));
         true
     }
 
-    /// A connection has ended, or will with its request; `broke`: as soon as that was written. True if it is gone by this.
-    pub fn closed(&mut self, now: Micros, number: u64, broke: bool) -> bool {
+    /// A connection has ended, or will with its request; `broke_on_first_write`: as soon as that was written. True if
+    /// the connection is no longer in the pool.
+    pub fn mark_closed(&mut self, now: Micros, number: u64, broke_on_first_write: bool) -> bool {
         match self.connections.get_mut(&number) {
-            Some(connection) if connection.idle.is_none() => {
-                if !std::mem::replace(&mut connection.leaving, true) {
-                    self.stale.note(now, connection.age, broke);
+            Some(connection) if connection.idle_since.is_none() => {
+                let was_closing = std::mem::replace(&mut connection.closing, true);
+                if !was_closing {
+                    self.stale.record(now, connection.idle_before_use, broke_on_first_write);
                 }
                 false
             }
@@ -184,17 +158,21 @@
         }
     }
 
-    /// Gives the idle connections to a backend up.
+    /// Removes the idle connections to a backend and returns their numbers.
     pub fn close_idle(&mut self, backend: BackendId) -> Vec<u64> {
-        let list: Vec<u64> = self.idle.get(&backend).into_iter().flatten().map(|i| i.1).collect();
-        list.iter().for_each(|n| self.remove(*n));
-        list
+        let idle = self.idle_by_backend.get(&backend).into_iter().flatten();
+        let numbers: Vec<u64> = idle.map(|(_, number)| *number).collect();
+        numbers.iter().for_each(|number| self.remove(*number));
+        numbers
     }
 
-    /// Gives the connections to backends up that are listed no more: idle ones now, others with their requests.
+    /// Removes connections to backends that are no longer listed: idle ones now, returning their numbers, busy ones when
+    /// their request ends.
     pub fn retain(&mut self, listed: &dyn Fn(BackendId) -> bool) -> Vec<u64> {
-        let gone: Vec<BackendId> = self.idle.keys().copied().filter(|b| !listed(*b)).collect();
-        self.connections.values_mut().filter(|l| !listed(l.backend)).for_each(|l| l.leaving = true);
-        gone.into_iter().flat_map(|b| self.close_idle(b)).collect()
+        let unlisted: Vec<BackendId> =
+            self.idle_by_backend.keys().copied().filter(|backend| !listed(*backend)).collect();
+        let connections = self.connections.values_mut();
+        connections.filter(|c| !listed(c.backend)).for_each(|c| c.closing = true);
+        unlisted.into_iter().flat_map(|backend| self.close_idle(backend)).collect()
     }
 }
--- a/crates/platform/src/session.rs
+++ b/crates/platform/src/session.rs
@@ -1,4 +1,5 @@
-//! A client's connection, free of I/O: bytes go in, requests come out, answers go back in the order of the commands.
+//! The state machine of one client connection, free of I/O: bytes go in, requests come out, and replies are written in
+//! the order of their commands.
 
 use crate::request::{Grammar, Invalid, Request};
 use bytes::{Bytes, BytesMut};
@@ -10,64 +11,70 @@
 use std::convert::Infallible;
 use std::sync::Arc;
 
-/// What a command may have: the longest is a SUBMIT with a body of 64 KiB.
-pub const COMMANDS: Limits =
+/// Limits of a command: the longest is a `SVC.SUBMIT` with a body of 64 KiB.
+pub const COMMAND_LIMITS: Limits =
     Limits { elements: 8, depth: 1, bulk: 64 << 10, line: 24, whole: (64 << 10) + 4096 };
-/// Commands of one connection that may wait for their answers; more are not read meanwhile.
-pub const MOST_OPEN: usize = 32;
-/// Unread bytes from which no more are taken: commands lie there that wait for room.
-const FULL: usize = COMMANDS.whole;
-
-enum Slot {
-    /// Its request is out.
-    Waiting(u64),
-    Done(Bytes),
+/// Commands of one connection that may await their replies; further ones are not read meanwhile.
+pub const MAX_PENDING_COMMANDS: usize = 32;
+/// Unparsed bytes from which on no more are read: they hold commands beyond `MAX_PENDING_COMMANDS`.
+const MAX_BUFFERED_BYTES: usize = COMMAND_LIMITS.whole;
+
+/// The reply to one command, in the order of the commands.
+enum ReplySlot {
+    /// The request of this id is in flight.
+    Pending(u64),
+    /// Bytes ready to be sent, for commands that are answered here.
+    Encoded(Bytes),
     Answered(Answer),
 }
 
-/// The state of a connection.
+/// What is still read from the client. A connection only moves down this list.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+enum ReadPhase {
+    Open,
+    /// Commands that have arrived, or of which a part has arrived, are still taken.
+    Draining,
+    /// Only complete commands in the buffer are still taken.
+    BufferedOnly,
+    Stopped,
+}
+
+/// The state of a client connection.
 pub struct Session {
     grammar: Arc<Grammar>,
     input: BytesMut,
     output: BytesMut,
-    /// In the order of the commands; the first has the number `first`.
-    slots: VecDeque<Slot>,
-    first: u32,
-    /// Nothing more is read: the client broke the form, or is not to ask any more.
-    over: bool,
-    /// Its end has begun: what has come or has begun to come is answered, nothing else is waited for.
-    closing: bool,
-    /// Nothing more is read, and half a command is waited for no longer; whole ones that came are still answered.
-    shut: bool,
-    /// Whole commands that came.
-    commands: u64,
+    /// Replies that are owed; the first one has the token `first_token`.
+    slots: VecDeque<ReplySlot>,
+    first_token: u32,
+    phase: ReadPhase,
+    commands_received: u64,
 }
 
-/// A command that needs somebody else's word.
-pub struct Heard {
-    /// The number of its slot.
+/// A request for the driver.
+pub struct IncomingRequest {
+    /// Identifies the request's reply slot, see [`Session::answer`].
     pub token: u32,
-    /// What is asked.
+    /// The request.
     pub request: Request,
 }
 
-fn line(kind: u8, text: &str) -> Bytes {
+fn encode_line(kind: u8, text: &str) -> Bytes {
     let mut out = BytesMut::with_capacity(text.len() + 3);
     put_line(&mut out, kind, text);
     out.freeze()
 }
 
-/// Writes an answer.
-fn put(out: &mut BytesMut, answer: &Answer) {
+fn encode_answer(out: &mut BytesMut, answer: &Answer) {
     match answer {
         Answer::Served { body, .. } => {
             out.reserve(body.len() + 16);
             put_bulk(out, body);
         }
         Answer::Rejected { retry_after: 0 } => put_line(out, b'-', "BUSY"),
-        // Up: who comes too early is refused again.
-        Answer::Rejected { retry_after: pause } => {
-            put_line(out, b'-', &format!("BUSY {}", pause.div_ceil(1000)))
+        // Rounded up: a client that returns too early is rejected again.
+        Answer::Rejected { retry_after } => {
+            put_line(out, b'-', &format!("BUSY {}", retry_after.div_ceil(1000)))
         }
         Answer::Failed { late: true } => put_line(out, b'-', "ERR no answer in time"),
         Answer::Failed { late: false } => put_line(out, b'-', "ERR failed, it may have run"),
@@ -76,51 +83,53 @@
 }
 
 impl Session {
-    /// A new connection.
+    /// The state of a new connection.
     pub fn new(grammar: Arc<Grammar>) -> Self {
-        let (input, output, slots) = (BytesMut::new(), BytesMut::new(), VecDeque::new());
         Session {
             grammar,
-            input,
-            output,
-            slots,
-            first: 0,
-            over: false,
-            closing: false,
-            shut: false,
-            commands: 0,
+            input: BytesMut::new(),
+            output: BytesMut::new(),
+            slots: VecDeque::new(),
+            first_token: 0,
+            phase: ReadPhase::Open,
+            commands_received: 0,
         }
     }
 
-    /// The next request. `take` reserves its id, or says why it may not be had; all that can be answered without
-    /// anybody's word is.
-    pub fn next(&mut self, mut take: impl FnMut(u64) -> bool) -> Option<Heard> {
-        while !self.over && self.slots.len() < MOST_OPEN {
-            let command = match command(&mut self.input, &COMMANDS) {
+    /// Parses buffered commands up to the next request. Commands that need no backend are answered on the way.
+    ///
+    /// `reserve_id` is called with the id of each valid request and returns false if another open request has it.
+    pub fn next_request(&mut self, mut reserve_id: impl FnMut(u64) -> bool) -> Option<IncomingRequest> {
+        while self.phase != ReadPhase::Stopped && self.slots.len() < MAX_PENDING_COMMANDS {
+            let command = match command(&mut self.input, &COMMAND_LIMITS) {
                 Ok(Some(command)) => command,
                 Ok(None) => break,
-                Err(e) => {
-                    self.fail(&format!("ERR unreadable command: {e}"));
+                Err(error) => {
+                    self.fail(&format!("ERR unreadable command: {error}"));
                     break;
                 }
             };
-            self.commands += 1;
+            self.commands_received += 1;
             if command.words.len() == 1 && command.words[0].eq_ignore_ascii_case(b"PING") {
-                self.slots.push_back(Slot::Done(Bytes::from_static(b"+PONG\r\n")));
+                self.slots.push_back(ReplySlot::Encoded(Bytes::from_static(b"+PONG\r\n")));
                 continue;
             }
-            let token = self.first.wrapping_add(self.slots.len() as u32);
-            let read = self.grammar.read(command);
-            match read.and_then(|r| if take(r.id) { Ok(r) } else { Err(Invalid::Open) }) {
+            let token = self.first_token.wrapping_add(self.slots.len() as u32);
+            let parsed = self.grammar.read(command);
+            match parsed
+                .and_then(|request| if reserve_id(request.id) { Ok(request) } else { Err(Invalid::Open) })
+            {
                 Ok(request) => {
-                    self.slots.push_back(Slot::Waiting(request.id));
-                    return Some(Heard { token, request });
+                    self.slots.push_back(ReplySlot::Pending(request.id));
+                    return Some(IncomingRequest { token, request });
+                }
+                Err(error) => {
+                    self.slots.push_back(ReplySlot::Encoded(encode_line(b'-', &format!("ERR {error}"))));
                 }
-                Err(e) => self.slots.push_back(Slot::Done(line(b'-', &format!("ERR {e}")))),
             }
         }
-        if self.shut && self.slots.len() < MOST_OPEN {
-            self.stop(); // what is left is half a command
+        if self.phase == ReadPhase::BufferedOnly && self.slots.len() < MAX_PENDING_COMMANDS {
+            self.stop_reading(); // the rest of the buffer is an incomplete command
         }
         if self.input.is_empty() {
             self.input = BytesMut::new(); // an idle connection holds no buffer
@@ -129,106 +138,105 @@
         None
     }
 
-    /// Begins its end, when nothing is there to be read any more: what has come or has begun to come is still taken and
-    /// answered, also the first command of a connection that has sent none.
-    pub fn close(&mut self) {
-        self.closing = true;
+    /// Starts the graceful shutdown, to be called when nothing is left to read. Commands that have arrived completely or
+    /// in part are still answered, as is the first command of a connection that has sent none.
+    pub fn start_draining(&mut self) {
+        self.phase = self.phase.max(ReadPhase::Draining);
     }
 
-    /// Whether its end has begun.
-    pub fn closing(&self) -> bool {
-        self.closing
+    /// Stops waiting for the rest of an incomplete command; complete ones in the buffer are still answered.
+    pub fn abandon_partial_command(&mut self) {
+        self.phase = self.phase.max(ReadPhase::BufferedOnly);
     }
 
-    /// Ends the wait for the rest of a command; whole ones that came before are still answered.
-    pub fn shut(&mut self) {
-        (self.closing, self.shut) = (true, true);
-    }
-
-    /// Refuses the whole commands that came and were not begun, in their order: nothing of them has left.
-    pub fn refuse_rest(&mut self) {
-        while let Ok(Some(_)) = command(&mut self.input, &COMMANDS) {
-            self.slots.push_back(Slot::Done(line(b'-', "BUSY")));
+    /// Rejects the complete commands in the buffer and stops reading. No attempt was made for any of them.
+    pub fn reject_buffered_commands(&mut self) {
+        while let Ok(Some(_)) = command(&mut self.input, &COMMAND_LIMITS) {
+            self.slots.push_back(ReplySlot::Encoded(encode_line(b'-', "BUSY")));
         }
-        self.stop();
+        self.stop_reading();
         self.flush();
     }
 
-    /// A request's answer; gives the id that it had.
-    pub fn answered(&mut self, token: u32, answer: Answer) -> Option<u64> {
-        let slot = self.slots.get_mut(token.wrapping_sub(self.first) as usize)?;
-        let Slot::Waiting(id) = *slot else { return None };
-        *slot = Slot::Answered(answer);
+    /// Sets the answer to a request and returns the request's id, or none if the token has no pending request.
+    pub fn answer(&mut self, token: u32, answer: Answer) -> Option<u64> {
+        let slot = self.slots.get_mut(token.wrapping_sub(self.first_token) as usize)?;
+        let ReplySlot::Pending(id) = *slot else { return None };
+        *slot = ReplySlot::Answered(answer);
         self.flush();
         Some(id)
     }
 
-    /// Says why nothing more is read, behind the answers that are still owed.
-    pub fn fail(&mut self, text: &str) {
-        if !self.over {
-            self.slots.push_back(Slot::Done(line(b'-', text)));
+    /// Stops reading, with `error` as the last reply, after those that are still owed.
+    pub fn fail(&mut self, error: &str) {
+        if self.phase != ReadPhase::Stopped {
+            self.slots.push_back(ReplySlot::Encoded(encode_line(b'-', error)));
         }
-        self.stop();
+        self.stop_reading();
         self.flush();
     }
 
-    /// Reads nothing more.
-    pub fn stop(&mut self) {
-        self.over = true;
+    /// Stops reading and drops what is buffered; replies that are owed are still sent.
+    pub fn stop_reading(&mut self) {
+        self.phase = ReadPhase::Stopped;
         self.input = BytesMut::new();
     }
 
-    /// Whether it reads nothing more.
-    pub fn stopped(&self) -> bool {
-        self.over
+    /// Whether reading has stopped for good.
+    pub fn has_stopped_reading(&self) -> bool {
+        self.phase == ReadPhase::Stopped
     }
 
-    /// Whether it may be closed, once its output is written.
-    pub fn over(&self) -> bool {
-        let answered = self.closing && self.input.is_empty() && self.commands > 0;
-        (self.over || answered) && self.slots.is_empty()
+    /// Whether the connection can be closed once its output is written.
+    pub fn is_finished(&self) -> bool {
+        let drained =
+            self.phase >= ReadPhase::Draining && self.input.is_empty() && self.commands_received > 0;
+        (self.phase == ReadPhase::Stopped || drained) && self.slots.is_empty()
     }
 
-    /// Whether bytes may be read.
-    pub fn reads(&self) -> bool {
-        let room = self.slots.len() < MOST_OPEN && self.input.len() < FULL;
-        let wanted = !self.closing || !self.input.is_empty() || self.commands == 0;
-        !self.over && !self.shut && room && wanted
+    /// Whether bytes should be read from the client now.
+    pub fn wants_input(&self) -> bool {
+        let has_room = self.slots.len() < MAX_PENDING_COMMANDS && self.input.len() < MAX_BUFFERED_BYTES;
+        match self.phase {
+            ReadPhase::Open => has_room,
+            ReadPhase::Draining => has_room && (!self.input.is_empty() || self.commands_received == 0),
+            ReadPhase::BufferedOnly | ReadPhase::Stopped => false,
+        }
     }
 
-    /// Whether a command has begun and is not whole.
-    pub fn partial(&self) -> bool {
+    /// Whether the buffer holds a command that is incomplete or not taken yet.
+    pub fn has_partial_command(&self) -> bool {
         !self.input.is_empty()
     }
 
-    /// How many whole commands came.
-    pub fn commands(&self) -> u64 {
-        self.commands
+    /// How many complete commands have been taken.
+    pub fn commands_received(&self) -> u64 {
+        self.commands_received
     }
 
-    /// Whether nothing is owed.
-    pub fn idle(&self) -> bool {
+    /// Whether no reply is owed.
+    pub fn is_idle(&self) -> bool {
         self.slots.is_empty()
     }
 
-    /// The requests that are out: the numbers of their slots and their ids.
-    pub fn waiting(&self) -> impl Iterator<Item = (u32, u64)> + '_ {
-        let number = |n: usize| self.first.wrapping_add(n as u32);
-        self.slots.iter().enumerate().filter_map(move |(n, s)| match s {
-            Slot::Waiting(id) => Some((number(n), *id)),
-            Slot::Done(_) | Slot::Answered(_) => None,
+    /// The tokens and ids of the requests in flight.
+    pub fn pending_requests(&self) -> impl Iterator<Item = (u32, u64)> + '_ {
+        self.slots.iter().zip(0u32..).filter_map(|(slot, offset)| match slot {
+            ReplySlot::Pending(id) => Some((self.first_token.wrapping_add(offset), *id)),
+            ReplySlot::Encoded(_) | ReplySlot::Answered(_) => None,
         })
     }
 
+    /// Writes the replies that are ready, up to the first pending one.
     fn flush(&mut self) {
         while let Some(slot) = self.slots.front() {
             match slot {
-                Slot::Waiting(_) => return,
-                Slot::Done(bytes) => self.output.extend_from_slice(bytes),
-                Slot::Answered(answer) => put(&mut self.output, answer),
+                ReplySlot::Pending(_) => return,
+                ReplySlot::Encoded(bytes) => self.output.extend_from_slice(bytes),
+                ReplySlot::Answered(answer) => encode_answer(&mut self.output, answer),
             }
             self.slots.pop_front();
-            self.first = self.first.wrapping_add(1);
+            self.first_token = self.first_token.wrapping_add(1);
         }
     }
 }
@@ -237,7 +245,7 @@
     type Error = Infallible;
 
     fn receive(&mut self, _: Micros, bytes: &[u8]) -> Result<(), Infallible> {
-        if !self.over {
+        if self.phase != ReadPhase::Stopped {
             self.input.extend_from_slice(bytes);
         }
         Ok(())
--- a/crates/platform/tests/machines.rs
+++ b/crates/platform/tests/machines.rs
@@ -3,13 +3,14 @@
 use bytes::{Bytes, BytesMut};
 use chalkgap::frontend::Answer;
 use chalkgap_core::{Availability, BackendId, EndpointUpdate, Outcome};
-use chalkgap_platform::answer::{take, Budget};
+use chalkgap_platform::backend_reply::decode_backend_reply;
 use chalkgap_platform::ending::Ends;
 use chalkgap_platform::feed::{Feed, FeedError};
 use chalkgap_platform::list::{backend, List, Roster};
+use chalkgap_platform::memory_budget::MemoryBudget;
 use chalkgap_platform::pool::{Checkout, Pool};
 use chalkgap_platform::request::{Grammar, Invalid};
-use chalkgap_platform::session::{Session, MOST_OPEN};
+use chalkgap_platform::session::{Session, MAX_PENDING_COMMANDS};
 use chalkgap_platform::Config;
 use chalkgap_resp::{command, put_command, Command, Limits};
 use chalkgap_transport::Machine;
@@ -92,7 +93,7 @@
 
 fn hear(session: &mut Session, bytes: &[u8]) -> Vec<u32> {
     let Ok(()) = session.receive(0, bytes);
-    std::iter::from_fn(|| session.next(|_| true)).map(|h| h.token).collect()
+    std::iter::from_fn(|| session.next_request(|_| true)).map(|h| h.token).collect()
 }
 
 fn served(text: &'static str) -> Answer {
@@ -108,36 +109,36 @@
     bytes.extend_from_slice(b"*1\r\n$99999999\r\n");
     let tokens = hear(&mut session, &bytes);
     assert_eq!(tokens.len(), 2);
-    assert_eq!(session.waiting().map(|w| w.1).collect::<Vec<_>>(), [0x9b1f_03aa_5c7e_2d41, 10]);
-    assert!(!session.reads(), "what follows a broken command is nobody's");
-    assert_eq!(session.answered(tokens[1], Answer::Rejected { retry_after: 1500 }), Some(10));
+    assert_eq!(session.pending_requests().map(|w| w.1).collect::<Vec<_>>(), [0x9b1f_03aa_5c7e_2d41, 10]);
+    assert!(!session.wants_input(), "what follows a broken command is nobody's");
+    assert_eq!(session.answer(tokens[1], Answer::Rejected { retry_after: 1500 }), Some(10));
     assert!(session.output().is_empty(), "it is not its turn");
-    assert!(!session.over(), "earlier requests still get their answers");
-    session.answered(tokens[0], served("value"));
+    assert!(!session.is_finished(), "earlier requests still get their answers");
+    session.answer(tokens[0], served("value"));
     let text = String::from_utf8(session.output().to_vec()).unwrap();
     assert!(text.starts_with("$5\r\nvalue\r\n+PONG\r\n-BUSY 2\r\n-ERR unreadable command: byte 5"), "{text}");
-    assert!(session.over());
-    assert_eq!(session.answered(tokens[0], served("again")), None, "answered once");
+    assert!(session.is_finished());
+    assert_eq!(session.answer(tokens[0], served("again")), None, "answered once");
 }
 
 #[test]
 fn a_client_that_sends_hundreds_at_once_waits_and_an_open_id_is_taken_once() {
     let mut session = Session::new(Arc::new(grammar()));
     let many = written(&["SVC.QUERY", CUSTOMER, ID, QUERY]).repeat(200);
-    assert_eq!(hear(&mut session, &many).len(), MOST_OPEN);
-    assert!(!session.reads());
-    session.answered(0, served("v"));
+    assert_eq!(hear(&mut session, &many).len(), MAX_PENDING_COMMANDS);
+    assert!(!session.wants_input());
+    session.answer(0, served("v"));
     assert_eq!(hear(&mut session, b"").len(), 1, "one more for each answer");
     let mut session = Session::new(Arc::new(grammar()));
     let Ok(()) = session.receive(0, &written(&["SVC.QUERY", CUSTOMER, ID, QUERY]));
-    assert!(session.next(|_| false).is_none());
+    assert!(session.next_request(|_| false).is_none());
     assert_eq!(&session.output()[..], b"-ERR id: a request of this id is open\r\n");
 }
 
 fn answer(bytes: &[u8]) -> Option<(Outcome, String, Option<f64>, bool)> {
-    let found = take(&mut BytesMut::from(bytes), &["depth".to_owned()])?;
+    let found = decode_backend_reply(&mut BytesMut::from(bytes), &["depth".to_owned()])?;
     let value = String::from_utf8(found.value.to_vec()).unwrap();
-    Some((found.outcome, value, found.report.and_then(|r| r.queued), found.usable))
+    Some((found.outcome, value, found.load_report.and_then(|r| r.queued), found.reusable))
 }
 
 #[test]
@@ -183,11 +184,11 @@
     let body = "v".repeat(250_790);
     let bytes = format!("*3\r\n${}\r\n{body}\r\n$-1\r\n$-1\r\n", body.len());
     assert_eq!(answer(bytes.as_bytes()), Some((Outcome::Ok, body, None, true)));
-    let budget = Budget::new(100);
-    let (mut one, mut two) = (budget.share(), budget.share());
-    assert!(one.take(60) && two.take(40) && !two.take(1) && !one.take(usize::MAX));
+    let budget = MemoryBudget::new(100);
+    let (mut one, mut two) = (budget.reservation(), budget.reservation());
+    assert!(one.grow(60) && two.grow(40) && !two.grow(1) && !one.grow(usize::MAX));
     drop(one);
-    assert!(two.take(60) && !two.take(1));
+    assert!(two.grow(60) && !two.grow(1));
 }
 
 const A: BackendId = BackendId(1);
@@ -201,26 +202,26 @@
 fn the_connection_used_last_goes_first_after_a_rest() {
     let mut pool = Pool::new(8);
     let open = |checkout| match checkout {
-        Checkout::Open { number, close: None } => number,
+        Checkout::Open { number, evict: None } => number,
         other => panic!("{other:?}"),
     };
-    let (one, two) = (open(pool.take(0, A, at(1))), open(pool.take(0, A, at(1))));
-    assert!(pool.free(1_000_000, one) && pool.free(1_100_000, two));
-    let three = open(pool.take(1_100_000, B, at(2)));
+    let (one, two) = (open(pool.check_out(0, A, at(1))), open(pool.check_out(0, A, at(1))));
+    assert!(pool.release(1_000_000, one) && pool.release(1_100_000, two));
+    let three = open(pool.check_out(1_100_000, B, at(2)));
     assert_eq!(
-        pool.take(1_101_000, A, at(1)),
+        pool.check_out(1_101_000, A, at(1)),
         Checkout::Reuse(one),
         "the other rests: noise may follow its answer"
     );
-    assert_eq!(pool.take(1_200_000, A, at(1)), Checkout::Reuse(two));
-    pool.free(1_300_000, two);
-    assert!(!pool.closed(1_200_000, one, false), "it carries a request, and ends with it");
-    assert!(!pool.free(1_300_000, one));
+    assert_eq!(pool.check_out(1_200_000, A, at(1)), Checkout::Reuse(two));
+    pool.release(1_300_000, two);
+    assert!(!pool.mark_closed(1_200_000, one, false), "it carries a request, and ends with it");
+    assert!(!pool.release(1_300_000, one));
     assert_eq!(pool.retain(&|b| b == B), [two]);
     assert_eq!(pool.count(), 1);
     // A backend that is reached elsewhere by now is not asked where it was.
-    pool.free(1_400_000, three);
-    assert_eq!(pool.take(2_000_000, B, at(3)), Checkout::Open { number: 4, close: Some(three) });
+    pool.release(1_400_000, three);
+    assert_eq!(pool.check_out(2_000_000, B, at(3)), Checkout::Open { number: 4, evict: Some(three) });
     assert_eq!(pool.count(), 1);
 }
 
@@ -233,16 +234,16 @@
     // Idle for 20 ms they are good, for 200 ms one in three breaks.
     let mut play = |pool: &mut Pool, now: &mut u64, idle: u64, breaks: bool| {
         *now += idle;
-        match pool.take(*now, A, at(1)) {
+        match pool.check_out(*now, A, at(1)) {
             Checkout::Reuse(n) => {
                 if breaks {
-                    pool.closed(*now, n, true);
+                    pool.mark_closed(*now, n, true);
                 }
-                pool.free(*now, n);
+                pool.release(*now, n);
                 true
             }
             Checkout::Open { number, .. } => {
-                pool.free(*now, number);
+                pool.release(*now, number);
                 false
             }
             Checkout::Full => panic!("there is room"),
@@ -264,12 +265,12 @@
 #[test]
 fn a_full_pool_closes_what_is_idle_and_says_when_nothing_is() {
     let mut pool = Pool::new(2);
-    pool.take(0, A, at(1));
-    pool.take(0, A, at(1));
-    assert_eq!(pool.take(0, B, at(2)), Checkout::Full);
-    pool.free(5, 2);
-    assert_eq!(pool.take(6, B, at(2)), Checkout::Open { number: 3, close: Some(2) });
-    assert_eq!(pool.take(7, B, at(2)), Checkout::Full);
+    pool.check_out(0, A, at(1));
+    pool.check_out(0, A, at(1));
+    assert_eq!(pool.check_out(0, B, at(2)), Checkout::Full);
+    pool.release(5, 2);
+    assert_eq!(pool.check_out(6, B, at(2)), Checkout::Open { number: 3, evict: Some(2) });
+    assert_eq!(pool.check_out(7, B, at(2)), Checkout::Full);
     assert_eq!(pool.count(), 2);
 }
 
