--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -1,6 +1,6 @@
 //! What the platform tells an ingress: a file of JSON, named by `RELAY_CONFIG`.
 
-use crate::list::List;
+use crate::endpoint_list::EndpointList;
 use chalkgap_deployment_config::DeploymentConfig;
 use serde::Deserialize;
 use std::net::SocketAddr;
@@ -61,7 +61,7 @@
     peer_listen: Option<SocketAddr>,
     #[serde(default)]
     peers: Vec<SocketAddr>,
-    known: Option<List>,
+    known: Option<EndpointList>,
     settings: serde_json::Value,
 }
 
@@ -85,7 +85,7 @@
     /// The addresses of all ingresses by their numbers, this one's own included.
     pub peers: Vec<SocketAddr>,
     /// The list of backends as this ingress last had it.
-    pub known: Option<List>,
+    pub known: Option<EndpointList>,
     /// What an instance is told.
     pub terms: DeploymentConfig,
 }
--- /dev/null
+++ b/crates/platform/src/endpoint_set.rs
@@ -0,0 +1,200 @@
+//! Decides which of discovery's lists are applied, and translates them for the gateway's core. Free of I/O and clock.
+
+use crate::endpoint_list::{backend_id, EndpointList, EndpointRecord};
+use chalkgap_core::{Availability, BackendId, Endpoint, EndpointUpdate, Micros};
+use std::collections::BTreeMap;
+use std::net::SocketAddr;
+
+/// Backends in one list.
+const MAX_ENDPOINTS: usize = 20_000;
+/// How long only older lists must have arrived before one is applied. Discovery may have restarted its version numbers,
+/// but far more often an agent serves outdated data.
+const STALE_LIST_DELAY_MICROS: Micros = 3_000_000;
+/// How long after that a backend stays unavailable that the newer list had withdrawn, unless it has restarted: an agent that
+/// is outdated for long looks like a discovery that has restarted its version numbers.
+const WITHDRAWAL_MICROS: Micros = 60_000_000;
+
+/// An update for the gateway's core.
+#[derive(Clone, Debug)]
+pub struct EndpointChange {
+    /// Whether it replaces what is known.
+    pub update: EndpointUpdate,
+    /// The backends, with where each listens.
+    pub endpoints: Vec<(Endpoint, SocketAddr)>,
+}
+
+/// Why a list is not applied; the current one stays in effect.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum RejectedList {
+    /// It would make backends available again that drain or are gone.
+    #[error("list {found} is older than the current one, {current}: the agent serves outdated data")]
+    Stale {
+        /// Its version.
+        found: u64,
+        /// The version of the current list.
+        current: u64,
+    },
+    /// It names too many backends.
+    #[error("list {found}: expected at most {MAX_ENDPOINTS} backends, found {endpoints}")]
+    TooLong {
+        /// Its version.
+        found: u64,
+        /// How many backends it names.
+        endpoints: usize,
+    },
+}
+
+/// A backend that a list has withdrawn: it drains or is gone.
+struct Withdrawal {
+    /// The start of the backend's process that was withdrawn.
+    started_at: Micros,
+    withdrawn_at: Micros,
+}
+
+/// The endpoints as of the lists applied so far, in the order of their arrival.
+#[derive(Default)]
+pub struct EndpointSet {
+    zone_names: Vec<String>,
+    machine_kinds: Vec<String>,
+    version: u64,
+    /// When the first of the older lists since the last applied one arrived.
+    stale_since: Option<Micros>,
+    /// The ready backends, with the times of their starts.
+    ready: BTreeMap<BackendId, Micros>,
+    /// At most as many as a list may name.
+    withdrawn: BTreeMap<BackendId, Withdrawal>,
+    newest_version: u64,
+    /// When an older list was applied in the place of `newest_version`.
+    rolled_back_at: Option<Micros>,
+}
+
+impl EndpointSet {
+    /// A set without endpoints; the names are those of the settings, in their order.
+    pub fn new(zone_names: Vec<String>, machine_kinds: Vec<String>) -> Self {
+        EndpointSet { zone_names, machine_kinds, ..EndpointSet::default() }
+    }
+
+    /// Whether a list has been applied.
+    pub fn has_list(&self) -> bool {
+        !self.ready.is_empty() || !self.withdrawn.is_empty()
+    }
+
+    /// The version of the current list.
+    pub fn version(&self) -> u64 {
+        self.version
+    }
+
+    /// Applies the list that was cached before a restart.
+    pub fn restore_cached(&mut self, now: Micros, list: &EndpointList) -> EndpointChange {
+        self.version = list.version;
+        self.newest_version = list.version;
+        let endpoints = self.translate(list);
+        self.record(now, list.is_complete, &endpoints);
+        EndpointChange { update: EndpointUpdate::Cached, endpoints }
+    }
+
+    /// Applies a list from discovery.
+    ///
+    /// # Errors
+    /// See [`RejectedList`].
+    pub fn apply(&mut self, now: Micros, list: &EndpointList) -> Result<EndpointChange, RejectedList> {
+        self.check(now, list)?;
+        self.version = list.version;
+        self.stale_since = None;
+        self.track_rollback(now, list.version);
+        let mut endpoints = self.translate(list);
+        if self.rolled_back_at.is_some() {
+            self.keep_withdrawn(&mut endpoints);
+        }
+        self.record(now, list.is_complete, &endpoints);
+        let update = if list.is_complete { EndpointUpdate::Snapshot } else { EndpointUpdate::Delta };
+        Ok(EndpointChange { update, endpoints })
+    }
+
+    fn check(&mut self, now: Micros, list: &EndpointList) -> Result<(), RejectedList> {
+        if list.endpoints.len() > MAX_ENDPOINTS {
+            return Err(RejectedList::TooLong { found: list.version, endpoints: list.endpoints.len() });
+        }
+        if list.version >= self.version {
+            return Ok(());
+        }
+        let stale_since = *self.stale_since.get_or_insert(now);
+        if !list.is_complete || now < stale_since + STALE_LIST_DELAY_MICROS {
+            return Err(RejectedList::Stale { found: list.version, current: self.version });
+        }
+        Ok(())
+    }
+
+    /// Notes whether the applied version is older than one before. It is unclear for a while whether discovery has
+    /// restarted its version numbers or an agent serves outdated data.
+    fn track_rollback(&mut self, now: Micros, version: u64) {
+        if version < self.newest_version {
+            let rolled_back_at = *self.rolled_back_at.get_or_insert(now);
+            if now < rolled_back_at + WITHDRAWAL_MICROS {
+                return;
+            }
+        }
+        self.newest_version = version;
+        self.rolled_back_at = None;
+    }
+
+    /// Marks backends as draining that were withdrawn and have not restarted since.
+    fn keep_withdrawn(&self, endpoints: &mut [(Endpoint, SocketAddr)]) {
+        for (endpoint, _) in endpoints {
+            let withdrawal = self.withdrawn.get(&endpoint.backend);
+            let same_start = withdrawal.is_some_and(|w| w.started_at == endpoint.started_at);
+            if endpoint.availability == Availability::Ready && same_start {
+                endpoint.availability = Availability::Draining;
+            }
+        }
+    }
+
+    /// Remembers which backends are ready and which have been withdrawn.
+    fn record(&mut self, now: Micros, is_complete: bool, endpoints: &[(Endpoint, SocketAddr)]) {
+        let mut no_longer_listed =
+            if is_complete { std::mem::take(&mut self.ready) } else { BTreeMap::new() };
+        for (endpoint, _) in endpoints {
+            no_longer_listed.remove(&endpoint.backend);
+            if endpoint.availability == Availability::Ready {
+                self.withdrawn.remove(&endpoint.backend);
+                self.ready.insert(endpoint.backend, endpoint.started_at);
+            } else {
+                let started_at = self.ready.remove(&endpoint.backend).unwrap_or(endpoint.started_at);
+                let withdrawal = Withdrawal { started_at, withdrawn_at: now };
+                self.withdrawn.entry(endpoint.backend).or_insert(withdrawal);
+            }
+        }
+        for (backend, started_at) in no_longer_listed {
+            self.withdrawn.insert(backend, Withdrawal { started_at, withdrawn_at: now });
+        }
+        let rolled_back = self.rolled_back_at.is_some();
+        self.withdrawn.retain(|_, w| rolled_back || now < w.withdrawn_at + WITHDRAWAL_MICROS);
+        while self.withdrawn.len() > MAX_ENDPOINTS {
+            self.withdrawn.pop_first();
+        }
+    }
+
+    fn translate(&self, list: &EndpointList) -> Vec<(Endpoint, SocketAddr)> {
+        list.endpoints.iter().map(|record| (self.endpoint(record), record.address)).collect()
+    }
+
+    fn endpoint(&self, record: &EndpointRecord) -> Endpoint {
+        // Names that the settings do not know get an index beyond all of theirs.
+        let zone = index_of(&self.zone_names, &record.zone);
+        let kind = index_of(&self.machine_kinds, &record.machine_kind);
+        Endpoint {
+            backend: backend_id(&record.name),
+            zone: zone.min(255) as u8,
+            cell: record.cell,
+            kind: kind.min(65_535) as u16,
+            availability: record.health.into(),
+            weight: record.weight,
+            started_at: record.started_at_millis.saturating_mul(1000),
+        }
+    }
+}
+
+/// The index of a name, or the length of the list.
+fn index_of(names: &[String], name: &str) -> usize {
+    names.iter().position(|known| known == name).unwrap_or(names.len())
+}
--- a/crates/platform/src/ingress.rs
+++ b/crates/platform/src/ingress.rs
@@ -2,13 +2,13 @@
 
 use crate::backend::{BackendConnections, BackendSettings};
 use crate::config::Config;
-use crate::discovery;
-use crate::ending::Ends;
+use crate::discovery::{DiscoveryFollower, DiscoveryTimeouts};
+use crate::endpoint_set::{EndpointChange, EndpointSet};
 use crate::front::{FrontendContext, Resp};
-use crate::list::Roster;
 use crate::memory_budget::MemoryBudget;
 use crate::peers;
 use crate::request::Grammar;
+use crate::shutdown::ShutdownTimeouts;
 use async_channel::{Receiver, Sender};
 use chalkgap::frontend::{
     listen, Acceptor, ConnectionGate, ConnectionGateConfig, Driver, DriverEvent, DriverLimits,
@@ -62,7 +62,7 @@
     open: Arc<AtomicUsize>,
     gate: Arc<ConnectionGate>,
     moves: Sender<SocketAddr>,
-    ends: Ends,
+    shutdown: ShutdownTimeouts,
     overtime: Arc<AtomicU64>,
     drain: Option<Sender<()>>,
     _kill: Sender<()>,
@@ -159,24 +159,23 @@
         let core = Gateway::new(terms.settings.clone(), config.seed, runtime.now());
         let main =
             Driver::new(runtime.clone(), figures, telemetry.clone(), core, connections, input).telling(told);
-        let mut roster = Roster::new(terms.zone_names.clone(), terms.machine_kinds.clone());
+        let mut endpoint_set = EndpointSet::new(terms.zone_names.clone(), terms.machine_kinds.clone());
         if let Some(list) = &config.known {
-            let (kind, lines) = roster.known(runtime.now(), list);
-            let _ = driver.try_send(DriverEvent::Endpoints { update: kind, endpoints: lines });
+            let EndpointChange { update, endpoints } = endpoint_set.restore_cached(runtime.now(), list);
+            let _ = driver.try_send(DriverEvent::Endpoints { update, endpoints });
             // the channel is new and empty
         }
         start(Box::pin(main.run()));
-        let asked = terms.settings.discovery == chalkgap_core::Discovery::Poll;
         let (first, listed) = async_channel::bounded::<()>(1);
-        start(Box::pin(discovery::follow(
-            runtime.clone(),
-            roster,
-            config.discovery,
-            discovery::Waits::within(terms.settings.rules.drain_grace, asked),
-            moved,
-            driver.clone(),
-            first,
-        )));
+        let follower = DiscoveryFollower {
+            runtime: runtime.clone(),
+            endpoints: endpoint_set,
+            address: config.discovery,
+            timeouts: DiscoveryTimeouts::new(terms.settings.rules.drain_grace, terms.settings.discovery),
+            driver: driver.clone(),
+            first_list: first,
+        };
+        start(Box::pin(follower.run(moved)));
         // Clients come as soon as it listens: it does so with a list that is not old, if one is to be had at once.
         let patience = runtime.sleep_until(runtime.now() + FIRST_LIST);
         let fresh = async {
@@ -220,7 +219,7 @@
             open,
             gate,
             moves,
-            ends: Ends::within(longest.unwrap_or_default()),
+            shutdown: ShutdownTimeouts::new(longest.unwrap_or_default()),
             overtime,
             drain: Some(drain),
             _kill: kill,
@@ -251,11 +250,11 @@
     /// answered, at the latest when the process is about to be killed.
     pub async fn drain(&mut self) {
         let now = self.runtime.now();
-        self.overtime.store(now + self.ends.overtime, Ordering::Relaxed);
-        self.runtime.sleep_until(now + self.ends.taken).await;
+        self.overtime.store(now + self.shutdown.fail_pending, Ordering::Relaxed);
+        self.runtime.sleep_until(now + self.shutdown.accept).await;
         self.drain = None;
         self.gate.drain();
-        let until = now + self.ends.process;
+        let until = now + self.shutdown.exit;
         while self.open.load(Ordering::Relaxed) > 0 && self.runtime.now() < until {
             self.runtime.sleep_until(self.runtime.now() + 5000).await;
         }
--- a/crates/platform/tests/discovery.rs
+++ b/crates/platform/tests/discovery.rs
@@ -3,9 +3,10 @@
 
 use async_channel::{Receiver, Sender};
 use chalkgap::frontend::DriverEvent;
-use chalkgap_core::Availability;
-use chalkgap_platform::discovery::{follow, Waits};
-use chalkgap_platform::list::Roster;
+use chalkgap_core::{Availability, Discovery};
+use chalkgap_platform::discovery::{DiscoveryFollower, DiscoveryTimeouts};
+use chalkgap_platform::endpoint_list::backend_id;
+use chalkgap_platform::endpoint_set::EndpointSet;
 use chalkgap_platform::request::Work;
 use chalkgap_runtime::simulated_runtime::{address, Power, World};
 use chalkgap_runtime::{Micros, Runtime, Shared, Stream};
@@ -139,7 +140,7 @@
 fn follower(
     world: &World,
     no: u32,
-    asked: bool,
+    mode: Discovery,
     at: SocketAddr,
 ) -> (Shared, Power, Sender<SocketAddr>, Receiver<DriverEvent<Work>>) {
     let (host, power) = world.host(no, 0);
@@ -147,8 +148,15 @@
     let (moves, moved) = async_channel::bounded(4);
     let (driver, input) = async_channel::bounded(64);
     let (first, _) = async_channel::bounded(1);
-    let roster = Roster::new(Vec::new(), Vec::new());
-    let task = follow(runtime.clone(), roster, at, Waits::within(GRACE, asked), moved, driver, first);
+    let follower = DiscoveryFollower {
+        runtime: runtime.clone(),
+        endpoints: EndpointSet::new(Vec::new(), Vec::new()),
+        address: at,
+        timeouts: DiscoveryTimeouts::new(GRACE, mode),
+        driver,
+        first_list: first,
+    };
+    let task = follower.run(moved);
     runtime.spawn(Box::pin(task)).detach();
     (runtime, power, moves, input)
 }
@@ -165,7 +173,7 @@
 }
 
 impl Rig {
-    fn new(world: &World, indent: bool, asked: bool) -> Rig {
+    fn new(world: &World, indent: bool, mode: Discovery) -> Rig {
         let (mut agents, mut powers) = (Vec::new(), Vec::new());
         for no in 1..=2 {
             let (host, power) = world.host(no, 0);
@@ -194,7 +202,7 @@
             agents.push((handle, at));
             powers.push(power);
         }
-        let (runtime, power, moves, input) = follower(world, 3, asked, agents[0].1);
+        let (runtime, power, moves, input) = follower(world, 3, mode, agents[0].1);
         powers.push(power);
         let others = Vec::new();
         Rig { runtime, world: world.clone(), agents, others, moves, input, power: powers }
@@ -202,7 +210,7 @@
 
     /// One more that follows the same agent, where lists are asked for.
     fn further(&mut self, no: u32) -> Receiver<DriverEvent<Work>> {
-        let (_, power, moves, input) = follower(&self.world, no, true, self.agents[0].1);
+        let (_, power, moves, input) = follower(&self.world, no, Discovery::Poll, self.agents[0].1);
         self.power.push(power);
         self.others.push(moves);
         input
@@ -225,7 +233,7 @@
     /// Until the driver is told of this version.
     async fn told(&self, version: u64) -> Micros {
         let begin = self.runtime.now();
-        let want = chalkgap_platform::list::backend(&format!("s-{version}"));
+        let want = backend_id(&format!("s-{version}"));
         let told = async {
             while let Ok(input) = self.input.recv().await {
                 let DriverEvent::Endpoints { endpoints: lines, .. } = input else { continue };
@@ -248,20 +256,20 @@
     indent: bool,
     act: impl FnOnce(Rig) -> F + 'static,
 ) {
-    play_mode(seed, indent, false, act);
+    play_mode(seed, indent, Discovery::Push, act);
 }
 
 /// The same where lists are asked for, or not.
 fn play_mode<F: std::future::Future<Output = ()> + 'static>(
     seed: u64,
     indent: bool,
-    asked: bool,
+    mode: Discovery,
     act: impl FnOnce(Rig) -> F + 'static,
 ) {
     let world = World::new(seed, BEGIN);
     let inside = world.clone();
     let done = world.run(async move {
-        let rig = Rig::new(&inside, indent, asked);
+        let rig = Rig::new(&inside, indent, mode);
         rig.told(1).await;
         rig.rest(1_000_000).await;
         act(rig).await;
@@ -309,7 +317,7 @@
         worst = worst.max(*seen.lock().unwrap());
     }
     let bound = 2_600_000
-        + CALLS as u64 * Waits::within(GRACE, false).call
+        + CALLS as u64 * DiscoveryTimeouts::new(GRACE, Discovery::Push).call
         + 50_000
         + 100_000
         + 200_000
@@ -338,7 +346,9 @@
         });
         worst = worst.max(*seen.lock().unwrap());
     }
-    let bound = Waits::within(GRACE, false).call + Waits::within(GRACE, false).pause + ROUND;
+    let bound = DiscoveryTimeouts::new(GRACE, Discovery::Push).call
+        + DiscoveryTimeouts::new(GRACE, Discovery::Push).max_backoff
+        + ROUND;
     assert!(worst <= bound && bound < GRACE * 2 / 3, "{worst} us, bound {bound}");
     assert!(worst > bound / 2, "a search that reaches half of the bound: {worst} us of {bound}");
 }
@@ -352,7 +362,7 @@
     for seed in 0..60 {
         let seen = Arc::new(Mutex::new(0));
         let out = seen.clone();
-        play_mode(seed, false, true, move |rig| async move {
+        play_mode(seed, false, Discovery::Poll, move |rig| async move {
             rig.silence(Mood::Refusing);
             rig.rest(8_000_000 + seed * 37_000).await;
             {
@@ -365,7 +375,12 @@
         });
         worst = worst.max(*seen.lock().unwrap());
     }
-    let bound = WHOLE_TURN + Waits::within(GRACE, true).pause + 1_000_000 + turn + LOOK + 2 * ROUND;
+    let bound = WHOLE_TURN
+        + DiscoveryTimeouts::new(GRACE, Discovery::Poll).max_backoff
+        + 1_000_000
+        + turn
+        + LOOK
+        + 2 * ROUND;
     assert!(worst <= bound && bound < 6_000_000, "{worst} us, bound {bound}");
     assert!(worst > bound * 8 / 10, "a search that reaches the bound: {worst} us of {bound}");
 }
@@ -394,7 +409,7 @@
         rig.rest(400_000).await;
         rig.agent().mood = Mood::Well;
         let took = rig.told(2).await;
-        assert!(took <= Waits::within(GRACE, false).call + 50_000 + ROUND, "{took} us");
+        assert!(took <= DiscoveryTimeouts::new(GRACE, Discovery::Push).call + 50_000 + ROUND, "{took} us");
         assert_eq!(rig.agent().wholes, 2, "by a new list, not by the watch");
     });
 }
@@ -419,7 +434,7 @@
     let world = World::new(9, BEGIN);
     let inside = world.clone();
     let done = world.run(async move {
-        let mut rig = Rig::new(&inside, false, true);
+        let mut rig = Rig::new(&inside, false, Discovery::Poll);
         {
             let mut a = rig.agent();
             (a.deaf, a.seq) = (2, 3);
@@ -441,7 +456,7 @@
     let world = World::new(7, BEGIN);
     let inside = world.clone();
     let done = world.run(async move {
-        let mut rig = Rig::new(&inside, false, true);
+        let mut rig = Rig::new(&inside, false, Discovery::Poll);
         let mut others = Vec::new();
         for no in 4..9 {
             others.push(rig.further(no));
--- a/crates/platform/tests/machines.rs
+++ b/crates/platform/tests/machines.rs
@@ -1,16 +1,17 @@
-//! The platform's machines without a socket: grammar, session, answers, pool, list, feed.
+//! The platform's machines without a socket: grammar, session, answers, pool, endpoint lists, discovery's responses.
 
 use bytes::{Bytes, BytesMut};
 use chalkgap::frontend::Answer;
 use chalkgap_core::{Availability, BackendId, EndpointUpdate, Outcome};
 use chalkgap_platform::backend_reply::decode_backend_reply;
-use chalkgap_platform::ending::Ends;
-use chalkgap_platform::feed::{Feed, FeedError};
-use chalkgap_platform::list::{backend, List, Roster};
+use chalkgap_platform::discovery_client::{DiscoveryClient, ResponseError};
+use chalkgap_platform::endpoint_list::{backend_id, EndpointList};
+use chalkgap_platform::endpoint_set::{EndpointChange, EndpointSet};
 use chalkgap_platform::memory_budget::MemoryBudget;
 use chalkgap_platform::pool::{Checkout, Pool};
 use chalkgap_platform::request::{Grammar, Invalid};
 use chalkgap_platform::session::{Session, MAX_PENDING_COMMANDS};
+use chalkgap_platform::shutdown::ShutdownTimeouts;
 use chalkgap_platform::Config;
 use chalkgap_resp::{command, put_command, Command, Limits};
 use chalkgap_transport::Machine;
@@ -274,7 +275,7 @@
     assert_eq!(pool.count(), 2);
 }
 
-fn list(seq: u64, whole: bool, hosts: &[(&str, &str)]) -> List {
+fn list(seq: u64, whole: bool, hosts: &[(&str, &str)]) -> EndpointList {
     serde_json::from_str(&list_text(seq, whole, hosts)).unwrap()
 }
 
@@ -292,82 +293,96 @@
 
 #[test]
 fn lists_that_are_behind_call_nothing_back() {
-    let mut roster = Roster::new(vec!["a".into(), "b".into()], vec!["k".into()]);
-    let (kind, lines) = roster.take(0, &list(41, true, &[("s-1", "ready"), ("s-2", "draining")])).unwrap();
-    assert_eq!((kind, lines.len()), (EndpointUpdate::Snapshot, 2));
+    let mut endpoints = EndpointSet::new(vec!["a".into(), "b".into()], vec!["k".into()]);
+    let EndpointChange { update, endpoints: lines } =
+        endpoints.apply(0, &list(41, true, &[("s-1", "ready"), ("s-2", "draining")])).unwrap();
+    assert_eq!((update, lines.len()), (EndpointUpdate::Snapshot, 2));
     let (l, address) = lines[0];
-    assert_eq!((l.backend, address, l.zone, l.kind, l.cell), (backend("s-1"), at(1), 1, 0, 3));
+    assert_eq!((l.backend, address, l.zone, l.kind, l.cell), (backend_id("s-1"), at(1), 1, 0, 3));
     assert_eq!((l.weight, l.started_at), (2.5, 7000));
-    assert_eq!(roster.take(1, &list(42, false, &[("s-1", "gone")])).unwrap().0, EndpointUpdate::Delta);
+    assert_eq!(
+        endpoints.apply(1, &list(42, false, &[("s-1", "gone")])).unwrap().update,
+        EndpointUpdate::Delta
+    );
     // An agent that is behind would bring back what drains.
-    assert!(roster.take(2, &list(40, true, &[("s-1", "ready"), ("s-2", "ready")])).is_err());
-    assert!(roster.take(3, &list(41, false, &[("s-2", "ready")])).is_err());
-    assert_eq!(roster.seq(), 42);
-    assert!(roster.take(2_000_000, &list(40, true, &[])).is_err());
+    assert!(endpoints.apply(2, &list(40, true, &[("s-1", "ready"), ("s-2", "ready")])).is_err());
+    assert!(endpoints.apply(3, &list(41, false, &[("s-2", "ready")])).is_err());
+    assert_eq!(endpoints.version(), 42);
+    assert!(endpoints.apply(2_000_000, &list(40, true, &[])).is_err());
     // All that comes for seconds: discovery counts anew.
-    assert!(roster.take(3_000_002, &list(2, true, &[("s-3", "ready")])).is_ok());
-    assert_eq!(roster.seq(), 2);
+    assert!(endpoints.apply(3_000_002, &list(2, true, &[("s-3", "ready")])).is_ok());
+    assert_eq!(endpoints.version(), 2);
 }
 
 /// An agent that is behind for long looks like discovery that counts anew: what was told to drain, or to be gone, stays away,
 /// unless it has started anew, a list that is new again names it, or a minute has passed.
 #[test]
 fn an_older_list_calls_nobody_back() {
-    let ready = |roster: &mut Roster, now, list: &List| {
-        let (_, lines) = roster.take(now, list).unwrap();
+    let ready = |endpoints: &mut EndpointSet, now, list: &EndpointList| {
+        let lines = endpoints.apply(now, list).unwrap().endpoints;
         let ready = lines.into_iter().filter(|(l, _)| l.availability == Availability::Ready);
         ready.map(|(l, _)| l.backend).collect::<Vec<_>>()
     };
-    let held = |roster: &mut Roster| {
-        roster.known(0, &list(40, true, &[("s-1", "ready"), ("s-2", "ready"), ("s-3", "ready")]));
-        let left = ready(roster, 1, &list(41, true, &[("s-1", "ready"), ("s-2", "draining")]));
-        assert_eq!(left, [backend("s-1")], "one drains, one is named no more");
-        assert!(roster.take(2, &list(39, true, &[])).is_err());
+    let held = |endpoints: &mut EndpointSet| {
+        endpoints.restore_cached(0, &list(40, true, &[("s-1", "ready"), ("s-2", "ready"), ("s-3", "ready")]));
+        let left = ready(endpoints, 1, &list(41, true, &[("s-1", "ready"), ("s-2", "draining")]));
+        assert_eq!(left, [backend_id("s-1")], "one drains, one is named no more");
+        assert!(endpoints.apply(2, &list(39, true, &[])).is_err());
     };
     let old = [("s-1", "ready"), ("s-2", "ready"), ("s-3", "ready"), ("s-4", "ready")];
-    let mut roster = Roster::new(vec!["a".into()], vec!["k".into()]);
-    held(&mut roster);
+    let mut endpoints = EndpointSet::new(vec!["a".into()], vec!["k".into()]);
+    held(&mut endpoints);
     let at = 3_000_002;
-    assert_eq!(ready(&mut roster, at, &list(39, true, &old)), [backend("s-1"), backend("s-4")]);
+    assert_eq!(ready(&mut endpoints, at, &list(39, true, &old)), [backend_id("s-1"), backend_id("s-4")]);
     let mut anew = list(39, true, &old);
-    anew.hosts[1].born_ms += 1;
-    assert_eq!(ready(&mut roster, at, &anew), [backend("s-1"), backend("s-2"), backend("s-4")]);
-    assert_eq!(ready(&mut roster, at, &list(42, true, &old)).len(), 4, "it is not behind any more");
-    let mut roster = Roster::new(vec!["a".into()], vec!["k".into()]);
-    held(&mut roster);
-    assert_eq!(ready(&mut roster, at, &list(39, true, &old)).len(), 2);
-    assert_eq!(ready(&mut roster, at + 60_000_000, &list(39, true, &old)).len(), 4, "discovery counts anew");
+    anew.endpoints[1].started_at_millis += 1;
+    assert_eq!(ready(&mut endpoints, at, &anew), [backend_id("s-1"), backend_id("s-2"), backend_id("s-4")]);
+    assert_eq!(ready(&mut endpoints, at, &list(42, true, &old)).len(), 4, "it is not behind any more");
+    let mut endpoints = EndpointSet::new(vec!["a".into()], vec!["k".into()]);
+    held(&mut endpoints);
+    assert_eq!(ready(&mut endpoints, at, &list(39, true, &old)).len(), 2);
+    assert_eq!(
+        ready(&mut endpoints, at + 60_000_000, &list(39, true, &old)).len(),
+        4,
+        "discovery counts anew"
+    );
     // From then on it is followed as before, and may be behind again.
     let at = at + 61_000_000;
-    assert_eq!(ready(&mut roster, at, &list(50, false, &[("s-4", "draining")])), []);
-    assert!(roster.take(at + 1, &list(45, true, &old)).is_err());
-    assert_eq!(ready(&mut roster, at + 3_000_002, &list(45, true, &old)).len(), 3);
+    assert_eq!(ready(&mut endpoints, at, &list(50, false, &[("s-4", "draining")])), []);
+    assert!(endpoints.apply(at + 1, &list(45, true, &old)).is_err());
+    assert_eq!(ready(&mut endpoints, at + 3_000_002, &list(45, true, &old)).len(), 3);
 }
 
 /// SIGKILL comes no sooner than the longest deadline, three seconds at most, and 0.7 s after SIGTERM.
 #[test]
 fn the_end_fits_before_the_kill() {
     for deadline in [300_000, 1_000_000, 3_000_000, 10_000_000u64] {
-        let ends = Ends::within(deadline);
+        let timeouts = ShutdownTimeouts::new(deadline);
         let killed = deadline.min(3_000_000) + 700_000;
-        assert!(ends.taken >= 400_000 && ends.taken < ends.overtime, "clients come for 0.4 s");
-        assert!(ends.overtime >= ends.taken + deadline.min(3_000_000), "the last one has its whole time");
-        assert!(ends.overtime + 200_000 <= ends.process && ends.process < killed);
+        assert!(
+            timeouts.accept >= 400_000 && timeouts.accept < timeouts.fail_pending,
+            "clients come for 0.4 s"
+        );
+        assert!(
+            timeouts.fail_pending >= timeouts.accept + deadline.min(3_000_000),
+            "the last one has its whole time"
+        );
+        assert!(timeouts.fail_pending + 200_000 <= timeouts.exit && timeouts.exit < killed);
     }
 }
 
 /// The values that an answer in pieces of `cut` bytes gives, and whether it has ended.
-fn feed(bytes: &[u8], cut: usize) -> Result<(Vec<serde_json::Value>, bool), FeedError> {
-    let (mut feed, question) = Feed::ask(at(1), "/api/targets?watch=1&from=7").unwrap();
-    assert!(question.starts_with(b"GET /api/targets?watch=1&from=7 HTTP/1.1\r\nhost: 127.0.0.1:1\r\n"));
+fn responses(bytes: &[u8], cut: usize) -> Result<(Vec<serde_json::Value>, bool), ResponseError> {
+    let (mut client, request) = DiscoveryClient::get(at(1), "/api/targets?watch=1&from=7").unwrap();
+    assert!(request.starts_with(b"GET /api/targets?watch=1&from=7 HTTP/1.1\r\nhost: 127.0.0.1:1\r\n"));
     let mut values = Vec::new();
     for piece in bytes.chunks(cut) {
-        feed.push(piece)?;
-        while let Some(value) = feed.value()? {
+        client.receive(piece)?;
+        while let Some(value) = client.next_value()? {
             values.push(value);
         }
     }
-    Ok((values, feed.ended()))
+    Ok((values, client.is_ended()))
 }
 
 fn chunked(pieces: &[&str]) -> Vec<u8> {
@@ -388,20 +403,23 @@
     let value = |text: &str| serde_json::from_str::<serde_json::Value>(text).unwrap();
     let all = [value("{\"a\":1}"), value("{\"a\":[2]}"), value("{\"a\":{}}")];
     for cut in 1..120 {
-        assert_eq!(feed(&one, cut).unwrap(), (all.to_vec(), false), "{cut}");
-        assert_eq!(feed(&[&one[..], b"0\r\n\r\n"].concat(), cut).unwrap(), (all.to_vec(), true));
-        assert_eq!(feed(plain, cut).unwrap().0.len(), 2, "no more than its length");
-        assert_eq!(feed(close, cut).unwrap(), (all[..1].to_vec(), false));
+        assert_eq!(responses(&one, cut).unwrap(), (all.to_vec(), false), "{cut}");
+        assert_eq!(responses(&[&one[..], b"0\r\n\r\n"].concat(), cut).unwrap(), (all.to_vec(), true));
+        assert_eq!(responses(plain, cut).unwrap().0.len(), 2, "no more than its length");
+        assert_eq!(responses(close, cut).unwrap(), (all[..1].to_vec(), false));
     }
-    assert!(matches!(feed(b"HTTP/1.1 503 No\r\n\r\n", 9), Err(FeedError::Status(503))));
-    assert!(matches!(feed(b"HTTP/1.1 301 No\r\nlocation: /\r\n\r\n", 9), Err(FeedError::Status(301))));
-    assert!(matches!(feed(b"nonsense\r\n\r\n", 9), Err(FeedError::Http(_))));
+    assert!(matches!(responses(b"HTTP/1.1 503 No\r\n\r\n", 9), Err(ResponseError::Status(503))));
+    assert!(matches!(
+        responses(b"HTTP/1.1 301 No\r\nlocation: /\r\n\r\n", 9),
+        Err(ResponseError::Status(301))
+    ));
+    assert!(matches!(responses(b"nonsense\r\n\r\n", 9), Err(ResponseError::Http(_))));
     let endless = [&b"HTTP/1.1 200 OK\r\na: "[..], &[b'x'; 40_000]].concat();
-    assert!(matches!(feed(&endless, 999), Err(FeedError::Long)));
+    assert!(matches!(responses(&endless, 999), Err(ResponseError::HeadTooLong)));
     let broken = b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\nzz\r\n";
-    assert!(matches!(feed(broken, 7), Err(FeedError::Http(_))));
-    assert!(matches!(feed(&chunked(&["noise\n"]), 7), Err(FeedError::Json(_))));
-    assert!(matches!(feed(&chunked(&["{\"a\":1]"]), 7), Err(FeedError::Json(_))));
+    assert!(matches!(responses(broken, 7), Err(ResponseError::Http(_))));
+    assert!(matches!(responses(&chunked(&["noise\n"]), 7), Err(ResponseError::Json(_))));
+    assert!(matches!(responses(&chunked(&["{\"a\":1]"]), 7), Err(ResponseError::Json(_))));
 }
 
 /// A whole list in thousands of pieces is read some dozen times at most, and has a limit.
@@ -410,11 +428,11 @@
     let hosts: Vec<String> = (0..5000).map(|n| format!("s-{n}")).collect();
     let hosts: Vec<(&str, &str)> = hosts.iter().map(|h| (h.as_str(), "ready")).collect();
     let long = list_text(9, true, &hosts);
-    let (values, _) = feed(&chunked(&[&long, "\n", &list_text(10, false, &[])]), 100).unwrap();
+    let (values, _) = responses(&chunked(&[&long, "\n", &list_text(10, false, &[])]), 100).unwrap();
     let seqs: Vec<_> = values.iter().map(|v| v["seq"].as_u64().unwrap()).collect();
     assert_eq!((seqs, values[0]["hosts"].as_array().unwrap().len()), (vec![9, 10], 5000));
     let endless = format!("{{\"a\":\"{}", "x".repeat(9 << 20));
-    assert!(matches!(feed(&chunked(&[&endless]), 1 << 16), Err(FeedError::Value)));
+    assert!(matches!(responses(&chunked(&[&endless]), 1 << 16), Err(ResponseError::ValueTooLong)));
 }
 
 #[test]
@@ -438,8 +456,8 @@
 proptest! {
     #[test]
     fn no_bytes_panic(bytes in proptest::collection::vec(any::<u8>(), 0..300), cut in 1usize..40) {
-        let _ = feed(&bytes, cut);
-        let _ = feed(&[&chunked(&["{\"a\":"])[..], &bytes].concat(), cut);
+        let _ = responses(&bytes, cut);
+        let _ = responses(&[&chunked(&["{\"a\":"])[..], &bytes].concat(), cut);
         let _ = answer(&[&b"*3\r\n$1\r\nv\r\n$-1\r\n"[..], &bytes].concat());
         let mut session = Session::new(Arc::new(grammar()));
         bytes.chunks(cut).for_each(|piece| drop(hear(&mut session, piece)));
--- a/crates/platform/tests/recorded_documents.rs
+++ b/crates/platform/tests/recorded_documents.rs
@@ -1,7 +1,8 @@
 //! What the platform and its discovery tell an ingress, as recorded documents: each value arrives where it did before.
 
 use chalkgap_platform::config::Config;
-use chalkgap_platform::list::{List, Roster};
+use chalkgap_platform::endpoint_list::EndpointList;
+use chalkgap_platform::endpoint_set::EndpointSet;
 use std::fmt::Write as _;
 
 #[path = "../../../tests/support/recorded.rs"]
@@ -92,22 +93,22 @@
         rules.max_poll_interval
     )
     .unwrap();
-    let mut roster = Roster::new(terms.zone_names.clone(), terms.machine_kinds.clone());
-    let known: &List = config.known.as_ref().expect("a known list");
-    let (_, lines) = roster.known(1, known);
-    writeln!(text, "known {} whole {}", known.seq, known.whole).unwrap();
+    let mut endpoints = EndpointSet::new(terms.zone_names.clone(), terms.machine_kinds.clone());
+    let known: &EndpointList = config.known.as_ref().expect("a known list");
+    let lines = endpoints.restore_cached(1, known).endpoints;
+    writeln!(text, "known {} whole {}", known.version, known.is_complete).unwrap();
     show_lines(&mut text, &lines);
     recorded::check_text("config.txt", &text);
 }
 
 #[test]
 fn lists_of_backends_are_read_as_recorded() {
-    let mut roster = Roster::new(vec!["bldg-a".into(), "bldg-b".into()], vec!["k".into()]);
+    let mut endpoints = EndpointSet::new(vec!["bldg-a".into(), "bldg-b".into()], vec!["k".into()]);
     let mut text = String::new();
     for name in ["list.json", "changes.json"] {
-        let list: List = serde_json::from_slice(&document(name)).expect("a list");
-        let (_, lines) = roster.take(1_000, &list).expect("it is taken");
-        writeln!(text, "{name}: version {} whole {}", list.seq, list.whole).unwrap();
+        let list: EndpointList = serde_json::from_slice(&document(name)).expect("a list");
+        let lines = endpoints.apply(1_000, &list).expect("it is taken").endpoints;
+        writeln!(text, "{name}: version {} whole {}", list.version, list.is_complete).unwrap();
         show_lines(&mut text, &lines);
     }
     recorded::check_text("lists.txt", &text);
