--- a/crates/platform/src/backend/connection.rs
+++ b/crates/platform/src/backend/connection.rs
@@ -3,7 +3,7 @@
 use super::exchange::Exchange;
 use super::{ConnectionCommand, ConnectionContext};
 use crate::backend_reply::BackendReply;
-use crate::request::Work;
+use crate::request::ForwardedCommand;
 use async_channel::Receiver;
 use bytes::BytesMut;
 use chalkgap::frontend::{AttemptResult, DriverEvent, OutboundAttempt};
@@ -39,7 +39,7 @@
 }
 
 /// Whether the last moment to write an attempt has passed.
-pub(super) fn start_window_closed(attempt: &OutboundAttempt<Work>, now: Micros) -> bool {
+pub(super) fn start_window_closed(attempt: &OutboundAttempt<ForwardedCommand>, now: Micros) -> bool {
     attempt.start_by.is_some_and(|start_by| now > start_by)
 }
 
@@ -74,7 +74,7 @@
 impl Connection {
     /// Waits for the next attempt; none when the driver drops the connection. The stream is closed meanwhile if it becomes
     /// unusable.
-    async fn next_attempt(&mut self) -> Option<Box<OutboundAttempt<Work>>> {
+    async fn next_attempt(&mut self) -> Option<Box<OutboundAttempt<ForwardedCommand>>> {
         loop {
             match future::poll_fn(|cx| self.poll_wakeup(cx)).await {
                 Wakeup::Command(ConnectionCommand::Start(attempt)) => return Some(attempt),
@@ -107,7 +107,7 @@
     }
 
     /// Makes one attempt and reports its end to the driver.
-    async fn run_attempt(&mut self, attempt: &OutboundAttempt<Work>) {
+    async fn run_attempt(&mut self, attempt: &OutboundAttempt<ForwardedCommand>) {
         let started_at = self.context.runtime.now();
         let idle_micros = self.stream.is_some().then(|| started_at.saturating_sub(self.idle_since));
         let reply = self.send_attempt(attempt).await;
@@ -133,7 +133,7 @@
     }
 
     /// Connects if needed, writes the request and reads its reply.
-    async fn send_attempt(&mut self, attempt: &OutboundAttempt<Work>) -> BackendReply {
+    async fn send_attempt(&mut self, attempt: &OutboundAttempt<ForwardedCommand>) -> BackendReply {
         if self.stream.is_none() {
             match self.connect(attempt).await {
                 Connect::Connected(stream) => self.stream = Some(stream),
@@ -149,7 +149,7 @@
             return BackendReply { reusable: true, ..BackendReply::without_value(Outcome::NotSent) };
         }
         let mut request = BytesMut::with_capacity(256);
-        attempt.work.put(&mut request, remaining_micros.div_ceil(1000));
+        attempt.work.encode(&mut request, remaining_micros.div_ceil(1000));
         let Some(stream) = &mut self.stream else {
             return BackendReply::without_value(Outcome::ConnectFailed);
         };
@@ -167,7 +167,7 @@
         }
     }
 
-    async fn connect(&mut self, attempt: &OutboundAttempt<Work>) -> Connect {
+    async fn connect(&mut self, attempt: &OutboundAttempt<ForwardedCommand>) -> Connect {
         let runtime = self.context.runtime.clone();
         let give_up_at = runtime.now() + self.context.settings.connect_timeout;
         let address = self.address;
@@ -189,7 +189,7 @@
     }
 
     /// Returns once the attempt is cancelled or withdrawn, or the driver drops the connection.
-    async fn cancelled(&mut self, attempt: &OutboundAttempt<Work>) {
+    async fn cancelled(&mut self, attempt: &OutboundAttempt<ForwardedCommand>) {
         loop {
             match future::poll_fn(|cx| self.commands.as_mut().poll_next(cx)).await {
                 // For an earlier attempt.
--- a/crates/platform/src/backend/exchange.rs
+++ b/crates/platform/src/backend/exchange.rs
@@ -4,7 +4,7 @@
 use super::{ConnectionCommand, ConnectionContext};
 use crate::backend_reply::{decode_backend_reply, BackendReply};
 use crate::memory_budget::MemoryReservation;
-use crate::request::Work;
+use crate::request::ForwardedCommand;
 use async_channel::Receiver;
 use bytes::{Buf, BytesMut};
 use chalkgap::frontend::OutboundAttempt;
@@ -19,7 +19,7 @@
 /// The state of one exchange.
 pub(super) struct Exchange<'a> {
     context: &'a ConnectionContext,
-    attempt: &'a OutboundAttempt<Work>,
+    attempt: &'a OutboundAttempt<ForwardedCommand>,
     stream: &'a mut Box<dyn Stream>,
     commands: &'a mut Pin<Box<Receiver<ConnectionCommand>>>,
     alarm: &'a mut Alarm,
@@ -33,7 +33,7 @@
 impl<'a> Exchange<'a> {
     pub(super) fn new(
         context: &'a ConnectionContext,
-        attempt: &'a OutboundAttempt<Work>,
+        attempt: &'a OutboundAttempt<ForwardedCommand>,
         request: BytesMut,
         stream: &'a mut Box<dyn Stream>,
         commands: &'a mut Pin<Box<Receiver<ConnectionCommand>>>,
--- a/crates/platform/src/backend/mod.rs
+++ b/crates/platform/src/backend/mod.rs
@@ -7,7 +7,7 @@
 
 use crate::memory_budget::MemoryBudget;
 use crate::pool::{Checkout, Pool};
-use crate::request::Work;
+use crate::request::ForwardedCommand;
 use async_channel::{Receiver, Sender};
 use chalkgap::frontend::{DriverEvent, OutboundAttempt, Upstream};
 use chalkgap_core::{BackendId, RequestId};
@@ -23,7 +23,7 @@
 
 /// What the driver tells a connection's task.
 enum ConnectionCommand {
-    Start(Box<OutboundAttempt<Work>>),
+    Start(Box<OutboundAttempt<ForwardedCommand>>),
     Stop {
         id: RequestId,
         attempt: u16,
@@ -39,7 +39,7 @@
 #[derive(Clone)]
 struct ConnectionContext {
     runtime: Shared,
-    driver: Sender<DriverEvent<Work>>,
+    driver: Sender<DriverEvent<ForwardedCommand>>,
     settings: Arc<BackendSettings>,
 }
 
@@ -77,7 +77,7 @@
     /// No connections yet, and at most `max_connections` later.
     pub fn new(
         runtime: Shared,
-        driver: Sender<DriverEvent<Work>>,
+        driver: Sender<DriverEvent<ForwardedCommand>>,
         settings: BackendSettings,
         max_connections: usize,
         kill: Receiver<()>,
@@ -95,13 +95,13 @@
 }
 
 impl Upstream for BackendConnections {
-    type Work = Work;
+    type Work = ForwardedCommand;
 
     fn start(
         &mut self,
         backend: BackendId,
         address: SocketAddr,
-        attempt: OutboundAttempt<Work>,
+        attempt: OutboundAttempt<ForwardedCommand>,
     ) -> Option<u64> {
         let number = match self.pool.check_out(self.context.runtime.now(), backend, address) {
             Checkout::Reuse(number) => number,
--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -1,19 +1,20 @@
-//! What the platform tells an ingress: a file of JSON, named by `RELAY_CONFIG`.
+//! The configuration that the platform gives an ingress: a JSON file named by `RELAY_CONFIG`.
 
 use crate::endpoint_list::EndpointList;
 use chalkgap_deployment_config::DeploymentConfig;
 use serde::Deserialize;
+use std::io::Read;
 use std::net::SocketAddr;
 use std::path::Path;
 
-/// The variable that names the file.
+/// The environment variable that names the file.
 pub const VARIABLE: &str = "RELAY_CONFIG";
-/// Bytes of a configuration: some ten thousand backends.
-const MOST: u64 = 16 << 20;
-/// The least descriptors that an ingress can do its work with.
-const LEAST_SOCKETS: u64 = 64;
+/// Bytes of a configuration: enough for some ten thousand backends.
+const MAX_CONFIG_BYTES: u64 = 16 << 20;
+/// An ingress cannot work with fewer descriptors.
+const MIN_DESCRIPTORS: u64 = 64;
 
-/// Why a configuration is not taken.
+/// Why a configuration is rejected.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigError {
     /// The variable is not set.
@@ -24,70 +25,100 @@
     Read {
         /// The file.
         path: String,
-        /// The system's word.
+        /// The system's error.
         error: std::io::Error,
     },
-    /// It is not JSON of the platform's form.
+    /// The file is not JSON of the platform's form.
     #[error("{path}: {error}")]
-    Form {
+    Json {
         /// The file.
         path: String,
-        /// Where and what.
+        /// Where, and what was expected.
         error: serde_json::Error,
     },
-    /// A value is not taken.
-    #[error("{path}: {complaint}")]
+    /// A value is not valid.
+    #[error("{path}: {error}")]
     Value {
         /// The file.
         path: String,
-        /// Where and what.
-        complaint: String,
+        /// Which one, and what was expected.
+        error: InvalidValue,
+    },
+}
+
+/// Why a value of the configuration is not valid.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum InvalidValue {
+    /// The file is too long.
+    #[error("expected at most {MAX_CONFIG_BYTES} bytes")]
+    FileLength,
+    /// The seed is no number.
+    #[error("seed: expected 16 hexadecimal digits, found {0:?}")]
+    Seed(String),
+    /// There are too few descriptors.
+    #[error("limits.sockets: expected {MIN_DESCRIPTORS} or more, found {0}")]
+    Descriptors(u64),
+    /// The settings object is not valid; the text names the place.
+    #[error("settings: {0}")]
+    Settings(String),
+    /// The number of peers is not that of the gateways.
+    #[error("peers: expected one for each of {gateways} ingresses, found {found}")]
+    PeerCount {
+        /// How many gateways there are.
+        gateways: usize,
+        /// How many peers are listed.
+        found: usize,
     },
 }
 
 #[derive(Deserialize)]
-struct Limits {
+#[serde(rename = "Limits")]
+struct ResourceLimits {
     memory_mb: f64,
-    sockets: u64,
+    #[serde(rename = "sockets")]
+    descriptors: u64,
 }
 
+/// The file as it is written.
 #[derive(Deserialize)]
-struct Raw {
+#[serde(rename = "Raw")]
+struct ConfigDocument {
     name: String,
     listen: SocketAddr,
     discovery: SocketAddr,
     seed: String,
-    limits: Limits,
+    limits: ResourceLimits,
     peer_listen: Option<SocketAddr>,
     #[serde(default)]
     peers: Vec<SocketAddr>,
-    known: Option<EndpointList>,
+    #[serde(rename = "known")]
+    cached_endpoints: Option<EndpointList>,
     settings: serde_json::Value,
 }
 
-/// A configuration.
+/// A valid configuration.
 #[derive(Clone, Debug)]
 pub struct Config {
     /// The ingress's name.
     pub name: String,
     /// Where clients connect.
     pub listen: SocketAddr,
-    /// Where the list of backends comes from.
+    /// Discovery's address.
     pub discovery: SocketAddr,
-    /// For random numbers; new with each start.
+    /// The seed of random numbers, new with each start.
     pub seed: u64,
-    /// Bytes of memory.
-    pub memory: u64,
-    /// Descriptors.
-    pub sockets: u64,
-    /// Where messages of peers arrive.
+    /// How much memory the process may use.
+    pub memory_bytes: u64,
+    /// How many descriptors the process may use.
+    pub descriptors: u64,
+    /// Where gossip arrives.
     pub peer_listen: Option<SocketAddr>,
-    /// The addresses of all ingresses by their numbers, this one's own included.
+    /// The addresses of all ingresses by their numbers, this one included.
     pub peers: Vec<SocketAddr>,
-    /// The list of backends as this ingress last had it.
-    pub known: Option<EndpointList>,
-    /// What an instance is told.
-    pub terms: DeploymentConfig,
+    /// The endpoints as this ingress last had them.
+    pub cached_endpoints: Option<EndpointList>,
+    /// The settings object.
+    pub deployment: DeploymentConfig,
 }
 
 impl Config {
@@ -105,41 +136,53 @@
     /// # Errors
     /// See [`ConfigError`].
     pub fn read(path: &Path) -> Result<Config, ConfigError> {
-        use std::io::Read;
         let name = path.display().to_string();
         let mut bytes = Vec::new();
-        let read = std::fs::File::open(path).and_then(|f| f.take(MOST + 1).read_to_end(&mut bytes));
+        // One byte more than allowed, so that a longer file is recognised.
+        let read = std::fs::File::open(path)
+            .and_then(|file| file.take(MAX_CONFIG_BYTES + 1).read_to_end(&mut bytes));
         read.map_err(|error| ConfigError::Read { path: name.clone(), error })?;
-        if bytes.len() as u64 > MOST {
-            let complaint = format!("expected at most {MOST} bytes");
-            return Err(ConfigError::Value { path: name, complaint });
+        if bytes.len() as u64 > MAX_CONFIG_BYTES {
+            return Err(ConfigError::Value { path: name, error: InvalidValue::FileLength });
         }
         Config::parse(&name, &bytes)
     }
 
-    /// Reads a file's text; `path` is for complaints.
+    /// Parses the contents of a file; `path` is for error messages.
     ///
     /// # Errors
     /// See [`ConfigError`].
     pub fn parse(path: &str, bytes: &[u8]) -> Result<Config, ConfigError> {
-        let value = |complaint: String| ConfigError::Value { path: path.into(), complaint };
-        let raw: Raw =
-            serde_json::from_slice(bytes).map_err(|error| ConfigError::Form { path: path.into(), error })?;
-        let seed = u64::from_str_radix(&raw.seed, 16)
-            .map_err(|_| value(format!("seed: expected 16 hexadecimal digits, found {:?}", raw.seed)))?;
-        if raw.limits.sockets < LEAST_SOCKETS {
-            let found = raw.limits.sockets;
-            return Err(value(format!("limits.sockets: expected {LEAST_SOCKETS} or more, found {found}")));
+        let document: ConfigDocument = serde_json::from_slice(bytes)
+            .map_err(|error| ConfigError::Json { path: path.to_owned(), error })?;
+        document.validate().map_err(|error| ConfigError::Value { path: path.to_owned(), error })
+    }
+}
+
+impl ConfigDocument {
+    fn validate(self) -> Result<Config, InvalidValue> {
+        let seed = u64::from_str_radix(&self.seed, 16).map_err(|_| InvalidValue::Seed(self.seed))?;
+        if self.limits.descriptors < MIN_DESCRIPTORS {
+            return Err(InvalidValue::Descriptors(self.limits.descriptors));
         }
-        let terms = chalkgap_deployment_config::from_json(&raw.settings)
-            .map_err(|e| value(format!("settings: {e}")))?;
-        let (n, m) = (usize::from(terms.settings.gateways), raw.peers.len());
-        if terms.settings.limits.gossip && raw.peer_listen.is_some() && n != m {
-            return Err(value(format!("peers: expected one for each of {n} ingresses, found {m}")));
+        let deployment = chalkgap_deployment_config::from_json(&self.settings)
+            .map_err(|error| InvalidValue::Settings(error.to_string()))?;
+        let gateways = usize::from(deployment.settings.gateways);
+        let gossips = deployment.settings.limits.gossip && self.peer_listen.is_some();
+        if gossips && gateways != self.peers.len() {
+            return Err(InvalidValue::PeerCount { gateways, found: self.peers.len() });
         }
-        let memory = (raw.limits.memory_mb.max(0.0) * 1e6) as u64;
-        let Raw { name, listen, discovery, limits, peer_listen, peers, known, .. } = raw;
-        let sockets = limits.sockets;
-        Ok(Config { name, listen, discovery, seed, memory, sockets, peer_listen, peers, known, terms })
+        Ok(Config {
+            name: self.name,
+            listen: self.listen,
+            discovery: self.discovery,
+            seed,
+            memory_bytes: (self.limits.memory_mb.max(0.0) * 1e6) as u64,
+            descriptors: self.limits.descriptors,
+            peer_listen: self.peer_listen,
+            peers: self.peers,
+            cached_endpoints: self.cached_endpoints,
+            deployment,
+        })
     }
 }
--- /dev/null
+++ b/crates/platform/src/connection_limits.rs
@@ -0,0 +1,52 @@
+//! How an ingress splits its descriptors, and whom its connection gate admits.
+
+use chalkgap::frontend::ConnectionGateConfig;
+use chalkgap_admission::known::Places;
+use chalkgap_admission::pace::Pace;
+use chalkgap_admission::{Caps, GivesWay, Split};
+use chalkgap_runtime::Micros;
+
+/// Descriptors for the runtime, listeners, discovery and standard streams.
+const OWN_DESCRIPTORS: u64 = 20;
+/// How long a client that has sent no command, or is idle, may stay when descriptors are short.
+const EVICTABLE_AFTER_MICROS: Micros = 50_000;
+
+/// Clients use at most a third of the descriptors for requests, and backends get as many; the rest is for connections that
+/// are idle or never send a request.
+pub(crate) fn descriptor_split(descriptors: u64) -> Split {
+    let spare = (descriptors / 20).max(8);
+    let nodes = descriptors * 35 / 100;
+    let clients = descriptors.saturating_sub(nodes + spare + OWN_DESCRIPTORS);
+    Split { listeners: OWN_DESCRIPTORS, nodes, peers: 0, files: 0, spare, most_clients: clients }
+}
+
+/// All clients come through one proxy, so their addresses do not tell them apart: no limit is by address.
+///
+/// A connection with an open request is never evicted. Of the others the longest idle one is, however short that is: it
+/// costs its client a connection, where a rejected newcomer loses a request.
+pub(crate) fn gate_config(descriptors: u64) -> ConnectionGateConfig {
+    ConnectionGateConfig {
+        split: descriptor_split(descriptors),
+        most: descriptors,
+        caps: Caps {
+            per_address: u32::MAX,
+            per_prefix: u32::MAX,
+            per_second: 1e9,
+            handshakes: u32::MAX / 2,
+            handshakes_per_address: u32::MAX / 2,
+            reserve: 0.0,
+            preferred: 0.0,
+            remembered: 64,
+            words_per_s: 200.0,
+            gives_way: Some(GivesWay {
+                from: descriptors / 4,
+                silent: EVICTABLE_AFTER_MICROS,
+                idle: EVICTABLE_AFTER_MICROS,
+            }),
+        },
+        places: Places { most: 64, per_account: 4, lasts: 60_000_000 },
+        named: Vec::new(),
+        snapshot: None,
+        pace: Pace { patience: 2_000_000, bytes_per_s: 1 },
+    }
+}
--- a/crates/platform/src/discovery/mod.rs
+++ b/crates/platform/src/discovery/mod.rs
@@ -13,7 +13,7 @@
 
 use crate::endpoint_list::EndpointList;
 use crate::endpoint_set::{EndpointChange, EndpointSet};
-use crate::request::Work;
+use crate::request::ForwardedCommand;
 use async_channel::{Receiver, Sender};
 use backoff::{Backoff, FirstRequest};
 use call::DiscoveryCall;
@@ -43,7 +43,7 @@
     /// Timeouts of its requests.
     pub timeouts: DiscoveryTimeouts,
     /// Gets the changes.
-    pub driver: Sender<DriverEvent<Work>>,
+    pub driver: Sender<DriverEvent<ForwardedCommand>>,
     /// Closed when the first list has been applied.
     pub first_list: Sender<()>,
 }
--- /dev/null
+++ b/crates/platform/src/frontend.rs
@@ -0,0 +1,107 @@
+//! The platform's frontend: serves the connections that were admitted, and answers those that were not.
+
+use crate::client_connection::ClientConnection;
+use crate::request::{ForwardedCommand, Request};
+use crate::request_parser::RequestParser;
+use async_channel::Sender;
+use chalkgap::frontend::{Customer, DriverEvent, Frontend, PendingRequest, Permit, Response};
+use chalkgap::telemetry::Telemetry;
+use chalkgap_core::{CustomerId, RequestId};
+use chalkgap_runtime::{BoxFuture, Micros, Shared, Stream};
+use chalkgap_transport::linger;
+use futures_lite::{future, AsyncWriteExt};
+use std::collections::HashSet;
+use std::sync::atomic::{AtomicU64, Ordering};
+use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
+
+/// How long a client may take to close its side of a connection that is being closed.
+pub(crate) const LINGER_MICROS: Micros = 300_000;
+/// For the way back: an answer must reach the client by its deadline.
+const DEADLINE_MARGIN_MICROS: Micros = 4_000;
+
+/// What all client connections share.
+#[derive(Clone)]
+pub struct FrontendContext {
+    pub runtime: Shared,
+    pub telemetry: Arc<Telemetry>,
+    pub driver: Sender<DriverEvent<ForwardedCommand>>,
+    pub parser: Arc<RequestParser>,
+    /// Gateway-wide numbers of requests: clients may use an id again, and timers of its earlier request must not meet it.
+    pub next_request_id: Arc<AtomicU64>,
+    /// Clients' ids of the requests that are open.
+    pub open_ids: Arc<Mutex<HashSet<u64>>>,
+    /// When pending requests are answered as failed, as the process is about to be killed; 0 before the shutdown.
+    pub fail_pending_at: Arc<AtomicU64>,
+}
+
+impl FrontendContext {
+    pub(crate) fn open_ids(&self) -> MutexGuard<'_, HashSet<u64>> {
+        self.open_ids.lock().unwrap_or_else(PoisonError::into_inner)
+    }
+
+    /// The request as the driver takes it; its answer comes with `token`.
+    pub(crate) fn pending_request(
+        &self,
+        token: u32,
+        request: Request,
+        response_sender: Sender<Response>,
+    ) -> PendingRequest<ForwardedCommand> {
+        let customer = Customer {
+            id: CustomerId(request.customer),
+            plan: request.plan,
+            first: request.first_ingress,
+            width: request.spread,
+        };
+        let deadline = self.runtime.now() + request.timeout.saturating_sub(DEADLINE_MARGIN_MICROS);
+        PendingRequest {
+            id: RequestId(self.next_request_id.fetch_add(1, Ordering::Relaxed)),
+            class: request.class,
+            account: String::new(),
+            customer,
+            units: request.units,
+            deadline,
+            work: request.command,
+            response_sender,
+            token,
+        }
+    }
+}
+
+/// The frontend for clients that speak the platform's protocol.
+#[derive(Clone)]
+pub struct RespFrontend;
+
+impl Frontend for RespFrontend {
+    type Context = FrontendContext;
+
+    fn serve(
+        &self,
+        context: FrontendContext,
+        stream: Box<dyn Stream>,
+        permit: Permit,
+    ) -> BoxFuture<'static, ()> {
+        Box::pin(async move { ClientConnection::serve(context, stream, permit).await })
+    }
+
+    fn refuse(
+        &self,
+        runtime: Shared,
+        mut stream: Box<dyn Stream>,
+        retry_after: Micros,
+    ) -> BoxFuture<'static, ()> {
+        Box::pin(async move {
+            let reject = async {
+                // No request of the connection is forwarded, so retrying is harmless. Whether the client reads this or not,
+                // the connection is closed.
+                let text = match retry_after {
+                    0 => "-BUSY\r\n".to_owned(),
+                    retry_after => format!("-BUSY {}\r\n", retry_after.div_ceil(1000)),
+                };
+                if stream.write_all(text.as_bytes()).await.is_ok() {
+                    future::poll_fn(|cx| linger(&mut *stream, cx)).await;
+                }
+            };
+            future::or(reject, runtime.sleep_until(runtime.now() + LINGER_MICROS)).await;
+        })
+    }
+}
--- a/crates/platform/src/ingress.rs
+++ b/crates/platform/src/ingress.rs
@@ -1,40 +1,40 @@
-//! An ingress of the platform: its parts put together, and the handle to it.
+//! An ingress of the platform: starts its parts, and is the handle to them.
 
 use crate::backend::{BackendConnections, BackendSettings};
 use crate::config::Config;
+use crate::connection_limits::{descriptor_split, gate_config};
 use crate::discovery::{DiscoveryFollower, DiscoveryTimeouts};
 use crate::endpoint_set::{EndpointChange, EndpointSet};
-use crate::front::{FrontendContext, Resp};
+use crate::frontend::{FrontendContext, RespFrontend};
+use crate::gossip::{self, OutgoingGossip};
 use crate::memory_budget::MemoryBudget;
-use crate::peers;
-use crate::request::Grammar;
+use crate::request::ForwardedCommand;
+use crate::request_parser::RequestParser;
 use crate::shutdown::ShutdownTimeouts;
 use async_channel::{Receiver, Sender};
-use chalkgap::frontend::{
-    listen, Acceptor, ConnectionGate, ConnectionGateConfig, Driver, DriverEvent, DriverLimits,
-};
+use chalkgap::frontend::{listen, Acceptor, ConnectionGate, Driver, DriverEvent, DriverLimits};
 use chalkgap::telemetry::{Counts, Telemetry};
-use chalkgap_admission::known::Places;
-use chalkgap_admission::pace::Pace;
-use chalkgap_admission::{BudgetError, Caps, GivesWay, Split};
+use chalkgap_admission::BudgetError;
 use chalkgap_core::Gateway;
-use chalkgap_runtime::{Datagrams, Micros, Shared};
+use chalkgap_runtime::{BoxFuture, Datagrams, Micros, Shared};
 use chalkgap_transport::while_alive;
+use futures_lite::future;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering};
 use std::sync::Arc;
 
-/// Inputs that may wait for the driver: beyond these, connections wait.
-const ROOM: usize = 1024;
+/// Events that may await the driver; connections wait beyond that.
+const DRIVER_QUEUE: usize = 1024;
 /// Messages that may wait to be sent to peers.
-const PEER_ROOM: usize = 256;
-/// How long the first list of discovery may keep clients waiting.
-const FIRST_LIST: Micros = 500_000;
-/// The part of the memory that answers of backends may take while they come in: 1 by this. They are held once more on
-/// their way out.
-const ANSWERS: u64 = 5;
-/// Descriptors that a runtime, listeners, discovery and standard streams need.
-const OWN: u64 = 20;
+const GOSSIP_QUEUE: usize = 256;
+/// Changes of discovery's address that may wait.
+const ADDRESS_QUEUE: usize = 4;
+/// How long an ingress waits for discovery's first list before it accepts clients.
+const FIRST_LIST_TIMEOUT_MICROS: Micros = 500_000;
+/// Arriving replies may take one part of the memory in so many. They are held a second time on their way out.
+const REPLY_MEMORY_DIVISOR: u64 = 5;
+/// How often a shutdown checks whether all connections have been closed.
+const DRAIN_CHECK_MICROS: Micros = 5000;
 
 /// Why an ingress does not start.
 #[derive(Debug, thiserror::Error)]
@@ -42,186 +42,107 @@
     /// An address cannot be bound.
     #[error("{what}: {address} cannot be bound: {error}")]
     Bind {
-        /// What for.
+        /// The configuration's key.
         what: &'static str,
         /// The address.
         address: SocketAddr,
-        /// The system's word.
+        /// The system's error.
         error: std::io::Error,
     },
-    /// Too few descriptors.
+    /// There are too few descriptors.
     #[error("limits.sockets: {0}")]
     Sockets(#[from] BudgetError),
 }
 
-/// A running ingress. Dropped, it is killed.
+/// A running ingress. Dropping it ends all its tasks.
 pub struct Ingress {
     runtime: Shared,
     address: SocketAddr,
     telemetry: Arc<Telemetry>,
-    open: Arc<AtomicUsize>,
+    /// How many clients are being served.
+    open_connections: Arc<AtomicUsize>,
     gate: Arc<ConnectionGate>,
-    moves: Sender<SocketAddr>,
+    discovery_addresses: Sender<SocketAddr>,
     shutdown: ShutdownTimeouts,
-    overtime: Arc<AtomicU64>,
-    drain: Option<Sender<()>>,
+    fail_pending_at: Arc<AtomicU64>,
+    /// Dropped to close the listener.
+    accept: Option<Sender<()>>,
     _kill: Sender<()>,
 }
 
-/// How descriptors are split: clients hold a third at most for requests, and backends get as many; all else is for
-/// connections that are kept, or never ask anything.
-fn split(sockets: u64) -> Split {
-    let spare = (sockets / 20).max(8);
-    let nodes = sockets * 35 / 100;
-    let clients = sockets.saturating_sub(nodes + spare + OWN);
-    Split { listeners: OWN, nodes, peers: 0, files: 0, spare, most_clients: clients }
+/// What the parts of a starting ingress have in common.
+struct Startup {
+    config: Config,
+    runtime: Shared,
+    telemetry: Arc<Telemetry>,
+    driver: Sender<DriverEvent<ForwardedCommand>>,
+    /// Closed when the ingress is dropped.
+    killed: Receiver<()>,
+}
+
+/// Where the endpoints came from with which an ingress began to accept clients.
+#[derive(Clone, Copy)]
+enum FirstEndpoints {
+    Discovery,
+    Cached,
 }
 
-fn gate(sockets: u64) -> ConnectionGateConfig {
-    ConnectionGateConfig {
-        split: split(sockets),
-        most: sockets,
-        // All clients come by one front, from addresses that say nothing: nobody is told apart by them.
-        caps: Caps {
-            per_address: u32::MAX,
-            per_prefix: u32::MAX,
-            per_second: 1e9,
-            handshakes: u32::MAX / 2,
-            handshakes_per_address: u32::MAX / 2,
-            reserve: 0.0,
-            preferred: 0.0,
-            remembered: 64,
-            words_per_s: 200.0,
-            // Whoever has an open request stays. Of the rest the longest idle goes, however short that is: it costs its
-            // client a connection, where a newcomer that is refused loses a request.
-            gives_way: Some(GivesWay { from: sockets / 4, silent: 50_000, idle: 50_000 }),
-        },
-        places: Places { most: 64, per_account: 4, lasts: 60_000_000 },
-        named: Vec::new(),
-        snapshot: None,
-        pace: Pace { patience: 2_000_000, bytes_per_s: 1 },
+impl FirstEndpoints {
+    fn as_str(self) -> &'static str {
+        match self {
+            FirstEndpoints::Discovery => "discovery",
+            FirstEndpoints::Cached => "cached",
+        }
     }
 }
 
 impl Ingress {
-    /// Starts an ingress: binds its sockets, takes the list that it knew, and serves.
+    /// Starts an ingress: binds its sockets, applies the cached endpoints, waits a moment for discovery, and serves.
     ///
     /// # Errors
     /// See [`StartError`]; nothing runs then.
     pub async fn start(config: Config, runtime: Shared) -> Result<Ingress, StartError> {
-        let terms = Arc::new(config.terms.clone());
-        let bind = |what, address, error| StartError::Bind { what, address, error };
         let telemetry = Arc::new(Telemetry::default());
-        let gate = ConnectionGate::new(runtime.clone(), gate(config.sockets), telemetry.clone())?;
-        let socket: Option<Arc<dyn Datagrams>> =
-            match config.peer_listen.filter(|_| terms.settings.limits.gossip) {
-                None => None,
-                Some(at) => Some(Arc::from(runtime.datagrams(at).map_err(|e| bind("peer_listen", at, e))?)),
-            };
-        let (driver, input) = async_channel::bounded(ROOM);
-        let (drain, drained) = async_channel::bounded(1);
+        let gate_config = gate_config(config.descriptors);
+        let gate = ConnectionGate::new(runtime.clone(), gate_config, telemetry.clone())?;
+        let gossip_socket = bind_gossip(&config, &runtime)?;
+        let (driver, events) = async_channel::bounded(DRIVER_QUEUE);
+        let (accept, drained) = async_channel::bounded(1);
         let (kill, killed) = async_channel::bounded(1);
-        let (moves, moved) = async_channel::bounded(4);
-        let start = |task| spawn(&runtime, &killed, task);
+        let (discovery_addresses, new_addresses) = async_channel::bounded(ADDRESS_QUEUE);
+        let startup = Startup { config, runtime, telemetry, driver, killed };
 
-        let mut told = None;
-        if let Some(socket) = socket {
-            let (tell, messages) = async_channel::bounded(PEER_ROOM);
-            told = Some(tell);
-            start(Box::pin(peers::tell(socket.clone(), config.peers.clone(), messages)));
-            let per_second = terms.settings.limits.gossip_receive_rate;
-            let (runtime, telemetry) = (runtime.clone(), telemetry.clone());
-            let hear =
-                peers::hear(runtime, socket, config.peers.clone(), per_second, telemetry, driver.clone());
-            start(Box::pin(hear));
-        }
+        let outgoing_gossip = gossip_socket.map(|socket| startup.start_gossip(socket));
+        let endpoints = startup.start_driver(events, outgoing_gossip);
+        let first_list = startup.start_discovery(endpoints, new_addresses);
+        // Clients arrive as soon as it listens: it does so with current endpoints if discovery has them at once.
+        let first_endpoints = startup.await_first_list(first_list).await;
 
-        let connections = BackendConnections::new(
-            runtime.clone(),
-            driver.clone(),
-            BackendSettings {
-                load_report_fields: terms.load_report_fields.clone(),
-                connect_timeout: terms.connect_timeout,
-                // Well before the backend does it: a request that crosses its closing may have run.
-                idle_timeout: terms.keepalive * 6 / 10,
-                reply_memory: MemoryBudget::new((config.memory / ANSWERS) as usize),
-            },
-            split(config.sockets).nodes as usize,
-            killed.clone(),
-        );
-        let limits = &terms.settings.limits;
-        let figures = DriverLimits {
-            gateway_count: terms.settings.gateways,
-            self_id: terms.settings.self_id.0,
-            max_in_flight: limits.max_in_flight as usize,
-            rejection_retry_after: if limits.retry_after { limits.max_retry_after } else { 0 },
-        };
-        let core = Gateway::new(terms.settings.clone(), config.seed, runtime.now());
-        let main =
-            Driver::new(runtime.clone(), figures, telemetry.clone(), core, connections, input).telling(told);
-        let mut endpoint_set = EndpointSet::new(terms.zone_names.clone(), terms.machine_kinds.clone());
-        if let Some(list) = &config.known {
-            let EndpointChange { update, endpoints } = endpoint_set.restore_cached(runtime.now(), list);
-            let _ = driver.try_send(DriverEvent::Endpoints { update, endpoints });
-            // the channel is new and empty
-        }
-        start(Box::pin(main.run()));
-        let (first, listed) = async_channel::bounded::<()>(1);
-        let follower = DiscoveryFollower {
-            runtime: runtime.clone(),
-            endpoints: endpoint_set,
-            address: config.discovery,
-            timeouts: DiscoveryTimeouts::new(terms.settings.rules.drain_grace, terms.settings.discovery),
-            driver: driver.clone(),
-            first_list: first,
-        };
-        start(Box::pin(follower.run(moved)));
-        // Clients come as soon as it listens: it does so with a list that is not old, if one is to be had at once.
-        let patience = runtime.sleep_until(runtime.now() + FIRST_LIST);
-        let fresh = async {
-            let _ = listed.recv().await;
-            true
-        };
-        let late = async {
-            patience.await;
-            false
-        };
-        let list = if futures_lite::future::or(fresh, late).await { "discovery's" } else { "known" };
-
-        let listener = runtime.listen(config.listen).map_err(|e| bind("listen", config.listen, e))?;
-        let address = listener.address();
-        let (open, overtime) = (Arc::new(AtomicUsize::new(0)), Arc::new(AtomicU64::new(0)));
-        let longest = terms.settings.classes.iter().map(|c| c.deadline).max();
+        let open_connections = Arc::new(AtomicUsize::new(0));
+        let fail_pending_at = Arc::new(AtomicU64::new(0));
         let acceptor = Acceptor {
-            runtime: runtime.clone(),
-            telemetry: telemetry.clone(),
+            runtime: startup.runtime.clone(),
+            telemetry: startup.telemetry.clone(),
             drain: drained,
-            kill: killed.clone(),
-            open: open.clone(),
+            kill: startup.killed.clone(),
+            open: open_connections.clone(),
             gate: gate.clone(),
         };
-        let context = FrontendContext {
-            runtime: runtime.clone(),
-            telemetry: telemetry.clone(),
-            driver,
-            grammar: Arc::new(Grammar::new(&terms)),
-            ids: Arc::new(AtomicU64::new(1)),
-            open: Arc::default(),
-            overtime: overtime.clone(),
-        };
-        start(Box::pin(gate.clone().watch()));
-        start(Box::pin(listen(Resp, context, acceptor, listener)));
-        tracing::info!(ingress = config.name, list, %address, "started");
+        let address = startup.start_frontend(acceptor, fail_pending_at.clone())?;
+        let Startup { config, runtime, telemetry, .. } = startup;
+        // The address is last: tests of the command read it up to the end of the line.
+        tracing::info!(ingress = config.name, endpoints = first_endpoints.as_str(), %address, "started");
+        let longest_deadline = config.deployment.settings.classes.iter().map(|class| class.deadline).max();
         Ok(Ingress {
             runtime,
             address,
             telemetry,
-            open,
+            open_connections,
             gate,
-            moves,
-            shutdown: ShutdownTimeouts::new(longest.unwrap_or_default()),
-            overtime,
-            drain: Some(drain),
+            discovery_addresses,
+            shutdown: ShutdownTimeouts::new(longest_deadline.unwrap_or_default()),
+            fail_pending_at,
+            accept: Some(accept),
             _kill: kill,
         })
     }
@@ -236,31 +157,163 @@
         self.telemetry.counts()
     }
 
-    /// How many of clients' connections are open.
+    /// How many connections of clients are open.
     pub fn open(&self) -> usize {
         self.gate.open()
     }
 
-    /// Takes a new configuration: discovery's address. All else is for the next start.
+    /// Applies a new configuration: discovery's address now, the rest with the next start.
     pub fn reload(&self, config: &Config) {
-        let _ = self.moves.try_send(config.discovery); // full: a later one follows
+        // If the queue is full, a later change follows.
+        let _ = self.discovery_addresses.try_send(config.discovery);
     }
 
-    /// Ends in order: clients are taken a little longer, then connections are closed between requests, what was taken is
-    /// answered, at the latest when the process is about to be killed.
+    /// Shuts down gracefully: clients are accepted for a moment longer, then connections are closed between requests, and
+    /// all requests are answered, at the latest when the process is about to be killed.
     pub async fn drain(&mut self) {
         let now = self.runtime.now();
-        self.overtime.store(now + self.shutdown.fail_pending, Ordering::Relaxed);
+        self.fail_pending_at.store(now + self.shutdown.fail_pending, Ordering::Relaxed);
         self.runtime.sleep_until(now + self.shutdown.accept).await;
-        self.drain = None;
+        self.accept = None;
         self.gate.drain();
-        let until = now + self.shutdown.exit;
-        while self.open.load(Ordering::Relaxed) > 0 && self.runtime.now() < until {
-            self.runtime.sleep_until(self.runtime.now() + 5000).await;
+        let exit_at = now + self.shutdown.exit;
+        while self.open_connections.load(Ordering::Relaxed) > 0 && self.runtime.now() < exit_at {
+            self.runtime.sleep_until(self.runtime.now() + DRAIN_CHECK_MICROS).await;
         }
     }
 }
 
-fn spawn(runtime: &Shared, killed: &Receiver<()>, task: chalkgap_runtime::BoxFuture<'static, ()>) {
-    runtime.spawn(Box::pin(while_alive(killed.clone(), task))).detach();
+fn bind_gossip(config: &Config, runtime: &Shared) -> Result<Option<Arc<dyn Datagrams>>, StartError> {
+    if !config.deployment.settings.limits.gossip {
+        return Ok(None);
+    }
+    let Some(address) = config.peer_listen else { return Ok(None) };
+    match runtime.datagrams(address) {
+        Ok(socket) => Ok(Some(Arc::from(socket))),
+        Err(error) => Err(StartError::Bind { what: "peer_listen", address, error }),
+    }
+}
+
+impl Startup {
+    fn spawn(&self, task: BoxFuture<'static, ()>) {
+        self.runtime.spawn(Box::pin(while_alive(self.killed.clone(), task))).detach();
+    }
+
+    /// Starts sending and receiving gossip; returns the channel of messages to send.
+    fn start_gossip(&self, socket: Arc<dyn Datagrams>) -> Sender<OutgoingGossip> {
+        let peers = &self.config.peers;
+        let (outgoing, messages) = async_channel::bounded(GOSSIP_QUEUE);
+        self.spawn(Box::pin(gossip::send(socket.clone(), peers.clone(), messages)));
+        let receive = gossip::receive(
+            self.runtime.clone(),
+            socket,
+            peers.clone(),
+            self.config.deployment.settings.limits.gossip_receive_rate,
+            self.telemetry.clone(),
+            self.driver.clone(),
+        );
+        self.spawn(Box::pin(receive));
+        outgoing
+    }
+
+    /// Starts the driver, with the cached endpoints as its first event; returns the endpoints.
+    fn start_driver(
+        &self,
+        events: Receiver<DriverEvent<ForwardedCommand>>,
+        outgoing_gossip: Option<Sender<OutgoingGossip>>,
+    ) -> EndpointSet {
+        let deployment = &self.config.deployment;
+        let limits = &deployment.settings.limits;
+        let driver_limits = DriverLimits {
+            gateway_count: deployment.settings.gateways,
+            self_id: deployment.settings.self_id.0,
+            max_in_flight: limits.max_in_flight as usize,
+            rejection_retry_after: if limits.retry_after { limits.max_retry_after } else { 0 },
+        };
+        let connections = self.backend_connections();
+        let core = Gateway::new(deployment.settings.clone(), self.config.seed, self.runtime.now());
+        let telemetry = self.telemetry.clone();
+        let driver = Driver::new(self.runtime.clone(), driver_limits, telemetry, core, connections, events);
+        let driver = driver.telling(outgoing_gossip);
+        let mut endpoint_set =
+            EndpointSet::new(deployment.zone_names.clone(), deployment.machine_kinds.clone());
+        if let Some(list) = &self.config.cached_endpoints {
+            let EndpointChange { update, endpoints } = endpoint_set.restore_cached(self.runtime.now(), list);
+            // Cannot fail: the channel is new and empty.
+            let _ = self.driver.try_send(DriverEvent::Endpoints { update, endpoints });
+        }
+        self.spawn(Box::pin(driver.run()));
+        endpoint_set
+    }
+
+    fn backend_connections(&self) -> BackendConnections {
+        let deployment = &self.config.deployment;
+        let settings = BackendSettings {
+            load_report_fields: deployment.load_report_fields.clone(),
+            connect_timeout: deployment.connect_timeout,
+            // Well before the backend closes it: a request that crosses its closing may have run.
+            idle_timeout: deployment.keepalive * 6 / 10,
+            reply_memory: MemoryBudget::new((self.config.memory_bytes / REPLY_MEMORY_DIVISOR) as usize),
+        };
+        let max_connections = descriptor_split(self.config.descriptors).nodes as usize;
+        let runtime = self.runtime.clone();
+        BackendConnections::new(runtime, self.driver.clone(), settings, max_connections, self.killed.clone())
+    }
+
+    /// Starts to follow discovery; the returned channel is closed when the first list has been applied.
+    fn start_discovery(&self, endpoints: EndpointSet, new_addresses: Receiver<SocketAddr>) -> Receiver<()> {
+        let settings = &self.config.deployment.settings;
+        let (first_list, first_list_applied) = async_channel::bounded::<()>(1);
+        let follower = DiscoveryFollower {
+            runtime: self.runtime.clone(),
+            endpoints,
+            address: self.config.discovery,
+            timeouts: DiscoveryTimeouts::new(settings.rules.drain_grace, settings.discovery),
+            driver: self.driver.clone(),
+            first_list,
+        };
+        self.spawn(Box::pin(follower.run(new_addresses)));
+        first_list_applied
+    }
+
+    async fn await_first_list(&self, first_list_applied: Receiver<()>) -> FirstEndpoints {
+        let timeout = self.runtime.sleep_until(self.runtime.now() + FIRST_LIST_TIMEOUT_MICROS);
+        let applied = async {
+            // Nothing is ever sent: this ends when the channel is closed.
+            let _ = first_list_applied.recv().await;
+            FirstEndpoints::Discovery
+        };
+        let timed_out = async {
+            timeout.await;
+            FirstEndpoints::Cached
+        };
+        future::or(applied, timed_out).await
+    }
+
+    /// Starts to accept clients; returns the bound address.
+    fn start_frontend(
+        &self,
+        acceptor: Acceptor,
+        fail_pending_at: Arc<AtomicU64>,
+    ) -> Result<SocketAddr, StartError> {
+        let address = self.config.listen;
+        let listener = self.runtime.listen(address).map_err(|error| StartError::Bind {
+            what: "listen",
+            address,
+            error,
+        })?;
+        let address = listener.address();
+        let context = FrontendContext {
+            runtime: self.runtime.clone(),
+            telemetry: self.telemetry.clone(),
+            driver: self.driver.clone(),
+            parser: Arc::new(RequestParser::new(&self.config.deployment)),
+            next_request_id: Arc::new(AtomicU64::new(1)),
+            open_ids: Arc::default(),
+            fail_pending_at,
+        };
+        self.spawn(Box::pin(acceptor.gate.clone().watch()));
+        self.spawn(Box::pin(listen(RespFrontend, context, acceptor, listener)));
+        Ok(address)
+    }
 }
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -1,31 +1,31 @@
-//! The users' platform: an ingress that speaks its protocol (RESP2 over TCP), takes its configuration, follows its
-//! discovery and obeys its signals. It is one more way in and out of the gateway: the driver, the gate and the module
-//! are the same, and every decision on requests is the module's.
+//! An ingress for the users' platform: it speaks the platform's protocol (RESP2 over TCP), reads its configuration, follows
+//! its discovery and obeys its signals. The driver, the connection gate and the core are those of the gateway; all
+//! decisions on requests are the core's.
 //!
+//! - [`Ingress`]: all parts, running
 //! - [`config`]: what the platform tells an ingress
-//! - [`list`]: the list of backends, and which of it is taken
-//! - [`feed`]: one call to discovery, and the values of its answer
-//! - [`discovery`]: follows it, within stated waits
-//! - [`request`]: a client's command
-//! - [`session`]: a client's connection
-//! - [`backend_reply`]: a backend's reply
-//! - [`ending`]: when an ingress that was told to end does what
-//! - [`pool`]: which connection an attempt goes by
-//! - [`Ingress`]: all of it, running
+//! - [`session`], [`request`], [`request_parser`]: a client's connection and its commands
+//! - [`pool`], [`backend_reply`], [`memory_budget`]: connections to backends and what arrives on them
+//! - [`discovery`], [`discovery_client`]: follows the list of backends
+//! - [`endpoint_list`], [`endpoint_set`]: the list, and which of its versions are applied
+//! - [`shutdown`]: the timetable of a graceful shutdown
 
 mod backend;
 pub mod backend_reply;
+mod client_connection;
 pub mod config;
+mod connection_limits;
 pub mod discovery;
 pub mod discovery_client;
 pub mod endpoint_list;
 pub mod endpoint_set;
-mod front;
+mod frontend;
+mod gossip;
 mod ingress;
 pub mod memory_budget;
-mod peers;
 pub mod pool;
 pub mod request;
+pub mod request_parser;
 pub mod session;
 pub mod shutdown;
 mod stale_connections;
--- a/crates/platform/src/session.rs
+++ b/crates/platform/src/session.rs
@@ -1,7 +1,8 @@
 //! The state machine of one client connection, free of I/O: bytes go in, requests come out, and replies are written in
 //! the order of their commands.
 
-use crate::request::{Grammar, Invalid, Request};
+use crate::request::{InvalidRequest, Request};
+use crate::request_parser::RequestParser;
 use bytes::{Bytes, BytesMut};
 use chalkgap::frontend::Answer;
 use chalkgap_core::Micros;
@@ -41,7 +42,7 @@
 
 /// The state of a client connection.
 pub struct Session {
-    grammar: Arc<Grammar>,
+    parser: Arc<RequestParser>,
     input: BytesMut,
     output: BytesMut,
     /// Replies that are owed; the first one has the token `first_token`.
@@ -84,9 +85,9 @@
 
 impl Session {
     /// The state of a new connection.
-    pub fn new(grammar: Arc<Grammar>) -> Self {
+    pub fn new(parser: Arc<RequestParser>) -> Self {
         Session {
-            grammar,
+            parser,
             input: BytesMut::new(),
             output: BytesMut::new(),
             slots: VecDeque::new(),
@@ -115,10 +116,14 @@
                 continue;
             }
             let token = self.first_token.wrapping_add(self.slots.len() as u32);
-            let parsed = self.grammar.read(command);
-            match parsed
-                .and_then(|request| if reserve_id(request.id) { Ok(request) } else { Err(Invalid::Open) })
-            {
+            let parsed = self.parser.parse(command);
+            match parsed.and_then(|request| {
+                if reserve_id(request.id) {
+                    Ok(request)
+                } else {
+                    Err(InvalidRequest::DuplicateId)
+                }
+            }) {
                 Ok(request) => {
                     self.slots.push_back(ReplySlot::Pending(request.id));
                     return Some(IncomingRequest { token, request });
--- a/crates/platform/tests/discovery.rs
+++ b/crates/platform/tests/discovery.rs
@@ -7,7 +7,7 @@
 use chalkgap_platform::discovery::{DiscoveryFollower, DiscoveryTimeouts};
 use chalkgap_platform::endpoint_list::backend_id;
 use chalkgap_platform::endpoint_set::EndpointSet;
-use chalkgap_platform::request::Work;
+use chalkgap_platform::request::ForwardedCommand;
 use chalkgap_runtime::simulated_runtime::{address, Power, World};
 use chalkgap_runtime::{Micros, Runtime, Shared, Stream};
 use futures_lite::{future, AsyncReadExt, AsyncWriteExt};
@@ -142,7 +142,7 @@
     no: u32,
     mode: Discovery,
     at: SocketAddr,
-) -> (Shared, Power, Sender<SocketAddr>, Receiver<DriverEvent<Work>>) {
+) -> (Shared, Power, Sender<SocketAddr>, Receiver<DriverEvent<ForwardedCommand>>) {
     let (host, power) = world.host(no, 0);
     let runtime: Shared = host;
     let (moves, moved) = async_channel::bounded(4);
@@ -168,7 +168,7 @@
     agents: Vec<(Handle, SocketAddr)>,
     others: Vec<Sender<SocketAddr>>,
     moves: Sender<SocketAddr>,
-    input: Receiver<DriverEvent<Work>>,
+    input: Receiver<DriverEvent<ForwardedCommand>>,
     power: Vec<Power>,
 }
 
@@ -209,7 +209,7 @@
     }
 
     /// One more that follows the same agent, where lists are asked for.
-    fn further(&mut self, no: u32) -> Receiver<DriverEvent<Work>> {
+    fn further(&mut self, no: u32) -> Receiver<DriverEvent<ForwardedCommand>> {
         let (_, power, moves, input) = follower(&self.world, no, Discovery::Poll, self.agents[0].1);
         self.power.push(power);
         self.others.push(moves);
--- a/crates/platform/tests/machines.rs
+++ b/crates/platform/tests/machines.rs
@@ -1,4 +1,4 @@
-//! The platform's machines without a socket: grammar, session, answers, pool, endpoint lists, discovery's responses.
+//! The platform's machines without a socket: request parser, session, answers, pool, endpoint lists, discovery's responses.
 
 use bytes::{Bytes, BytesMut};
 use chalkgap::frontend::Answer;
@@ -9,7 +9,8 @@
 use chalkgap_platform::endpoint_set::{EndpointChange, EndpointSet};
 use chalkgap_platform::memory_budget::MemoryBudget;
 use chalkgap_platform::pool::{Checkout, Pool};
-use chalkgap_platform::request::{Grammar, Invalid};
+use chalkgap_platform::request::InvalidRequest;
+use chalkgap_platform::request_parser::RequestParser;
 use chalkgap_platform::session::{Session, MAX_PENDING_COMMANDS};
 use chalkgap_platform::shutdown::ShutdownTimeouts;
 use chalkgap_platform::Config;
@@ -26,9 +27,9 @@
 const CUSTOMER: &str = "00000000b4d65521";
 const ID: &str = "9b1f03aa5c7e2d41";
 
-fn grammar() -> Grammar {
+fn parser() -> RequestParser {
     let config = Config::parse("test", common::config(3, 0, &[]).as_bytes()).unwrap();
-    Grammar::new(&config.terms)
+    RequestParser::new(&config.deployment)
 }
 
 fn words(list: &[&str]) -> Command {
@@ -43,53 +44,60 @@
 
 #[test]
 fn requests_are_read_and_sent_on_with_the_time_that_is_left() {
-    let request = grammar().read(words(&["SVC.QUERY", CUSTOMER, ID, QUERY])).unwrap();
+    let request = parser().parse(words(&["SVC.QUERY", CUSTOMER, ID, QUERY])).unwrap();
     assert_eq!((request.customer, request.id), (0xb4d6_5521, 0x9b1f_03aa_5c7e_2d41));
-    assert_eq!((request.class, request.plan, request.wait), (0, 1, 480_000));
-    assert_eq!((request.units, request.width, request.first), (2.0, 3.0, 1.0));
+    assert_eq!((request.class, request.plan, request.timeout), (0, 1, 480_000));
+    assert_eq!((request.units, request.spread, request.first_ingress), (2.0, 3.0, 1.0));
     let mut out = BytesMut::new();
-    request.work.put(&mut out, 77);
+    request.command.encode(&mut out, 77);
     assert_eq!(out, written(&["SVC.QUERY", CUSTOMER, ID, &QUERY.replace("d=480", "d=77")]));
-    let request = grammar().read(words(&["SVC.SUBMIT", CUSTOMER, ID, SUBMIT, "body"])).unwrap();
+    let request = parser().parse(words(&["SVC.SUBMIT", CUSTOMER, ID, SUBMIT, "body"])).unwrap();
     let mut out = BytesMut::new();
-    request.work.put(&mut out, 12_345);
+    request.command.encode(&mut out, 12_345);
     assert_eq!(out, written(&["SVC.SUBMIT", CUSTOMER, ID, &SUBMIT.replace("d=7500", "d=12345"), "body"]));
 }
 
 #[test]
 fn what_is_no_request_is_named() {
-    let g = grammar();
-    let query = |list: &str| g.read(words(&["SVC.QUERY", CUSTOMER, ID, list])).unwrap_err();
+    let parser = parser();
+    let query = |list: &str| parser.parse(words(&["SVC.QUERY", CUSTOMER, ID, list])).unwrap_err();
     let with = |from: &str, to: &str| query(&QUERY.replace(from, to));
-    assert_eq!(g.read(words(&["GET", "x"])).unwrap_err(), Invalid::Command);
-    assert_eq!(g.read(words(&["SVC.QUERY", CUSTOMER, ID])).unwrap_err(), Invalid::Words);
+    assert_eq!(parser.parse(words(&["GET", "x"])).unwrap_err(), InvalidRequest::UnknownCommand);
+    assert_eq!(parser.parse(words(&["SVC.QUERY", CUSTOMER, ID])).unwrap_err(), InvalidRequest::WordCount);
     for customer in ["", "b4d65521", "0000000200000000", "00000000b4d6552g", "-0000000b4d65521"] {
-        assert_eq!(g.read(words(&["SVC.QUERY", customer, ID, QUERY])).unwrap_err(), Invalid::Customer);
+        assert_eq!(
+            parser.parse(words(&["SVC.QUERY", customer, ID, QUERY])).unwrap_err(),
+            InvalidRequest::Customer
+        );
     }
     for id in ["", "1", "9b1f03aa5c7e2d411", "+b1f03aa5c7e2d41"] {
-        assert_eq!(g.read(words(&["SVC.QUERY", CUSTOMER, id, QUERY])).unwrap_err(), Invalid::Id);
+        assert_eq!(parser.parse(words(&["SVC.QUERY", CUSTOMER, id, QUERY])).unwrap_err(), InvalidRequest::Id);
     }
-    assert_eq!(with("sig-check", "nothing"), Invalid::Class);
-    assert_eq!(with("sig-check", "report-upload"), Invalid::Class, "not by a query");
-    assert_eq!(with("team", "gold"), Invalid::Plan);
+    assert_eq!(with("sig-check", "nothing"), InvalidRequest::Class);
+    assert_eq!(with("sig-check", "report-upload"), InvalidRequest::Class, "not by a query");
+    assert_eq!(with("team", "gold"), InvalidRequest::Plan);
     for d in ["-1", "", "x", "1e9", "4.5", "9999999999999999999"] {
-        assert_eq!(with("480", d), Invalid::Deadline, "{d}");
+        assert_eq!(with("480", d), InvalidRequest::Deadline, "{d}");
     }
     for units in ["0", "-2", "3", "1e1", "nan", "inf", "", "2000000000000000000"] {
-        assert_eq!(with("units=2", &format!("units={units}")), Invalid::Units, "{units}");
+        assert_eq!(with("units=2", &format!("units={units}")), InvalidRequest::Units, "{units}");
     }
     for set in ["0", "4", "1.5", "x", ""] {
-        assert_eq!(with("spread=3", &format!("spread={set}")), Invalid::Set, "{set}");
+        assert_eq!(with("spread=3", &format!("spread={set}")), InvalidRequest::Spread, "{set}");
     }
-    assert_eq!(with("first=1", "first=3"), Invalid::Set);
-    assert_eq!(with(",first=1", ""), Invalid::Set);
-    assert_eq!(with("first=1", "first=1,first=1"), Invalid::List, "twice");
-    assert_eq!(with("first=1", "first=1,more=1"), Invalid::List);
-    assert_eq!(with("first=1", "first=1,k=5c0f6e1a2b3d4c59"), Invalid::Key, "no keyed class");
-    assert_eq!(query(&"x".repeat(600)), Invalid::List);
-    let submit = |list: &str| g.read(words(&["SVC.SUBMIT", CUSTOMER, ID, list, "b"])).unwrap_err();
-    assert_eq!(submit(&SUBMIT.replace("5c0f6e1a2b3d4c59", "5c")), Invalid::Key);
-    assert_eq!(submit(&SUBMIT.replace("k=5c0f6e1a2b3d4c59,", "")), Invalid::Key);
+    assert_eq!(with("first=1", "first=3"), InvalidRequest::Spread);
+    assert_eq!(with(",first=1", ""), InvalidRequest::Spread);
+    assert_eq!(with("first=1", "first=1,first=1"), InvalidRequest::Attributes, "twice");
+    assert_eq!(with("first=1", "first=1,more=1"), InvalidRequest::Attributes);
+    assert_eq!(
+        with("first=1", "first=1,k=5c0f6e1a2b3d4c59"),
+        InvalidRequest::IdempotencyKey,
+        "no keyed class"
+    );
+    assert_eq!(query(&"x".repeat(600)), InvalidRequest::Attributes);
+    let submit = |list: &str| parser.parse(words(&["SVC.SUBMIT", CUSTOMER, ID, list, "b"])).unwrap_err();
+    assert_eq!(submit(&SUBMIT.replace("5c0f6e1a2b3d4c59", "5c")), InvalidRequest::IdempotencyKey);
+    assert_eq!(submit(&SUBMIT.replace("k=5c0f6e1a2b3d4c59,", "")), InvalidRequest::IdempotencyKey);
 }
 
 fn hear(session: &mut Session, bytes: &[u8]) -> Vec<u32> {
@@ -103,7 +111,7 @@
 
 #[test]
 fn answers_follow_the_order_of_the_commands() {
-    let mut session = Session::new(Arc::new(grammar()));
+    let mut session = Session::new(Arc::new(parser()));
     let mut bytes = written(&["SVC.QUERY", CUSTOMER, ID, QUERY]);
     bytes.extend_from_slice(&written(&["PING"]));
     bytes.extend_from_slice(&written(&["SVC.QUERY", CUSTOMER, "000000000000000a", QUERY]));
@@ -124,13 +132,13 @@
 
 #[test]
 fn a_client_that_sends_hundreds_at_once_waits_and_an_open_id_is_taken_once() {
-    let mut session = Session::new(Arc::new(grammar()));
+    let mut session = Session::new(Arc::new(parser()));
     let many = written(&["SVC.QUERY", CUSTOMER, ID, QUERY]).repeat(200);
     assert_eq!(hear(&mut session, &many).len(), MAX_PENDING_COMMANDS);
     assert!(!session.wants_input());
     session.answer(0, served("v"));
     assert_eq!(hear(&mut session, b"").len(), 1, "one more for each answer");
-    let mut session = Session::new(Arc::new(grammar()));
+    let mut session = Session::new(Arc::new(parser()));
     let Ok(()) = session.receive(0, &written(&["SVC.QUERY", CUSTOMER, ID, QUERY]));
     assert!(session.next_request(|_| false).is_none());
     assert_eq!(&session.output()[..], b"-ERR id: a request of this id is open\r\n");
@@ -448,9 +456,9 @@
         said(&good.replace("\"quota_rate\":2.0", "\"quota_rate\":-2.0")).contains("contracts.0.quota_rate")
     );
     let config = Config::parse("c.json", good.as_bytes()).unwrap();
-    assert_eq!(config.terms.class_names, ["sig-check", "report-upload"]);
-    assert_eq!(config.terms.settings.plans[0].quota_rate, 2.0);
-    assert_eq!(config.terms.load_report_fields, ["depth"]);
+    assert_eq!(config.deployment.class_names, ["sig-check", "report-upload"]);
+    assert_eq!(config.deployment.settings.plans[0].quota_rate, 2.0);
+    assert_eq!(config.deployment.load_report_fields, ["depth"]);
 }
 
 proptest! {
@@ -459,15 +467,15 @@
         let _ = responses(&bytes, cut);
         let _ = responses(&[&chunked(&["{\"a\":"])[..], &bytes].concat(), cut);
         let _ = answer(&[&b"*3\r\n$1\r\nv\r\n$-1\r\n"[..], &bytes].concat());
-        let mut session = Session::new(Arc::new(grammar()));
+        let mut session = Session::new(Arc::new(parser()));
         bytes.chunks(cut).for_each(|piece| drop(hear(&mut session, piece)));
     }
 
     #[test]
     fn any_list_is_read_or_named(list in "[a-z=,0-9.]{0,60}", id in "[0-9a-f]{16}") {
-        if let Ok(request) = grammar().read(words(&["SVC.QUERY", CUSTOMER, &id, &list])) {
+        if let Ok(request) = parser().parse(words(&["SVC.QUERY", CUSTOMER, &id, &list])) {
             let mut out = BytesMut::new();
-            request.work.put(&mut out, 1);
+            request.command.encode(&mut out, 1);
             let limits = Limits { elements: 8, depth: 1, bulk: 1 << 16, line: 24, whole: 1 << 17 };
             prop_assert!(command(&mut out, &limits).unwrap().is_some());
         }
--- a/crates/platform/tests/recorded_documents.rs
+++ b/crates/platform/tests/recorded_documents.rs
@@ -28,10 +28,11 @@
     let config = Config::parse("config.json", &document("config.json")).expect("it is taken");
     let mut text = String::new();
     writeln!(text, "name {} listen {} discovery {}", config.name, config.listen, config.discovery).unwrap();
-    writeln!(text, "seed {:016x} memory {} sockets {}", config.seed, config.memory, config.sockets).unwrap();
+    writeln!(text, "seed {:016x} memory {} sockets {}", config.seed, config.memory_bytes, config.descriptors)
+        .unwrap();
     writeln!(text, "peer_listen {:?} peers {:?}", config.peer_listen, config.peers).unwrap();
-    let terms = &config.terms;
-    let settings = &terms.settings;
+    let deployment = &config.deployment;
+    let settings = &deployment.settings;
     writeln!(text, "gateways {} self {} zone {}", settings.gateways, settings.self_id.0, settings.zone)
         .unwrap();
     writeln!(text, "tick {} meter {} post-paid {}", settings.tick, settings.meter_period, settings.post_paid)
@@ -39,11 +40,11 @@
     writeln!(
         text,
         "names {:?} {:?} {:?} {:?}",
-        terms.class_names, terms.plan_names, terms.zone_names, terms.machine_kinds
+        deployment.class_names, deployment.plan_names, deployment.zone_names, deployment.machine_kinds
     )
     .unwrap();
-    writeln!(text, "report {:?} units {}", terms.load_report_fields, terms.max_units).unwrap();
-    writeln!(text, "keepalive {} connect {}", terms.keepalive, terms.connect_timeout).unwrap();
+    writeln!(text, "report {:?} units {}", deployment.load_report_fields, deployment.max_units).unwrap();
+    writeln!(text, "keepalive {} connect {}", deployment.keepalive, deployment.connect_timeout).unwrap();
     for class in &settings.classes {
         writeln!(
             text,
@@ -93,8 +94,8 @@
         rules.max_poll_interval
     )
     .unwrap();
-    let mut endpoints = EndpointSet::new(terms.zone_names.clone(), terms.machine_kinds.clone());
-    let known: &EndpointList = config.known.as_ref().expect("a known list");
+    let mut endpoints = EndpointSet::new(deployment.zone_names.clone(), deployment.machine_kinds.clone());
+    let known: &EndpointList = config.cached_endpoints.as_ref().expect("a known list");
     let lines = endpoints.restore_cached(1, known).endpoints;
     writeln!(text, "known {} whole {}", known.version, known.is_complete).unwrap();
     show_lines(&mut text, &lines);
