--- a/crates/platform/src/backend_reply.rs
+++ b/crates/platform/src/backend_reply.rs
@@ -2,13 +2,18 @@
 
 use bytes::{Bytes, BytesMut};
 use chalkgap_core::{LoadReport, Outcome};
-use chalkgap_resp::{answer, Limits, Value};
+use chalkgap_resp::{decode_reply, Limits, Value};
 
 /// Limits of a reply: an array of a value, figures and a load report. The protocol allows values of 64 KiB, but backends
 /// exceed that, and whether the value is of use is for the client to judge. The memory that all replies take together is
 /// bounded by [`MemoryBudget`](crate::memory_budget::MemoryBudget).
-pub const REPLY_LIMITS: Limits =
-    Limits { elements: 4, depth: 2, bulk: 1 << 20, line: 512, whole: (1 << 20) + 4096 };
+pub const REPLY_LIMITS: Limits = Limits {
+    max_elements: 4,
+    max_depth: 2,
+    max_bulk_bytes: 1 << 20,
+    max_line_bytes: 512,
+    max_item_bytes: (1 << 20) + 4096,
+};
 /// Bytes of a load report.
 const MAX_LOAD_REPORT_BYTES: usize = 256;
 
@@ -37,7 +42,7 @@
 ///
 /// A malformed reply gives [`Outcome::Reset`]: the request may have run, and the connection is of no further use.
 pub fn decode_backend_reply(buffer: &mut BytesMut, load_report_fields: &[String]) -> Option<BackendReply> {
-    let value = match answer(buffer, &REPLY_LIMITS) {
+    let value = match decode_reply(buffer, &REPLY_LIMITS) {
         Ok(None) => return None,
         Ok(Some(value)) => value,
         Err(_) => return Some(BackendReply::without_value(Outcome::Reset)),
--- a/crates/platform/src/request.rs
+++ b/crates/platform/src/request.rs
@@ -2,7 +2,7 @@
 
 use bytes::{Bytes, BytesMut};
 use chalkgap_core::Micros;
-use chalkgap_resp::{put_array, put_bulk};
+use chalkgap_resp::{put_array_header, put_bulk};
 use std::io::Write;
 use std::ops::Range;
 use std::sync::Arc;
@@ -96,7 +96,7 @@
     /// Writes the command, with `remaining_millis` in the place of the client's deadline.
     pub fn encode(&self, out: &mut BytesMut, remaining_millis: u64) {
         let CommandParts { words, deadline } = &*self.0;
-        put_array(out, words.len());
+        put_array_header(out, words.len());
         for (index, word) in words.iter().enumerate() {
             if index != ATTRIBUTES_WORD {
                 put_bulk(out, word);
--- a/crates/platform/src/session.rs
+++ b/crates/platform/src/session.rs
@@ -6,19 +6,24 @@
 use bytes::{Bytes, BytesMut};
 use chalkgap::frontend::Answer;
 use chalkgap_core::Micros;
-use chalkgap_resp::{command, put_bulk, put_line, Limits};
+use chalkgap_resp::{decode_command, put_bulk, put_error, Limits};
 use chalkgap_transport::Machine;
 use std::collections::VecDeque;
 use std::convert::Infallible;
 use std::sync::Arc;
 
 /// Limits of a command: the longest is a `SVC.SUBMIT` with a body of 64 KiB.
-pub const COMMAND_LIMITS: Limits =
-    Limits { elements: 8, depth: 1, bulk: 64 << 10, line: 24, whole: (64 << 10) + 4096 };
+pub const COMMAND_LIMITS: Limits = Limits {
+    max_elements: 8,
+    max_depth: 1,
+    max_bulk_bytes: 64 << 10,
+    max_line_bytes: 24,
+    max_item_bytes: (64 << 10) + 4096,
+};
 /// Commands of one connection that may await their replies; further ones are not read meanwhile.
 pub const MAX_PENDING_COMMANDS: usize = 32;
 /// Unparsed bytes from which on no more are read: they hold commands beyond `MAX_PENDING_COMMANDS`.
-const MAX_BUFFERED_BYTES: usize = COMMAND_LIMITS.whole;
+const MAX_BUFFERED_BYTES: usize = COMMAND_LIMITS.max_item_bytes;
 
 /// The reply to one command, in the order of the commands.
 enum ReplySlot {
@@ -60,9 +65,9 @@
     pub request: Request,
 }
 
-fn encode_line(kind: u8, text: &str) -> Bytes {
+fn encode_error(text: &str) -> Bytes {
     let mut out = BytesMut::with_capacity(text.len() + 3);
-    put_line(&mut out, kind, text);
+    put_error(&mut out, text);
     out.freeze()
 }
 
@@ -72,13 +77,11 @@
             out.reserve(body.len() + 16);
             put_bulk(out, body);
         }
-        Answer::Rejected { retry_after: 0 } => put_line(out, b'-', "BUSY"),
+        Answer::Rejected { retry_after: 0 } => put_error(out, "BUSY"),
         // Rounded up: a client that returns too early is rejected again.
-        Answer::Rejected { retry_after } => {
-            put_line(out, b'-', &format!("BUSY {}", retry_after.div_ceil(1000)))
-        }
-        Answer::Failed { late: true } => put_line(out, b'-', "ERR no answer in time"),
-        Answer::Failed { late: false } => put_line(out, b'-', "ERR failed, it may have run"),
+        Answer::Rejected { retry_after } => put_error(out, &format!("BUSY {}", retry_after.div_ceil(1000))),
+        Answer::Failed { late: true } => put_error(out, "ERR no answer in time"),
+        Answer::Failed { late: false } => put_error(out, "ERR failed, it may have run"),
         Answer::ClientGone => {}
     }
 }
@@ -102,7 +105,7 @@
     /// `reserve_id` is called with the id of each valid request and returns false if another open request has it.
     pub fn next_request(&mut self, mut reserve_id: impl FnMut(u64) -> bool) -> Option<IncomingRequest> {
         while self.phase != ReadPhase::Stopped && self.slots.len() < MAX_PENDING_COMMANDS {
-            let command = match command(&mut self.input, &COMMAND_LIMITS) {
+            let command = match decode_command(&mut self.input, &COMMAND_LIMITS) {
                 Ok(Some(command)) => command,
                 Ok(None) => break,
                 Err(error) => {
@@ -129,7 +132,7 @@
                     return Some(IncomingRequest { token, request });
                 }
                 Err(error) => {
-                    self.slots.push_back(ReplySlot::Encoded(encode_line(b'-', &format!("ERR {error}"))));
+                    self.slots.push_back(ReplySlot::Encoded(encode_error(&format!("ERR {error}"))));
                 }
             }
         }
@@ -156,8 +159,8 @@
 
     /// Rejects the complete commands in the buffer and stops reading. No attempt was made for any of them.
     pub fn reject_buffered_commands(&mut self) {
-        while let Ok(Some(_)) = command(&mut self.input, &COMMAND_LIMITS) {
-            self.slots.push_back(ReplySlot::Encoded(encode_line(b'-', "BUSY")));
+        while let Ok(Some(_)) = decode_command(&mut self.input, &COMMAND_LIMITS) {
+            self.slots.push_back(ReplySlot::Encoded(encode_error("BUSY")));
         }
         self.stop_reading();
         self.flush();
@@ -175,7 +178,7 @@
     /// Stops reading, with `error` as the last reply, after those that are still owed.
     pub fn fail(&mut self, error: &str) {
         if self.phase != ReadPhase::Stopped {
-            self.slots.push_back(ReplySlot::Encoded(encode_line(b'-', error)));
+            self.slots.push_back(ReplySlot::Encoded(encode_error(error)));
         }
         self.stop_reading();
         self.flush();
--- a/crates/platform/tests/common/mod.rs
+++ b/crates/platform/tests/common/mod.rs
@@ -3,14 +3,20 @@
 #![allow(dead_code)] // each test file uses its part
 
 use bytes::BytesMut;
-use chalkgap_resp::{answer, command, put_command, Limits, Value};
+use chalkgap_resp::{decode_command, decode_reply, put_command, Limits, Value};
 use std::io::{Read, Write};
 use std::net::{Ipv4Addr, Shutdown, SocketAddr, TcpListener, TcpStream};
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::{Arc, Condvar, Mutex};
 use std::time::Duration;
 
-pub const LIMITS: Limits = Limits { elements: 8, depth: 2, bulk: 1 << 17, line: 600, whole: 1 << 18 };
+pub const LIMITS: Limits = Limits {
+    max_elements: 8,
+    max_depth: 2,
+    max_bulk_bytes: 1 << 17,
+    max_line_bytes: 600,
+    max_item_bytes: 1 << 18,
+};
 pub const GOOD: &[u8] = b"*3\r\n$5\r\nvalue\r\n$-1\r\n$7\r\ndepth=2\r\n";
 /// No test waits longer for anything.
 pub const PATIENCE: Duration = Duration::from_secs(20);
@@ -111,7 +117,7 @@
 
 /// The words of the first whole command in a buffer.
 pub fn command_words(buffer: &mut BytesMut) -> Option<Vec<String>> {
-    let command = command(buffer, &LIMITS).ok()??;
+    let command = decode_command(buffer, &LIMITS).ok()??;
     Some(command.words.iter().map(|w| String::from_utf8_lossy(w).into_owned()).collect())
 }
 
@@ -238,7 +244,7 @@
     pub fn hear(&mut self) -> Option<Value> {
         let mut piece = [0; 4096];
         loop {
-            if let Some(value) = answer(&mut self.buffer, &LIMITS).unwrap() {
+            if let Some(value) = decode_reply(&mut self.buffer, &LIMITS).unwrap() {
                 return Some(value);
             }
             match self.stream.read(&mut piece) {
--- a/crates/platform/tests/machines.rs
+++ b/crates/platform/tests/machines.rs
@@ -14,7 +14,7 @@
 use chalkgap_platform::session::{Session, MAX_PENDING_COMMANDS};
 use chalkgap_platform::shutdown::ShutdownTimeouts;
 use chalkgap_platform::Config;
-use chalkgap_resp::{command, put_command, Command, Limits};
+use chalkgap_resp::{decode_command, put_command, Command, Limits};
 use chalkgap_transport::Machine;
 use proptest::prelude::*;
 use std::net::SocketAddr;
@@ -476,8 +476,8 @@
         if let Ok(request) = parser().parse(words(&["SVC.QUERY", CUSTOMER, &id, &list])) {
             let mut out = BytesMut::new();
             request.command.encode(&mut out, 1);
-            let limits = Limits { elements: 8, depth: 1, bulk: 1 << 16, line: 24, whole: 1 << 17 };
-            prop_assert!(command(&mut out, &limits).unwrap().is_some());
+            let limits = Limits { max_elements: 8, max_depth: 1, max_bulk_bytes: 1 << 16, max_line_bytes: 24, max_item_bytes: 1 << 17 };
+            prop_assert!(decode_command(&mut out, &limits).unwrap().is_some());
         }
     }
 }
--- /dev/null
+++ b/crates/resp/src/encoder.rs
@@ -0,0 +1,64 @@
+//! Encodes commands and replies.
+
+use bytes::BytesMut;
+
+/// Digits of the largest `usize`.
+const MAX_DIGITS: usize = 20;
+
+/// Writes a type byte, a number and the line's end, without allocating: each request writes several of these.
+fn put_header(out: &mut BytesMut, kind: u8, number: usize) {
+    let mut digits = [0; MAX_DIGITS];
+    let mut start = digits.len();
+    let mut rest = number;
+    loop {
+        start -= 1;
+        digits[start] = b'0' + (rest % 10) as u8;
+        rest /= 10;
+        if rest == 0 {
+            break;
+        }
+    }
+    out.extend_from_slice(&[kind]);
+    out.extend_from_slice(&digits[start..]);
+    out.extend_from_slice(b"\r\n");
+}
+
+/// Writes a type byte and a text. Ends of lines in the text become spaces, so that it stays one line.
+fn put_line(out: &mut BytesMut, kind: u8, text: &str) {
+    out.extend_from_slice(&[kind]);
+    out.extend(text.bytes().map(|byte| if byte == b'\r' || byte == b'\n' { b' ' } else { byte }));
+    out.extend_from_slice(b"\r\n");
+}
+
+/// Writes the header of an array, which its elements must follow.
+pub fn put_array_header(out: &mut BytesMut, elements: usize) {
+    put_header(out, b'*', elements);
+}
+
+/// Writes a bulk string.
+pub fn put_bulk(out: &mut BytesMut, bytes: &[u8]) {
+    put_header(out, b'$', bytes.len());
+    out.extend_from_slice(bytes);
+    out.extend_from_slice(b"\r\n");
+}
+
+/// Writes a null bulk string.
+pub fn put_null(out: &mut BytesMut) {
+    out.extend_from_slice(b"$-1\r\n");
+}
+
+/// Writes a simple string; ends of lines in it become spaces.
+pub fn put_simple_string(out: &mut BytesMut, text: &str) {
+    put_line(out, b'+', text);
+}
+
+/// Writes an error; ends of lines in it become spaces.
+pub fn put_error(out: &mut BytesMut, text: &str) {
+    put_line(out, b'-', text);
+}
+
+/// Writes a command.
+pub fn put_command(out: &mut BytesMut, words: &[&[u8]]) {
+    put_array_header(out, words.len());
+    words.iter().for_each(|word| put_bulk(out, word));
+}
--- a/crates/resp/tests/codec.rs
+++ b/crates/resp/tests/codec.rs
@@ -1,17 +1,20 @@
 //! The codec: what is whole is taken, whatever pieces it comes in; what is wrong is named; nothing panics.
 
 use bytes::{Bytes, BytesMut};
-use chalkgap_resp::{answer, command, put_command, put_line, put_null, Bad, Command, Limits, Value};
+use chalkgap_resp::{
+    decode_command, decode_reply, put_command, put_error, put_null, Command, DecodeError, Limits, Value,
+};
 use proptest::prelude::*;
 
-const LIMITS: Limits = Limits { elements: 4, depth: 2, bulk: 100, line: 30, whole: 300 };
+const LIMITS: Limits =
+    Limits { max_elements: 4, max_depth: 2, max_bulk_bytes: 100, max_line_bytes: 30, max_item_bytes: 300 };
 
-fn commands(bytes: &[u8]) -> Result<Option<Command>, Bad> {
-    command(&mut BytesMut::from(bytes), &LIMITS)
+fn commands(bytes: &[u8]) -> Result<Option<Command>, DecodeError> {
+    decode_command(&mut BytesMut::from(bytes), &LIMITS)
 }
 
-fn answers(bytes: &[u8]) -> Result<Option<Value>, Bad> {
-    answer(&mut BytesMut::from(bytes), &LIMITS)
+fn answers(bytes: &[u8]) -> Result<Option<Value>, DecodeError> {
+    decode_reply(&mut BytesMut::from(bytes), &LIMITS)
 }
 
 #[test]
@@ -49,8 +52,8 @@
     let long = |n: usize| {
         [b"*4\r\n".to_vec(), [&b"$100\r\n"[..], &[b'x'; 100], b"\r\n"].concat().repeat(n)].concat()
     };
-    assert_eq!(commands(&long(3)), Err(Bad::Whole { most: 300 }), "not waited for");
-    assert_eq!(commands(&long(4)), Err(Bad::Whole { most: 300 }));
+    assert_eq!(commands(&long(3)), Err(DecodeError::ItemTooLong { max: 300 }), "not waited for");
+    assert_eq!(commands(&long(4)), Err(DecodeError::ItemTooLong { max: 300 }));
 }
 
 #[test]
@@ -63,19 +66,19 @@
     assert_eq!(answers(b"*-1\r\n"), Ok(Some(Value::Array(None))));
     let list = vec![bulk("v"), Value::Bulk(None), bulk("queue=2")];
     assert_eq!(answers(b"*3\r\n$1\r\nv\r\n$-1\r\n$7\r\nqueue=2\r\n"), Ok(Some(Value::Array(Some(list)))));
-    assert!(matches!(answers(b"*1\r\n*1\r\n*1\r\n"), Err(Bad::Depth { at: 8, most: 2 })));
+    assert!(matches!(answers(b"*1\r\n*1\r\n*1\r\n"), Err(DecodeError::TooDeep { at: 8, max: 2 })));
     assert!(
-        matches!(answers(b"$3000000000\r\nxxxx"), Err(Bad::Length { at: 1, .. })),
+        matches!(answers(b"$3000000000\r\nxxxx"), Err(DecodeError::LengthOutOfRange { at: 1, .. })),
         "before memory is taken"
     );
-    assert!(matches!(answers(b"noise"), Err(Bad::Kind { at: 0, .. })));
-    assert!(matches!(answers(&[b'-'; 400]), Err(Bad::Line { .. })));
+    assert!(matches!(answers(b"noise"), Err(DecodeError::UnexpectedType { at: 0, .. })));
+    assert!(matches!(answers(&[b'-'; 400]), Err(DecodeError::InvalidLine { .. })));
 }
 
 #[test]
 fn lines_stay_one_line() {
     let mut out = BytesMut::new();
-    put_line(&mut out, b'-', "ERR a\r\n+OK");
+    put_error(&mut out, "ERR a\r\n+OK");
     put_null(&mut out);
     assert_eq!(&out[..], b"-ERR a  +OK\r\n$-1\r\n");
 }
@@ -94,7 +97,7 @@
         while !bytes.is_empty() {
             let n = cuts.next().unwrap().min(bytes.len());
             buffer.extend_from_slice(&bytes.split_to(n));
-            while let Some(c) = command(&mut buffer, &LIMITS).unwrap() {
+            while let Some(c) = decode_command(&mut buffer, &LIMITS).unwrap() {
                 found.push(c);
             }
         }
@@ -108,12 +111,12 @@
         // Begun like an item, or nearly all would fail at their first byte.
         for head in [&b""[..], b"*2\r\n$3\r\n", b"*3\r\n$1\r\nv\r\n", b"-", b"$5\r\n"] {
             let all = [head, &bytes[..]].concat();
-            let whole = answer(&mut BytesMut::from(&all[..]), &LIMITS);
+            let whole = decode_reply(&mut BytesMut::from(&all[..]), &LIMITS);
             let mut buffer = BytesMut::new();
             let mut pieces = Ok(None);
             for piece in all.chunks(cut) {
                 buffer.extend_from_slice(piece);
-                pieces = answer(&mut buffer, &LIMITS);
+                pieces = decode_reply(&mut buffer, &LIMITS);
                 if pieces != Ok(None) {
                     break;
                 }
--- a/crates/resp/tests/recorded_messages.rs
+++ b/crates/resp/tests/recorded_messages.rs
@@ -1,12 +1,21 @@
 //! Commands and answers are the bytes that earlier versions wrote, and are read back from them.
 
 use bytes::BytesMut;
-use chalkgap_resp::{answer, command, put_array, put_bulk, put_command, put_line, put_null, Limits};
+use chalkgap_resp::{
+    decode_command, decode_reply, put_array_header, put_bulk, put_command, put_error, put_null,
+    put_simple_string, Limits,
+};
 
 #[path = "../../../tests/support/recorded.rs"]
 mod recorded;
 
-const LIMITS: Limits = Limits { elements: 8, depth: 3, bulk: 1 << 10, line: 100, whole: 1 << 12 };
+const LIMITS: Limits = Limits {
+    max_elements: 8,
+    max_depth: 3,
+    max_bulk_bytes: 1 << 10,
+    max_line_bytes: 100,
+    max_item_bytes: 1 << 12,
+};
 
 fn written(write: impl FnOnce(&mut BytesMut)) -> Vec<u8> {
     let mut out = BytesMut::new();
@@ -31,14 +40,14 @@
         (
             "array",
             written(|out| {
-                put_array(out, 3);
+                put_array_header(out, 3);
                 put_bulk(out, b"value");
                 put_null(out);
                 put_bulk(out, b"depth=2");
             }),
         ),
-        ("simple string", written(|out| put_line(out, b'+', "OK\r\nthen"))),
-        ("error", written(|out| put_line(out, b'-', "BUSY retry_after=120"))),
+        ("simple string", written(|out| put_simple_string(out, "OK\r\nthen"))),
+        ("error", written(|out| put_error(out, "BUSY retry_after=120"))),
         ("nested", b"*2\r\n:-42\r\n*2\r\n*-1\r\n$3\r\nabc\r\n".to_vec()),
     ];
     let all: Vec<(&str, Vec<u8>)> = commands.iter().chain(&answers).cloned().collect();
@@ -46,11 +55,12 @@
 
     let mut text = String::new();
     for (name, bytes) in &commands {
-        let words = shown(bytes, |buffer| format!("{:?}", command(buffer, &LIMITS).unwrap().unwrap().words));
+        let words =
+            shown(bytes, |buffer| format!("{:?}", decode_command(buffer, &LIMITS).unwrap().unwrap().words));
         text += &format!("{name}: {words}\n");
     }
     for (name, bytes) in &answers {
-        let value = shown(bytes, |buffer| format!("{:?}", answer(buffer, &LIMITS).unwrap().unwrap()));
+        let value = shown(bytes, |buffer| format!("{:?}", decode_reply(buffer, &LIMITS).unwrap().unwrap()));
         text += &format!("{name}: {value}\n");
     }
     recorded::check_text("decoded.txt", &text);
