--- /dev/null
+++ b/crates/transport/src/unary/client.rs
@@ -0,0 +1,129 @@
+//! The calling side: one call on a connection of its own.
+
+use super::CLOSE_TIMEOUT_MICROS;
+use crate::{Pipe, Turn};
+use bytes::Bytes;
+use chalkgap_runtime::{Micros, Shared, Stream};
+use chalkgap_wire::grpc::{Code, Deframer, Status};
+use chalkgap_wire::http2::{Config, Connection, Event, Field};
+use futures_lite::future;
+use std::net::SocketAddr;
+
+/// Beside the response, the window holds its gRPC prefix.
+const WINDOW_MARGIN_BYTES: usize = 1024;
+/// The window that HTTP/2 begins with.
+const MIN_WINDOW_BYTES: u32 = 65_535;
+/// The largest window that HTTP/2 permits.
+const MAX_WINDOW_BYTES: u32 = u32::MAX >> 1;
+
+/// Makes one call on a connection of its own. The request `message` is framed already; the response is returned without
+/// its frame.
+///
+/// `max_response` bounds the response in bytes. `deadline` is a time of the runtime's clock.
+///
+/// # Errors
+/// The status that the server sent; UNAVAILABLE where it sent none, DEADLINE_EXCEEDED at the deadline.
+pub async fn call(
+    runtime: &Shared,
+    to: SocketAddr,
+    path: &str,
+    message: Bytes,
+    max_response: usize,
+    deadline: Micros,
+) -> Result<Bytes, Status> {
+    let stream = connect(runtime, to, deadline).await?;
+    let (_commands, no_commands) = async_channel::bounded::<()>(1);
+    let (_signal_sender, no_signal) = async_channel::bounded(1);
+    let connection = Connection::client(config(max_response));
+    let mut pipe = Pipe::new(runtime.clone(), stream, connection, no_commands, no_signal);
+    let mut exchange = Exchange { opened: false, body: Deframer::new(max_response), response: None };
+    loop {
+        match pipe.turn(Some(deadline), true).await {
+            Turn::Time => return Err(Status::new(Code::DeadlineExceeded, "no answer in time")),
+            Turn::Bad(error) => return Err(unavailable(error.to_string())),
+            Turn::Closed | Turn::Signal => return Err(unavailable("the connection was closed")),
+            Turn::Read | Turn::Command(()) => {}
+        }
+        while let Some(event) = pipe.conn.event() {
+            if let Some(status) = exchange.handle(&mut pipe.conn, event)? {
+                pipe.conn.shutdown();
+                pipe.close(runtime.now() + CLOSE_TIMEOUT_MICROS).await;
+                return exchange.result(status);
+            }
+        }
+        // Before the server's SETTINGS nothing is sent: an unanswered handshake then proves that nothing ran.
+        if !exchange.opened && pipe.conn.greeted() && pipe.conn.can_open().is_ok() {
+            open(&mut pipe.conn, to, path, message.clone())?;
+            exchange.opened = true;
+        }
+    }
+}
+
+async fn connect(runtime: &Shared, to: SocketAddr, deadline: Micros) -> Result<Box<dyn Stream>, Status> {
+    let timeout = async {
+        runtime.sleep_until(deadline).await;
+        Err(std::io::ErrorKind::TimedOut.into())
+    };
+    future::or(runtime.connect(to), timeout).await.map_err(|error| unavailable(error.to_string()))
+}
+
+fn config(max_response: usize) -> Config {
+    let window = u32::try_from(max_response + WINDOW_MARGIN_BYTES).unwrap_or(MAX_WINDOW_BYTES);
+    let window = window.clamp(MIN_WINDOW_BYTES, MAX_WINDOW_BYTES);
+    Config { max_streams: 0, stream_window: window, connection_window: window, ..Config::default() }
+}
+
+fn open(connection: &mut Connection, to: SocketAddr, path: &str, message: Bytes) -> Result<(), Status> {
+    let fields = [
+        Field::constant(":method", "POST"),
+        Field::constant(":scheme", "http"),
+        Field::new(":path", path.to_owned()),
+        Field::new(":authority", to.to_string()),
+        Field::constant("content-type", "application/grpc"),
+        Field::constant("te", "trailers"),
+    ];
+    let Ok(stream) = connection.open(&fields, false) else {
+        return Err(unavailable("no call could be opened"));
+    };
+    let _ = connection.data(stream, message, true); // cannot fail: the stream was just opened
+    Ok(())
+}
+
+/// What has come back so far.
+struct Exchange {
+    opened: bool,
+    body: Deframer,
+    response: Option<Bytes>,
+}
+
+impl Exchange {
+    /// Takes an event; the final status once it has arrived.
+    fn handle(&mut self, connection: &mut Connection, event: Event) -> Result<Option<Status>, Status> {
+        match event {
+            Event::Data { stream, data, .. } => {
+                connection.consumed(stream, data.len());
+                self.body.push(&data);
+                if let Some(message) = self.body.message()? {
+                    self.response = Some(message);
+                }
+                Ok(None)
+            }
+            Event::Headers { fields, end: true, .. } => Ok(Some(Status::from_fields(&fields))),
+            Event::Reset { code, .. } => Err(unavailable(format!("the call was reset: {code}"))),
+            Event::GoAway(code) if !self.opened => Err(unavailable(format!("it goes away: {code}"))),
+            _ => Ok(None),
+        }
+    }
+
+    fn result(self, status: Status) -> Result<Bytes, Status> {
+        match (status.code, self.response) {
+            (Code::Ok, Some(message)) => Ok(message),
+            (Code::Ok, None) => Err(Status::new(Code::Internal, "an OK without a message")),
+            _ => Err(status),
+        }
+    }
+}
+
+fn unavailable(text: impl Into<std::borrow::Cow<'static, str>>) -> Status {
+    Status::new(Code::Unavailable, text)
+}
--- a/crates/transport/tests/leaving.rs
+++ b/crates/transport/tests/peer_leaves.rs
@@ -6,10 +6,10 @@
 use chalkgap_wire::http2::{Config, Connection};
 use futures_lite::{future, AsyncWriteExt};
 
-/// Whoever takes requests has no room, and the client leaves, with bytes of it unread: nothing is handed over for it when there
-/// is room again. For one that stays it is.
+/// The receiver of requests has no capacity, and the client leaves with bytes unread: nothing is handed over for it when
+/// there is capacity again. For a client that stays it is.
 #[test]
-fn nothing_is_handed_over_for_who_has_left() {
+fn nothing_is_handed_over_for_a_peer_that_has_left() {
     let system = System::new();
     system.clone().run(async move {
         let listener = system.listen(([127, 0, 0, 1], 0).into()).unwrap();
@@ -27,9 +27,9 @@
             let other = async {
                 if !stays {
                     drop(near);
-                    system.sleep_until(system.now() + 90_000).await; // it may be noticed so late
+                    system.sleep_until(system.now() + 90_000).await; // it may be noticed as late as this
                 }
-                assert_eq!(requests.recv().await, Ok(1)); // there is room
+                assert_eq!(requests.recv().await, Ok(1)); // there is capacity
             };
             let (handed, ()) = future::zip(handed, other).await;
             assert_eq!(
