--- /dev/null
+++ b/crates/gateway/src/driver/endpoints.rs
@@ -0,0 +1,70 @@
+//! Endpoint lists and their changes.
+
+use super::Driver;
+use crate::messages::Upstream;
+use crate::nodes::NodeList;
+use crate::telemetry::add;
+use chalkgap_core::{Availability, BackendId, Endpoint, EndpointUpdate, Event};
+use std::collections::BTreeSet;
+use std::net::SocketAddr;
+
+impl<U: Upstream> Driver<U> {
+    /// Applies a complete node list; one that is not valid is dropped, and the last valid one stays in force.
+    pub(super) fn on_node_list(&mut self, list: &NodeList, cached: bool) {
+        let endpoints = match self.endpoint_ids.take(list) {
+            Ok(endpoints) => endpoints,
+            Err(error) => {
+                add(&self.telemetry.lists_bad);
+                tracing::warn!(revision = list.revision, %error, "node list rejected, keeping the last one");
+                return;
+            }
+        };
+        add(&self.telemetry.lists);
+        tracing::info!(revision = list.revision, nodes = endpoints.len(), cached, "node list");
+        if let Some(cache) = self.list_cache.as_ref().filter(|_| !cached) {
+            // A full channel drops its oldest list: only the newest is worth storing.
+            let _ = cache.force_send(list.clone());
+        }
+        let ids = &self.endpoint_ids;
+        let endpoints = endpoints
+            .into_iter()
+            .filter_map(|endpoint| Some((endpoint, ids.address(endpoint.backend)?)))
+            .collect();
+        let update = if cached { EndpointUpdate::Cached } else { EndpointUpdate::Snapshot };
+        self.on_endpoints(update, endpoints);
+    }
+
+    /// Applies a snapshot of the endpoints or a change to them.
+    pub(super) fn on_endpoints(&mut self, update: EndpointUpdate, endpoints: Vec<(Endpoint, SocketAddr)>) {
+        if matches!(update, EndpointUpdate::Snapshot | EndpointUpdate::Cached) {
+            self.addresses.clear();
+        }
+        for (endpoint, address) in &endpoints {
+            if endpoint.availability == Availability::Gone {
+                self.addresses.remove(&endpoint.backend);
+            } else {
+                self.addresses.insert(endpoint.backend, *address);
+            }
+        }
+        let addresses = &self.addresses;
+        self.connections.retain(&|backend| addresses.contains_key(&backend));
+        let not_ready = endpoints.iter().filter(|(endpoint, _)| endpoint.availability != Availability::Ready);
+        let not_ready = not_ready.map(|(endpoint, _)| endpoint.backend).collect();
+        self.cancel_unsent_attempts_to(&not_ready);
+        let endpoints = endpoints.into_iter().map(|(endpoint, _)| endpoint).collect();
+        self.handle(Event::Endpoints(update, endpoints));
+    }
+
+    /// Cancels the attempts that are not written yet and go to a backend that is not ready or has left the list: they
+    /// would reach a draining backend, possibly after its grace period.
+    fn cancel_unsent_attempts_to(&mut self, not_ready: &BTreeSet<BackendId>) {
+        for (id, in_flight) in self.in_flight.iter() {
+            for (number, attempt) in in_flight.attempts_on_connections() {
+                let listed = self.addresses.contains_key(&attempt.backend);
+                if !listed || not_ready.contains(&attempt.backend) {
+                    self.connections.cancel_unsent(attempt.connection, id, number);
+                }
+            }
+        }
+    }
+}
--- /dev/null
+++ b/crates/gateway/src/driver/mod.rs
@@ -0,0 +1,249 @@
+//! The one task that owns the core's state machine ([`Gateway`]): it turns what happens into events, in the order in which
+//! it happened, passes them to the core, and carries out the returned actions in their order. It takes no decisions.
+//!
+//! The driver itself guarantees two things that must not depend on others. A request is answered at most once. An attempt
+//! ends at its deadline, even if its connection's task reports nothing.
+//!
+//! - [`requests`]: requests from arrival to final answer
+//! - [`attempts`]: their attempts on connections to nodes
+//! - [`in_flight`]: what is remembered of both
+//! - [`ledger_entries`]: their entries in the billing ledger
+//! - [`endpoints`]: endpoint lists
+//! - [`timers`]: timers of the core, deadlines of attempts
+
+mod attempts;
+mod endpoints;
+mod in_flight;
+mod ledger_entries;
+mod requests;
+mod timers;
+
+use crate::ledger::Desk as LedgerHandle;
+use crate::messages::{DriverEvent, Upstream};
+use crate::nodes::{EndpointIds, NodeList};
+use crate::settings::Compiled;
+use crate::telemetry::{add, Telemetry};
+use async_channel::{Receiver, Sender};
+use chalkgap_core::{Action, BackendId, Event, Gateway, GatewayId};
+use chalkgap_runtime::{Alarm, Micros, Shared};
+use futures_lite::{future, Stream as _};
+use in_flight::InFlightRequests;
+use ledger_entries::{AttemptAwaitingLedger, LedgerRecorder};
+use std::collections::{BTreeMap, HashMap, VecDeque};
+use std::net::SocketAddr;
+use std::pin::Pin;
+use std::sync::Arc;
+use std::task::Poll;
+use timers::Timers;
+
+/// Events that are handled before timers are checked again.
+const MAX_EVENTS_PER_TURN: usize = 256;
+
+/// Limits of a [`Driver`], and its place in the fleet.
+#[derive(Clone, Copy, Debug)]
+pub struct DriverLimits {
+    /// Number of gateways in the fleet.
+    pub gateway_count: u16,
+    /// This gateway's id.
+    pub self_id: u16,
+    /// Requests in flight at once that the core is configured for; more are rejected.
+    pub max_in_flight: usize,
+    /// `Retry-After` of requests beyond `max_in_flight`; 0 for none.
+    pub rejection_retry_after: Micros,
+}
+
+/// Gossip that the core sends to one peer.
+pub type OutboundGossip = (u16, Vec<u8>);
+
+/// Owns the core and runs it. Generic over the protocol to the nodes.
+pub struct Driver<U: Upstream> {
+    runtime: Shared,
+    limits: DriverLimits,
+    telemetry: Arc<Telemetry>,
+    core: Gateway,
+    connections: U,
+    events: Pin<Box<Receiver<DriverEvent<U::Work>>>>,
+    gossip: Option<Sender<OutboundGossip>>,
+    ledger: Option<LedgerRecorder>,
+    /// Ordered by sequence number.
+    awaiting_ledger: VecDeque<AttemptAwaitingLedger<U::Work>>,
+    in_flight: InFlightRequests<U::Work>,
+    timers: Timers,
+    /// Events that carrying out actions has produced.
+    queue: VecDeque<Event>,
+    /// Empty between events; its allocation is reused.
+    actions: Vec<Action>,
+    endpoint_ids: EndpointIds,
+    /// The endpoints that are listed and not gone.
+    addresses: BTreeMap<BackendId, SocketAddr>,
+    list_cache: Option<Sender<NodeList>>,
+}
+
+impl<U: Upstream> Driver<U> {
+    /// Creates a driver of `core` that reads `events`, without gossip, ledger and list cache.
+    pub fn new(
+        runtime: Shared,
+        limits: DriverLimits,
+        telemetry: Arc<Telemetry>,
+        core: Gateway,
+        connections: U,
+        events: Receiver<DriverEvent<U::Work>>,
+    ) -> Self {
+        Driver {
+            runtime,
+            limits,
+            telemetry,
+            core,
+            connections,
+            events: Box::pin(events),
+            gossip: None,
+            ledger: None,
+            awaiting_ledger: VecDeque::new(),
+            in_flight: InFlightRequests::new(),
+            timers: Timers::default(),
+            queue: VecDeque::new(),
+            actions: Vec::new(),
+            endpoint_ids: EndpointIds::new(HashMap::new(), 0),
+            addresses: BTreeMap::new(),
+            list_cache: None,
+        }
+    }
+
+    /// Reads complete node lists with `endpoint_ids`.
+    pub(crate) fn with_endpoint_ids(mut self, endpoint_ids: EndpointIds) -> Self {
+        self.endpoint_ids = endpoint_ids;
+        self
+    }
+
+    /// Sends the core's gossip, with the id of the receiving peer, to `gossip`.
+    pub fn with_gossip(mut self, gossip: Option<Sender<OutboundGossip>>) -> Self {
+        self.gossip = gossip;
+        self
+    }
+
+    /// Records requests in a ledger.
+    pub(crate) fn with_ledger(
+        mut self,
+        handle: Option<Arc<LedgerHandle>>,
+        settings: Arc<Compiled>,
+        instance_name: String,
+    ) -> Self {
+        self.ledger = handle.map(|handle| LedgerRecorder { handle, settings, instance_name });
+        self
+    }
+
+    /// Sends each complete list that was accepted to `list_cache`.
+    pub(crate) fn with_list_cache(mut self, list_cache: Option<Sender<NodeList>>) -> Self {
+        self.list_cache = list_cache;
+        self
+    }
+
+    /// Runs until every sender of events is dropped.
+    pub async fn run(mut self) {
+        let mut alarm = Alarm::new(self.runtime.clone());
+        loop {
+            let next_due = self.timers.next_due();
+            let first = future::poll_fn(|cx| match self.events.as_mut().poll_next(cx) {
+                Poll::Ready(event) => Poll::Ready(Some(event)),
+                Poll::Pending => alarm.poll(next_due, cx).map(|()| None),
+            });
+            match first.await {
+                Some(Some(event)) => self.on_event(event),
+                Some(None) => return,
+                None => {}
+            }
+            for _ in 1..MAX_EVENTS_PER_TURN {
+                match self.events.try_recv() {
+                    Ok(event) => self.on_event(event),
+                    Err(_) => break,
+                }
+            }
+            self.fire_timers();
+            if next_due.is_some_and(|due_at| due_at <= self.runtime.now()) {
+                // A busy driver lets the connections write what it has answered.
+                future::yield_now().await;
+            }
+        }
+    }
+
+    fn on_event(&mut self, event: DriverEvent<U::Work>) {
+        match event {
+            DriverEvent::Request(request) => self.on_request(request),
+            DriverEvent::ClientGone(id) => self.on_client_gone(id),
+            DriverEvent::AttemptEnded(result) => self.on_attempt_result(*result),
+            DriverEvent::ConnectionClosed { connection, broke_on_first_write } => {
+                self.connections.connection_closed(connection, broke_on_first_write)
+            }
+            DriverEvent::Gossip { from, bytes } => {
+                add(&self.telemetry.peer_in);
+                self.handle(Event::GossipReceived { from: GatewayId(from), bytes });
+            }
+            DriverEvent::PeerReachability { peer, reachable } => {
+                self.handle(Event::PeerReachability { peer: GatewayId(peer), reachable })
+            }
+            DriverEvent::NodeList { list, cached } => self.on_node_list(&list, cached),
+            DriverEvent::Endpoints { update, endpoints } => self.on_endpoints(update, endpoints),
+            DriverEvent::LedgerProgress => self.on_ledger_progress(),
+        }
+    }
+
+    fn fire_timers(&mut self) {
+        let now = self.runtime.now();
+        self.expire_attempts(now);
+        while let Some(token) = self.timers.pop_core_timer(now) {
+            self.handle(Event::Timer(token));
+        }
+    }
+
+    /// Passes an event to the core and carries out the actions, and those of the events that they produce.
+    fn handle(&mut self, event: Event) {
+        self.queue.push_back(event);
+        self.process_queue();
+    }
+
+    fn process_queue(&mut self) {
+        while let Some(event) = self.queue.pop_front() {
+            let mut actions = std::mem::take(&mut self.actions);
+            self.core.handle(self.runtime.now(), event, &mut actions);
+            for action in actions.drain(..) {
+                self.perform(action);
+            }
+            self.actions = actions;
+        }
+    }
+
+    fn perform(&mut self, action: Action) {
+        match action {
+            Action::StartAttempt { id, backend, give_up_at, start_by } => {
+                self.start_attempt(id, backend, give_up_at, start_by)
+            }
+            Action::Reject { id, retry_after } => self.reject(id, retry_after),
+            Action::Fail(id) => self.fail(id),
+            Action::Cancel { id, attempt } => self.cancel_attempt(id, attempt),
+            Action::SetTimer { delay, token } => {
+                self.timers.set_core_timer(self.runtime.now() + delay, token)
+            }
+            Action::SendGossip { to, bytes } => self.send_gossip(to, &bytes),
+            Action::CloseIdle(backend) => self.connections.close_idle(backend),
+            Action::Log(text) => tracing::info!(target: "chalkgap::module", "{text}"),
+            // Disabled by the limits that the core is configured with.
+            Action::CheckHealth(_)
+            | Action::AddToCounter { .. }
+            | Action::WatchEndpoints(_)
+            | Action::FetchEndpoints => {}
+        }
+    }
+
+    /// Sends gossip to one peer, or to all.
+    fn send_gossip(&self, to: Option<GatewayId>, bytes: &[u8]) {
+        let Some(gossip) = &self.gossip else { return };
+        let everyone = 0..self.limits.gateway_count;
+        let receivers = to.map_or(everyone, |peer| peer.0..peer.0 + 1);
+        for peer in receivers.filter(|peer| *peer != self.limits.self_id) {
+            // A full queue drops it, as the network may: the core tolerates lost gossip.
+            if gossip.try_send((peer, bytes.to_vec())).is_ok() {
+                add(&self.telemetry.peer_out);
+            }
+        }
+    }
+}
--- /dev/null
+++ b/crates/gateway/src/driver/requests.rs
@@ -0,0 +1,107 @@
+//! Requests: taken, cancelled by their clients, answered, removed.
+
+use super::in_flight::InFlightRequest;
+use super::ledger_entries::{LedgerDecision, LedgerState};
+use super::Driver;
+use crate::messages::{Answer, PendingRequest, Response, Upstream};
+use crate::telemetry::add;
+use chalkgap_core::{Event, Request, RequestId};
+use chalkgap_runtime::Micros;
+
+impl<U: Upstream> Driver<U> {
+    /// Takes a new request, or rejects it if too many are in flight or the ledger cannot record it.
+    pub(super) fn on_request(&mut self, request: Box<PendingRequest<U::Work>>) {
+        add(&self.telemetry.requests);
+        if self.in_flight.len() >= self.limits.max_in_flight {
+            // The core is never shown more than the limit it was configured with.
+            add(&self.telemetry.refused);
+            return reject_untaken(&request, self.limits.rejection_retry_after);
+        }
+        let ledger = match self.reserve_in_ledger() {
+            LedgerDecision::Take(state) => state,
+            LedgerDecision::Reject { retry_after } => {
+                add(&self.telemetry.ledger_refused);
+                return reject_untaken(&request, retry_after);
+            }
+        };
+        if self.ledger.is_some() && matches!(ledger, LedgerState::Unbilled) {
+            add(&self.telemetry.ledger_without);
+        }
+        let core_request = Request {
+            id: request.id,
+            class: request.class,
+            plan: request.customer.plan,
+            customer: request.customer.id,
+            deadline: request.deadline,
+            units: request.units,
+            gateway_count: request.customer.width,
+            first_gateway: request.customer.first,
+        };
+        let in_flight = InFlightRequest { request, attempts: Vec::new(), answered: false, ledger };
+        self.in_flight.insert(core_request.id, in_flight);
+        self.handle(Event::Request(core_request));
+    }
+
+    /// The client has gone: a request without an answer is cancelled.
+    pub(super) fn on_client_gone(&mut self, id: RequestId) {
+        if self.in_flight.get(id).is_none_or(|in_flight| in_flight.answered) {
+            return;
+        }
+        add(&self.telemetry.withdrawn);
+        self.answer(id, Answer::ClientGone);
+        self.handle(Event::ClientCancelled(id));
+        self.remove_if_finished(id);
+    }
+
+    /// Rejects a request that the core has seen.
+    pub(super) fn reject(&mut self, id: RequestId, retry_after: Micros) {
+        add(&self.telemetry.refused);
+        self.answer(id, Answer::Rejected { retry_after });
+        self.remove_if_finished(id);
+    }
+
+    /// Answers a request with a failure: it may have run.
+    pub(super) fn fail(&mut self, id: RequestId) {
+        add(&self.telemetry.failed);
+        let now = self.runtime.now();
+        let late = self.in_flight.get(id).is_some_and(|in_flight| now >= in_flight.request.deadline);
+        self.answer(id, Answer::Failed { late });
+        self.remove_if_finished(id);
+    }
+
+    /// Sends the one final answer of a request; a second one is logged and dropped.
+    pub(super) fn answer(&mut self, id: RequestId, answer: Answer) {
+        let Some(in_flight) = self.in_flight.get_mut(id) else { return };
+        let already_answered = std::mem::replace(&mut in_flight.answered, true);
+        if already_answered {
+            return tracing::error!(id = id.0, ?answer, "second final answer dropped");
+        }
+        // Nobody waits for attempts that are not written yet. The settings may forbid to cancel one that has begun, but not
+        // these.
+        for (number, attempt) in in_flight.attempts_on_connections() {
+            self.connections.cancel_unsent(attempt.connection, id, number);
+        }
+        send_response(&in_flight.request, answer);
+    }
+
+    /// Removes a request that is answered and has no open attempt, and settles it in the ledger.
+    pub(super) fn remove_if_finished(&mut self, id: RequestId) {
+        if !self.in_flight.get(id).is_some_and(InFlightRequest::is_finished) {
+            return;
+        }
+        if self.settle_without_result(id) {
+            self.in_flight.remove(id);
+        }
+    }
+}
+
+/// Rejects a request that the core never sees.
+fn reject_untaken<W>(request: &PendingRequest<W>, retry_after: Micros) {
+    send_response(request, Answer::Rejected { retry_after });
+}
+
+fn send_response<W>(request: &PendingRequest<W>, answer: Answer) {
+    let response = Response { token: request.token, id: request.id, answer };
+    // Never full: the frontend bounds its open requests by the channel's capacity. Closed: the client is gone.
+    let _ = request.response_sender.try_send(response);
+}
--- /dev/null
+++ b/crates/gateway/src/driver/timers.rs
@@ -0,0 +1,62 @@
+//! The points in time at which the driver has to act: timers that the core has set, and deadlines of attempts.
+
+use chalkgap_core::RequestId;
+use chalkgap_runtime::Micros;
+use std::cmp::Reverse;
+use std::collections::BinaryHeap;
+
+/// A timer of the core. Timers that are due at the same time fire in the order in which they were set.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct CoreTimer {
+    due_at: Micros,
+    sequence: u64,
+    token: u32,
+}
+
+/// When an attempt is given up.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+pub(super) struct AttemptDeadline {
+    due_at: Micros,
+    pub id: RequestId,
+    pub attempt: u16,
+}
+
+/// Both queues, each ordered by time.
+#[derive(Default)]
+pub(super) struct Timers {
+    core_timers: BinaryHeap<Reverse<CoreTimer>>,
+    attempt_deadlines: BinaryHeap<Reverse<AttemptDeadline>>,
+    last_sequence: u64,
+}
+
+impl Timers {
+    /// Sets a timer of the core.
+    pub fn set_core_timer(&mut self, due_at: Micros, token: u32) {
+        self.last_sequence += 1;
+        self.core_timers.push(Reverse(CoreTimer { due_at, sequence: self.last_sequence, token }));
+    }
+
+    /// Sets the deadline of an attempt. It is not removed when the attempt ends earlier.
+    pub fn set_attempt_deadline(&mut self, due_at: Micros, id: RequestId, attempt: u16) {
+        self.attempt_deadlines.push(Reverse(AttemptDeadline { due_at, id, attempt }));
+    }
+
+    /// The earliest point in time of both queues.
+    pub fn next_due(&self) -> Option<Micros> {
+        let next_timer = self.core_timers.peek().map(|timer| timer.0.due_at);
+        let next_deadline = self.attempt_deadlines.peek().map(|deadline| deadline.0.due_at);
+        [next_timer, next_deadline].into_iter().flatten().min()
+    }
+
+    /// Removes and returns the next deadline that is due at `now`.
+    pub fn pop_attempt_deadline(&mut self, now: Micros) -> Option<AttemptDeadline> {
+        self.attempt_deadlines.peek().filter(|deadline| deadline.0.due_at <= now)?;
+        self.attempt_deadlines.pop().map(|deadline| deadline.0)
+    }
+
+    /// Removes the next timer of the core that is due at `now` and returns its token.
+    pub fn pop_core_timer(&mut self, now: Micros) -> Option<u32> {
+        self.core_timers.peek().filter(|timer| timer.0.due_at <= now)?;
+        self.core_timers.pop().map(|timer| timer.0.token)
+    }
+}
--- a/crates/gateway/src/instance.rs
+++ b/crates/gateway/src/instance.rs
@@ -153,9 +153,9 @@
         };
         let book = EndpointIds::new(settings.zones.clone(), settings.settings.nodes.most);
         let main = Driver::new(runtime.clone(), figures, telemetry.clone(), core, connections, input)
-            .reading(book)
-            .telling(peers)
-            .booking(desk, settings.clone(), name.clone());
+            .with_endpoint_ids(book)
+            .with_gossip(peers)
+            .with_ledger(desk, settings.clone(), name.clone());
         let nodes = &settings.settings.nodes;
         let mut keep = None;
         if let Some(path) = &nodes.cache {
@@ -167,7 +167,7 @@
             start(Box::pin(sources::keep(runtime.clone(), path.clone(), lists)));
             keep = Some(sender);
         }
-        start(Box::pin(main.keeping(keep).run()));
+        start(Box::pin(main.with_list_cache(keep).run()));
         match &nodes.source {
             ListSource::File { path, every_ms } => {
                 let every = every_ms * 1000;
--- a/crates/gateway/src/messages.rs
+++ b/crates/gateway/src/messages.rs
@@ -1,5 +1,5 @@
-//! What fronts, ways out, sources and the ledger say to the driver, and what it says to them. Beneath all of these: each
-//! knows this room, none has to know another for it.
+//! The messages between the driver and its surroundings: frontends, upstream connections, discovery, peers and the
+//! ledger. They stand apart from all of these, so that none has to depend on another.
 
 use crate::nodes::NodeList;
 use crate::settings::Customer;
@@ -9,202 +9,211 @@
 use chalkgap_runtime::Micros;
 use std::net::SocketAddr;
 
-/// What nodes get of a request.
+/// The part of a request that is forwarded to nodes.
 #[derive(Clone)]
 pub struct Work {
-    /// The framed message.
+    /// The message with its gRPC framing.
     pub(crate) body: Bytes,
-    /// What they drop repeats by.
+    /// The key by which nodes recognize duplicates.
     pub(crate) idempotency_key: Option<Bytes>,
 }
 
-/// A client's request, as a front hands it over. Its work is opaque to the driver: only the way out reads it.
+/// A client's request as a frontend passes it to the driver. The driver does not read `work`; only [`Upstream`] does.
 pub struct PendingRequest<W = Work> {
-    /// Never used twice by an instance.
+    /// Unique within an instance.
     pub id: RequestId,
-    /// Index of its class.
+    /// Index of its class in the settings.
     pub class: u8,
-    /// The name that the ledger keeps it under.
+    /// The account under which the ledger records it.
     pub account: String,
-    /// Whose it is.
+    /// The customer whose quota it uses.
     pub customer: Customer,
-    /// What it draws from the quota.
+    /// Units that it takes from the quota.
     pub units: f64,
-    /// When its client abandons it.
+    /// When its client stops waiting.
     pub deadline: Micros,
-    /// For nodes.
+    /// Forwarded to nodes.
     pub work: W,
-    /// Where its answer goes. The front bounds its asks by the room of this channel.
+    /// Receives the response. The frontend bounds its open requests by the capacity of this channel.
     pub response_sender: Sender<Response>,
-    /// The front's name for it.
+    /// Returned in the response; identifies the call to the frontend.
     pub token: u32,
 }
 
-/// The one thing that a front hears of each ask.
+/// The one response to a [`PendingRequest`].
 pub struct Response {
-    /// The front's name for it.
+    /// The token of the request.
     pub token: u32,
     /// The request.
     pub id: RequestId,
-    /// What became of it.
+    /// Its final answer.
     pub answer: Answer,
 }
 
 /// A final answer.
 #[derive(Debug)]
 pub enum Answer {
-    /// A node's answer.
+    /// A node has answered.
     Served {
-        /// What it gave.
+        /// The body of the node's answer.
         body: Bytes,
-        /// Which one.
+        /// The node's address.
         node: SocketAddr,
     },
-    /// Trying again is harmless.
+    /// The request has not run; it may be retried without risk.
     Rejected {
-        /// How long to keep away; 0: no advice.
+        /// When to retry, in microseconds from now; 0 for no advice.
         retry_after: Micros,
     },
-    /// It may have run.
+    /// The request may have run.
     Failed {
-        /// Its time was over.
+        /// Its deadline has passed.
         late: bool,
     },
-    /// None: the client left.
+    /// No answer, because the client has gone.
     ClientGone,
 }
 
-/// How an attempt ended, as its connection saw it.
+/// The end of an attempt, as its connection saw it.
 #[derive(Debug)]
 pub struct AttemptResult {
     /// The request.
     pub id: RequestId,
-    /// The number of its attempt.
+    /// The number of the attempt within the request.
     pub attempt: u16,
     /// How it ended.
     pub outcome: Outcome,
-    /// The answer, with [`Outcome::Ok`].
+    /// The answer's body, with [`Outcome::Ok`].
     pub body: Bytes,
-    /// The node's load, as it says.
+    /// The node's load report.
     pub report: Option<LoadReport>,
-    /// The customer's metered use, where nodes tell it.
+    /// The customer's metered use, from nodes that report it.
     pub metered_use: Option<f64>,
-    /// What the node says it used.
+    /// Units that the node reports as used.
     pub used_units: Option<u32>,
-    /// It ran nothing, as the request's key had come before.
+    /// The node ran nothing, because it had seen the request's idempotency key before.
     pub deduplicated: bool,
 }
 
 impl AttemptResult {
-    /// An attempt that brought nothing back.
+    /// The result of an attempt that received no answer.
     pub fn without_answer(id: RequestId, attempt: u16, outcome: Outcome) -> Self {
-        let (body, report, metered, units, repeat) = (Bytes::new(), None, None, None, false);
         AttemptResult {
             id,
             attempt,
             outcome,
-            body,
-            report,
-            metered_use: metered,
-            used_units: units,
-            deduplicated: repeat,
+            body: Bytes::new(),
+            report: None,
+            metered_use: None,
+            used_units: None,
+            deduplicated: false,
         }
     }
 }
 
-/// What happens to an instance.
+/// An event that the driver handles.
 pub enum DriverEvent<W = Work> {
-    /// A client asks.
+    /// A client's request has arrived.
     Request(Box<PendingRequest<W>>),
-    /// A client left.
+    /// The client of a request has gone.
     ClientGone(RequestId),
-    /// An attempt ended.
+    /// An attempt has ended.
     AttemptEnded(Box<AttemptResult>),
-    /// A connection to a node has ended, or will with the attempt that is out on it.
+    /// A connection to a node has closed, or will when its last attempt ends.
     ConnectionClosed {
-        /// Its number.
+        /// The connection's number.
         connection: u64,
         /// It broke as soon as it was written to.
         broke_on_first_write: bool,
     },
-    /// A message of a peer.
+    /// Gossip has arrived.
     Gossip {
-        /// The sender's number.
+        /// The id of the sending peer.
         from: u16,
         /// The message.
         bytes: Vec<u8>,
     },
-    /// The view of the fleet has lost a peer, or has it again.
+    /// The membership has lost a peer, or regained it.
     PeerReachability {
-        /// Its number.
+        /// The id of the peer.
         peer: u16,
-        /// It counts as in.
+        /// Whether it counts as a member now.
         reachable: bool,
     },
-    /// A whole list of nodes.
+    /// A complete list of nodes.
     NodeList {
         /// The list.
         list: Box<NodeList>,
-        /// It was kept from an earlier life.
+        /// It was read from the cache of an earlier incarnation.
         cached: bool,
     },
-    /// A list, or changes to it, already in the module's words.
+    /// A snapshot of the endpoints, or a change to them, in the core's types.
     Endpoints {
-        /// How to read it.
+        /// Whether it is a snapshot or a change.
         update: EndpointUpdate,
-        /// Its lines, with where each node listens.
+        /// The endpoints with their addresses.
         endpoints: Vec<(Endpoint, SocketAddr)>,
     },
-    /// The ledger's disk has more, or has failed.
+    /// More ledger entries are durable, or the ledger's disk has failed.
     LedgerProgress,
 }
 
-/// An attempt to be made.
+/// An attempt that is to be made.
 pub struct OutboundAttempt<W = Work> {
     /// The request.
     pub id: RequestId,
-    /// The number of the attempt.
+    /// The number of the attempt within the request.
     pub attempt: u16,
-    /// Index of the class.
+    /// Index of the request's class in the settings.
     pub class: u8,
-    /// What the front handed over.
+    /// Forwarded to the node.
     pub work: W,
-    /// When the request's entry in the ledger was written.
+    /// When the request's ledger entry was written.
     pub ledger_entry_at: Option<Micros>,
     /// When the attempt is given up.
     pub deadline: Micros,
-    /// Nothing of it may be written any more after this.
+    /// After this, an attempt that has not begun must not begin.
     pub start_by: Option<Micros>,
 }
 
-/// A way out: connections to nodes in some protocol. What is started ends with [`DriverEvent::AttemptEnded`], and the driver ends it
-/// by its own clock whatever the connection says. An implementation's counts bound what it is handed.
+/// Connections to nodes in some protocol.
+///
+/// Each attempt that [`start`](Upstream::start) accepts ends with one [`DriverEvent::AttemptEnded`]; the driver also ends
+/// it at its deadline, whatever the connection reports. An implementation bounds the attempts it accepts.
 pub trait Upstream: Send {
-    /// What a front hands over for nodes.
+    /// The part of a request that is forwarded to nodes.
     type Work: Clone + Send + 'static;
-    /// Hands a call to a connection and gives the connection's number; none: there is no room, nothing was written.
+
+    /// Hands an attempt to a connection and returns the connection's number. `None`: there is no capacity, and nothing
+    /// was written.
     fn start(
         &mut self,
         backend: BackendId,
         address: SocketAddr,
         call: OutboundAttempt<Self::Work>,
     ) -> Option<u64>;
-    /// An attempt is called off, or its time is up.
-    fn stop(&mut self, connection: u64, id: RequestId, attempt: u16);
-    /// Nobody waits for a call any more, or its backend may get nothing new: if nothing of it was written, nothing is, and
-    /// it ends as moot. One that has begun goes on.
-    fn withdraw(&mut self, connection: u64, id: RequestId, attempt: u16);
-    /// A call of this connection has ended.
-    fn ended(&mut self, connection: u64);
-    /// The connection has ended, or will with the attempt that is out on it; `broke`: as soon as it was written to.
-    fn closed(&mut self, _link: u64, _broke: bool) {}
-    /// Forgets nodes that are not listed: their connections end with their last call.
+
+    /// Cancels an attempt, or ends it at its deadline.
+    fn cancel(&mut self, connection: u64, id: RequestId, attempt: u16);
+
+    /// Cancels an attempt if nothing of it was written; it then ends with [`Outcome::NotSent`]. One that has begun
+    /// continues.
+    fn cancel_unsent(&mut self, connection: u64, id: RequestId, attempt: u16);
+
+    /// An attempt on this connection has ended.
+    fn attempt_finished(&mut self, connection: u64);
+
+    /// The connection has closed, or will when its last attempt ends.
+    fn connection_closed(&mut self, _connection: u64, _broke_on_first_write: bool) {}
+
+    /// Drops the pools of backends that are no longer listed: their connections close after their last attempt.
     fn retain(&mut self, listed: &dyn Fn(BackendId) -> bool);
-    /// Closes the idle connections to a node.
+
+    /// Closes the idle connections to a backend.
     fn close_idle(&mut self, backend: BackendId);
 }
 
-/// What nodes see a request of a start's name as.
-pub(crate) fn request_name(name: &str, id: RequestId) -> String {
-    format!("{name}-{}", id.0)
+/// The id under which nodes see a request: unique over all instances and their restarts.
+pub(crate) fn node_request_id(instance_name: &str, id: RequestId) -> String {
+    format!("{instance_name}-{}", id.0)
 }
--- a/crates/gateway/src/upstream.rs
+++ b/crates/gateway/src/upstream.rs
@@ -1,7 +1,7 @@
 //! Connections to nodes: HTTP/2, pooled, one gRPC call an attempt. Each connection is a task; [`Connections`] is the
 //! driver's side of them. What passed on the connection gives the outcome; when in doubt the attempt may have run.
 
-use crate::messages::{self, request_name, AttemptResult, DriverEvent, Upstream, Work};
+use crate::messages::{self, node_request_id, AttemptResult, DriverEvent, Upstream, Work};
 use crate::settings::Compiled;
 use async_channel::{Receiver, Sender};
 use bytes::Bytes;
@@ -130,15 +130,15 @@
         Some(number)
     }
 
-    fn stop(&mut self, connection: u64, id: RequestId, attempt: u16) {
+    fn cancel(&mut self, connection: u64, id: RequestId, attempt: u16) {
         self.command(connection, Command::Stop { id, attempt });
     }
 
-    fn withdraw(&mut self, connection: u64, id: RequestId, attempt: u16) {
+    fn cancel_unsent(&mut self, connection: u64, id: RequestId, attempt: u16) {
         self.command(connection, Command::Withdraw { id, attempt });
     }
 
-    fn ended(&mut self, connection: u64) {
+    fn attempt_finished(&mut self, connection: u64) {
         let Some(l) = self.connections.get_mut(&connection) else { return };
         l.out = l.out.saturating_sub(1);
         if l.out == 0 && !self.pools.contains_key(&l.backend) {
@@ -354,7 +354,7 @@
                 Field::constant("content-type", "application/grpc"),
                 Field::constant("te", "trailers"),
                 Field::new("grpc-timeout", grpc::format_timeout(left)),
-                Field::new(intake::REQUEST, request_name(&self.world.name, call.id)),
+                Field::new(intake::REQUEST, node_request_id(&self.world.name, call.id)),
             ];
             if let Some(at) = call.ledger_entry_at {
                 fields.push(Field::new(truth::ENTERED, at.to_string()));
--- a/crates/platform/src/backend.rs
+++ b/crates/platform/src/backend.rs
@@ -99,34 +99,34 @@
         };
         let sent = self.commands.get(&number).map(|c| c.try_send(Command::Start(Box::new(call))));
         if !matches!(sent, Some(Ok(()))) {
-            self.closed(number, false);
-            self.ended(number);
+            self.connection_closed(number, false);
+            self.attempt_finished(number);
             return None;
         }
         Some(number)
     }
 
-    fn stop(&mut self, connection: u64, id: RequestId, attempt: u16) {
+    fn cancel(&mut self, connection: u64, id: RequestId, attempt: u16) {
         if let Some(commands) = self.commands.get(&connection) {
             // Full: it was told already. To give an attempt up is to end its connection.
             let _ = commands.try_send(Command::Stop { id, attempt });
-            self.closed(connection, false);
+            self.connection_closed(connection, false);
         }
     }
 
-    fn withdraw(&mut self, connection: u64, id: RequestId, attempt: u16) {
+    fn cancel_unsent(&mut self, connection: u64, id: RequestId, attempt: u16) {
         if let Some(commands) = self.commands.get(&connection) {
             let _ = commands.try_send(Command::Withdraw { id, attempt }); // full: it was told already
         }
     }
 
-    fn ended(&mut self, connection: u64) {
+    fn attempt_finished(&mut self, connection: u64) {
         if !self.pool.free(self.world.runtime.now(), connection) {
             self.commands.remove(&connection);
         }
     }
 
-    fn closed(&mut self, connection: u64, broke: bool) {
+    fn connection_closed(&mut self, connection: u64, broke: bool) {
         if self.pool.closed(self.world.runtime.now(), connection, broke) {
             self.commands.remove(&connection);
         }
--- a/crates/platform/src/ingress.rs
+++ b/crates/platform/src/ingress.rs
@@ -157,8 +157,8 @@
             rejection_retry_after: if limits.retry_after { limits.max_retry_after } else { 0 },
         };
         let core = Gateway::new(terms.settings.clone(), config.seed, runtime.now());
-        let main =
-            Driver::new(runtime.clone(), figures, telemetry.clone(), core, connections, input).telling(told);
+        let main = Driver::new(runtime.clone(), figures, telemetry.clone(), core, connections, input)
+            .with_gossip(told);
         let mut roster = Roster::new(terms.zone_names.clone(), terms.machine_kinds.clone());
         if let Some(list) = &config.known {
             let (kind, lines) = roster.known(runtime.now(), list);
