--- /dev/null
+++ b/crates/gateway/src/connection_gate/config.rs
@@ -0,0 +1,71 @@
+//! Configuration of a connection gate.
+
+use crate::settings::Compiled;
+use chalkgap_admission::known::Places as KnownClientLimits;
+use chalkgap_admission::pace::Pace as MinimumThroughput;
+use chalkgap_admission::{Block, Caps, Split};
+use std::path::PathBuf;
+
+/// The smallest capacity for addresses without a connection that the decider remembers.
+const MIN_REMEMBERED_ADDRESSES: usize = 1024;
+
+/// Configuration of a [`ConnectionGate`](super::ConnectionGate).
+pub struct ConnectionGateConfig {
+    /// How the process's file descriptors are divided.
+    pub split: Split,
+    /// An upper bound on the descriptors in use, below the process's own limit.
+    pub max_descriptors: u64,
+    /// Limits of connection admission.
+    pub caps: Caps,
+    /// How many addresses are remembered as known clients, and for how long.
+    pub known_clients: KnownClientLimits,
+    /// Blocks of addresses that always count as known clients.
+    pub always_known: Vec<Block>,
+    /// The file in which known clients are stored; `None`: they are forgotten at a restart.
+    pub known_clients_file: Option<PathBuf>,
+    /// Below which throughput a client counts as too slow.
+    pub minimum_throughput: MinimumThroughput,
+}
+
+impl ConnectionGateConfig {
+    /// The configuration that the settings describe.
+    pub(crate) fn new(settings: &Compiled) -> ConnectionGateConfig {
+        let admission = &settings.settings.admission;
+        let descriptors = &settings.settings.descriptors;
+        let frontend = &settings.settings.front;
+        ConnectionGateConfig {
+            split: Split {
+                listeners: descriptors.listeners,
+                nodes: descriptors.nodes,
+                peers: descriptors.peers,
+                files: descriptors.files,
+                spare: descriptors.spare,
+                most_clients: frontend.max_connections as u64,
+            },
+            max_descriptors: u64::MAX,
+            caps: Caps {
+                per_address: admission.per_address,
+                per_prefix: admission.per_prefix,
+                per_second: admission.per_second,
+                handshakes: admission.handshakes,
+                handshakes_per_address: admission.handshakes_per_address,
+                reserve: admission.reserve,
+                preferred: admission.preferred,
+                remembered: admission.known.max(MIN_REMEMBERED_ADDRESSES),
+                words_per_s: admission.words_per_s,
+                gives_way: None,
+            },
+            known_clients: KnownClientLimits {
+                most: admission.known,
+                per_account: admission.known_per_account,
+                lasts: admission.known_for_s.saturating_mul(1_000_000),
+            },
+            always_known: settings.named.clone(),
+            known_clients_file: admission.snapshot.clone(),
+            minimum_throughput: MinimumThroughput {
+                patience: frontend.patience_ms * 1000,
+                bytes_per_s: admission.bytes_per_s,
+            },
+        }
+    }
+}
--- a/crates/gateway/src/front/grpc.rs
+++ b/crates/gateway/src/front/grpc.rs
@@ -1,7 +1,7 @@
 //! The public gRPC rate limit service (`envoy.service.ratelimit.v3.RateLimitService`) and its health check.
 
-use super::{Bad, Demand, Frontend, FrontendContext, WORD};
-use crate::gate::Permit;
+use super::{request_end, Bad, Demand, Frontend, FrontendContext, WORD};
+use crate::connection_gate::{Permit, RequestEnd};
 use crate::messages::{Answer, DriverEvent, PendingRequest, Response};
 use crate::telemetry::add;
 use async_channel::Sender;
@@ -109,7 +109,7 @@
     // As many as `unheard` allows, below: room made beforehand would cost an idle connection its hundreds of KiB.
     let (reply, replies) = async_channel::unbounded();
     let runtime = context.runtime.clone();
-    let begun = permit.own_time();
+    let begun = permit.time_without_stalls();
     let mut pipe =
         Pipe::new(runtime.clone(), stream, Connection::server(config), replies, permit.signal.clone());
     let mut s = Session {
@@ -150,7 +150,7 @@
                 let draining = s.permit.draining();
                 if !draining && !s.calls.is_empty() {
                     // To be evicted, but a request was taken meanwhile.
-                    let signal = s.permit.stays();
+                    let signal = s.permit.refuse_eviction();
                     pipe.watch(signal);
                 } else {
                     s.draining = true;
@@ -171,7 +171,7 @@
         s.events(&mut pipe).await;
         if !greeted && pipe.conn.greeted() {
             greeted = true;
-            s.permit.handshaken();
+            s.permit.handshake_completed();
         }
         if pipe.conn.finished() {
             break;
@@ -189,7 +189,7 @@
 
     /// When something here may have become too slow, at the latest.
     fn until(&mut self, pipe: &Pipe<Response>, begun: Micros) -> Micros {
-        let (pace, received, now) = (self.permit.pace(), pipe.conn.received(), self.time());
+        let (pace, received, now) = (self.permit.minimum_throughput(), pipe.conn.received(), self.time());
         if !pipe.conn.midway() {
             self.midway = None;
         } else if self.midway.is_none() {
@@ -212,7 +212,8 @@
 
     /// Gives up what is too slow by now; says why, where that is the connection. What has come was read before.
     fn too_slow(&mut self, pipe: &mut Pipe<Response>, begun: Micros) -> Option<&'static str> {
-        let (pace, now, received) = (self.permit.pace(), self.permit.own_time(), pipe.conn.received());
+        let (pace, now, received) =
+            (self.permit.minimum_throughput(), self.permit.time_without_stalls(), pipe.conn.received());
         self.still = self.context.runtime.now().saturating_sub(now);
         if !pipe.conn.greeted() && now >= begun + pace.patience {
             return Some("no SETTINGS in time");
@@ -293,7 +294,7 @@
                     match asked {
                         Ok(Some(ask)) => {
                             self.unheard += 1;
-                            self.permit.request();
+                            self.permit.request_started();
                             if pipe.hand_over(&self.context.driver, DriverEvent::Request(ask)).await
                                 != Some(true)
                             {
@@ -350,9 +351,10 @@
             return false;
         }
         let front = &self.context.settings.settings.front;
-        let (body, arrived, begun) = (Deframer::new(front.most_message), self.permit.came(), self.time());
+        let (body, arrived, begun) =
+            (Deframer::new(front.most_message), self.permit.earliest_arrival(), self.time());
         let timeout = timeout.flatten();
-        self.look = self.look.or(Some(begun + self.permit.pace().patience));
+        self.look = self.look.or(Some(begun + self.permit.minimum_throughput().patience));
         self.calls.insert(stream, Call::Reading { health, body, arrived, timeout, begun, bytes: 0 });
         true
     }
@@ -405,13 +407,12 @@
         // A client that reset the call and a reply that crossed it: nobody is there to be told.
         let same = |c: &Call| matches!(c, Call::Waiting { id, .. } if *id == r.id);
         if !self.calls.get(&r.token).is_some_and(same) {
-            return self.permit.ended(None, false);
+            return self.permit.request_ended(RequestEnd::Other);
         }
         let Some(Call::Waiting { descriptors, account, preferred, .. }) = self.calls.remove(&r.token) else {
             return;
         };
-        let served = matches!(r.answer, Answer::Served { .. }).then_some((account, preferred));
-        self.permit.ended(served, matches!(r.answer, Answer::Rejected { .. }));
+        self.permit.request_ended(request_end(&r.answer, account, preferred));
         let header = |key: &str, value: String| HeaderValue { key: key.into(), value };
         let response = match r.answer {
             Answer::Served { body, node } => RateLimitResponse {
--- a/crates/gateway/src/front/mod.rs
+++ b/crates/gateway/src/front/mod.rs
@@ -5,8 +5,8 @@
 pub(crate) mod grpc;
 pub(crate) mod mqtt;
 
-use crate::gate::{ConnectionGate, Permit, Rejection};
-use crate::messages::{self, DriverEvent, PendingRequest, Response};
+use crate::connection_gate::{ConnectionGate, Permit, Rejection, RequestEnd};
+use crate::messages::{self, Answer, DriverEvent, PendingRequest, Response};
 use crate::settings::{Compiled, KeyRule};
 use crate::telemetry::{add, Telemetry};
 use async_channel::{Receiver, Sender};
@@ -100,6 +100,15 @@
     Units { most: u32, found: u32 },
 }
 
+/// How the connection gate counts a request with this answer.
+pub(crate) fn request_end(answer: &Answer, account: u64, preferred: bool) -> RequestEnd {
+    match answer {
+        Answer::Served { .. } => RequestEnd::Served { account, preferred },
+        Answer::Rejected { .. } => RequestEnd::Rejected,
+        Answer::Failed { .. } | Answer::ClientGone => RequestEnd::Other,
+    }
+}
+
 /// How long a refused client may take to read why, in microseconds.
 pub(crate) const WORD: Micros = 200_000;
 
@@ -136,7 +145,7 @@
                 continue;
             }
         };
-        match at.gate.offer(stream.peer().ip()) {
+        match at.gate.admit(stream.peer().ip()) {
             Ok(permit) => {
                 add(&at.telemetry.connections);
                 at.open.fetch_add(1, Ordering::Relaxed);
--- a/crates/gateway/src/front/mqtt.rs
+++ b/crates/gateway/src/front/mqtt.rs
@@ -1,8 +1,8 @@
 //! The MQTT front (5.0 and 3.1.1): a publish is a request. Its answer is the PUBACK of QoS 1, the PUBREC of QoS 2, and a
 //! message to its response topic where it has one. QoS 0 without one has no answer, and is decided all the same.
 
-use super::{Bad, Demand, Frontend, FrontendContext, WORD};
-use crate::gate::Permit;
+use super::{request_end, Bad, Demand, Frontend, FrontendContext, WORD};
+use crate::connection_gate::Permit;
 use crate::ledger::lock;
 use crate::messages::{Answer, DriverEvent, PendingRequest, Response};
 use crate::settings::{self, Part};
@@ -368,7 +368,7 @@
         if pipe.conn.closed() {
             break;
         }
-        let pace = c.permit.pace();
+        let pace = c.permit.minimum_throughput();
         let quiet = if pipe.conn.open() {
             pipe.conn.patience().map(|s| heard + (s * 1e6) as Micros)
         } else {
@@ -418,7 +418,7 @@
                     pipe.conn.disconnect(reason::SERVER_BUSY, Some("idle, and others need the room"));
                     break;
                 } else {
-                    let signal = c.permit.stays();
+                    let signal = c.permit.refuse_eviction();
                     pipe.watch(signal);
                 }
             }
@@ -535,7 +535,7 @@
             pipe.conn.keep_alive(s.keep_alive_s);
         }
         pipe.conn.accept(session, Properties(list));
-        self.permit.handshaken();
+        self.permit.handshake_completed();
         add(&self.context.telemetry.mqtt_connected);
     }
 
@@ -603,7 +603,7 @@
             }
         }
         let timeout = timeout.into_iter().chain(expiry).min();
-        let arrived = self.permit.came();
+        let arrived = self.permit.earliest_arrival();
         let units = units.max(1);
         Ok(Demand { account, class: Some(class), key, units, arrived, timeout, entries, payload })
     }
@@ -634,7 +634,7 @@
                 let preferred = self.context.settings.preferred[usize::from(ask.customer.plan)];
                 let (qos, packet) = (p.qos, p.packet);
                 self.waiting.insert(token, Waiting { id, qos, packet, answer_to, account, preferred });
-                self.permit.request();
+                self.permit.request_started();
                 let _ = self.context.driver.send(DriverEvent::Request(Box::new(ask))).await;
                 // closed: the instance has stopped
             }
@@ -648,8 +648,7 @@
     /// The publish that a word is for; the gate hears how it ended.
     fn known(&mut self, r: &Response) -> Option<Waiting> {
         let w = self.waiting.remove(&r.token)?;
-        let served = matches!(r.answer, Answer::Served { .. }).then_some((w.account, w.preferred));
-        self.permit.ended(served, matches!(r.answer, Answer::Rejected { .. }));
+        self.permit.request_ended(request_end(&r.answer, w.account, w.preferred));
         Some(w)
     }
 
--- a/crates/gateway/src/instance.rs
+++ b/crates/gateway/src/instance.rs
@@ -1,10 +1,10 @@
 //! An instance: its parts put together, and the handle to it.
 
+use crate::connection_gate::{ConnectionGate, ConnectionGateConfig};
 use crate::driver::{Driver, DriverLimits};
 use crate::error::StartError;
 use crate::fleet::{Fleet, ShownView};
 use crate::front::{self, grpc::Grpc, mqtt::Mqtt, Acceptor, FrontendContext};
-use crate::gate::{ConnectionGate, ConnectionGateConfig};
 use crate::ledger::Desk;
 use crate::messages::DriverEvent;
 use crate::nodes::{EndpointIds, NodeList};
@@ -80,7 +80,7 @@
             file: "settings".into(),
             complaints: vec![format!("settings.descriptors: {e}")],
         })?;
-        gate.restore().await;
+        gate.load_known_clients().await;
         if let Some((front, _)) = &mqtt {
             front.restore(&runtime).await;
         }
@@ -194,7 +194,7 @@
         let ids = Arc::new(AtomicU64::new(1));
         let context =
             FrontendContext { acceptor: acceptor.clone(), settings: settings.clone(), driver, ids, name };
-        start(Box::pin(gate.watch()));
+        start(Box::pin(gate.run()));
         if let Some((front, listener)) = mqtt {
             start(Box::pin(front.clone().watch(runtime.clone())));
             start(Box::pin(front::listen(front, context.clone(), acceptor.clone(), listener)));
@@ -254,7 +254,7 @@
         if let Some(fleet) = &self.fleet {
             fleet.leave().await;
         }
-        self.gate.keep().await;
+        self.gate.store_known_clients().await;
         let mut whole = true;
         while whole && self.open.load(Ordering::Relaxed) > 0 {
             let now = self.runtime.now();
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -11,11 +11,12 @@
 //! - [`peers`]: authenticated datagrams between ingresses
 //! - [`telemetry`]: what is counted
 
+mod connection_gate;
 mod driver;
 mod error;
 pub mod fleet;
 mod front;
-mod gate;
+
 mod instance;
 mod ledger;
 mod messages;
@@ -29,9 +30,9 @@
 /// What a protocol in a package of its own is built on: the driver that owns the module, what goes in and out of it, and
 /// the gate that lets connections in. An [`Instance`] is put together from the same parts.
 pub mod frontend {
+    pub use crate::connection_gate::{ConnectionGate, ConnectionGateConfig, Permit, RequestEnd};
     pub use crate::driver::{Driver, DriverLimits};
     pub use crate::front::{listen, Acceptor, Frontend};
-    pub use crate::gate::{ConnectionGate, ConnectionGateConfig, Permit};
     pub use crate::messages::{
         Answer, AttemptResult, DriverEvent, OutboundAttempt, PendingRequest, Response, Upstream,
     };
--- a/crates/platform/src/front.rs
+++ b/crates/platform/src/front.rs
@@ -3,7 +3,9 @@
 use crate::request::{Grammar, Request, Work};
 use crate::session::{Heard, Session, MOST_OPEN};
 use async_channel::Sender;
-use chalkgap::frontend::{Answer, Customer, DriverEvent, Frontend, PendingRequest, Permit, Response};
+use chalkgap::frontend::{
+    Answer, Customer, DriverEvent, Frontend, PendingRequest, Permit, RequestEnd, Response,
+};
 use chalkgap::telemetry::{add, Telemetry};
 use chalkgap_core::{CustomerId, RequestId};
 use chalkgap_runtime::{BoxFuture, Micros, Shared, Stream};
@@ -149,7 +151,7 @@
                     } else if pipe.conn.idle() && !sending {
                         pipe.conn.stop();
                     } else {
-                        pipe.watch(self.permit.stays());
+                        pipe.watch(self.permit.refuse_eviction());
                     }
                 }
                 Turn::Time => {
@@ -177,7 +179,7 @@
                 break;
             }
             if before == 0 && pipe.conn.commands() > 0 {
-                self.permit.handshaken();
+                self.permit.handshake_completed();
             }
             // Who sends without a pause always has the beginning of the next command here: only one that does not grow
             // whole is half a command.
@@ -200,7 +202,7 @@
         loop {
             let next = pipe.conn.next(|id| self.context.open().insert(id));
             let Some(Heard { token, request }) = next else { return true };
-            self.permit.request();
+            self.permit.request_started();
             let id = request.id;
             let ask = self.context.ask(token, request, self.reply.clone());
             self.asked.insert(token, (ask.id, id));
@@ -215,15 +217,15 @@
     fn answered(&mut self, reply: Response, session: &mut Session) {
         let Some((_, id)) = self.asked.remove(&reply.token) else { return };
         self.context.open().remove(&id);
-        let refused = matches!(reply.answer, Answer::Rejected { .. });
-        self.permit.ended(None, refused);
+        let rejected = matches!(reply.answer, Answer::Rejected { .. });
+        self.permit.request_ended(if rejected { RequestEnd::Rejected } else { RequestEnd::Other });
         session.answered(reply.token, reply.answer);
     }
 
     /// The process will be killed soon: what is still open has failed.
     async fn overtime(&mut self, session: &mut Session) {
         for token in self.give_up().await {
-            self.permit.ended(None, false);
+            self.permit.request_ended(RequestEnd::Other);
             session.answered(token, Answer::Failed { late: true });
         }
         session.refuse_rest();
--- a/crates/platform/src/ingress.rs
+++ b/crates/platform/src/ingress.rs
@@ -80,7 +80,7 @@
 fn gate(sockets: u64) -> ConnectionGateConfig {
     ConnectionGateConfig {
         split: split(sockets),
-        most: sockets,
+        max_descriptors: sockets,
         // All clients come by one front, from addresses that say nothing: nobody is told apart by them.
         caps: Caps {
             per_address: u32::MAX,
@@ -96,10 +96,10 @@
             // client a connection, where a newcomer that is refused loses a request.
             gives_way: Some(GivesWay { from: sockets / 4, silent: 50_000, idle: 50_000 }),
         },
-        places: Places { most: 64, per_account: 4, lasts: 60_000_000 },
-        named: Vec::new(),
-        snapshot: None,
-        pace: Pace { patience: 2_000_000, bytes_per_s: 1 },
+        known_clients: Places { most: 64, per_account: 4, lasts: 60_000_000 },
+        always_known: Vec::new(),
+        known_clients_file: None,
+        minimum_throughput: Pace { patience: 2_000_000, bytes_per_s: 1 },
     }
 }
 
@@ -210,7 +210,7 @@
             open: Arc::default(),
             overtime: overtime.clone(),
         };
-        start(Box::pin(gate.clone().watch()));
+        start(Box::pin(gate.clone().run()));
         start(Box::pin(listen(Resp, context, acceptor, listener)));
         tracing::info!(ingress = config.name, list, %address, "started");
         Ok(Ingress {
@@ -239,7 +239,7 @@
 
     /// How many of clients' connections are open.
     pub fn open(&self) -> usize {
-        self.gate.open()
+        self.gate.open_connections()
     }
 
     /// Takes a new configuration: discovery's address. All else is for the next start.
