--- a/crates/gateway/src/driver/requests.rs
+++ b/crates/gateway/src/driver/requests.rs
@@ -34,8 +34,8 @@
             customer: request.customer.id,
             deadline: request.deadline,
             units: request.units,
-            gateway_count: request.customer.width,
-            first_gateway: request.customer.first,
+            gateway_count: request.customer.gateway_count,
+            first_gateway: request.customer.first_gateway,
         };
         let in_flight = InFlightRequest { request, attempts: Vec::new(), answered: false, ledger };
         self.in_flight.insert(core_request.id, in_flight);
--- a/crates/gateway/src/settings/script.rs
+++ b/crates/gateway/src/settings/script.rs
@@ -1,49 +1,51 @@
-//! Settings are a Starlark script that binds `settings` to a dictionary. It runs by itself: bounded steps, calls and
-//! memory, no `load`, nothing of the outside but the values that the caller gives it as `given`.
+//! Runs the Starlark script that holds the settings. It is isolated: steps, call depth and memory are bounded, `load` is
+//! disabled, and its only input are the values that the caller passes as `given`.
 
 use super::SettingsError;
 use starlark::environment::{Globals, Module};
 use starlark::eval::Evaluator;
 use starlark::syntax::{AstModule, Dialect};
+use starlark::values::dict::AllocDict;
 
-/// Bytes of a script.
-pub const MOST_SCRIPT: u64 = 1 << 20;
-const MOST_HEAP: usize = 64 << 20;
-const MOST_TICKS: u64 = 5_000_000;
-const MOST_CALLS: usize = 50;
+/// Most bytes of a script.
+pub const MAX_SCRIPT_BYTES: u64 = 1 << 20;
+const MAX_HEAP_BYTES: usize = 64 << 20;
+const MAX_TICKS: u64 = 5_000_000;
+const MAX_CALL_DEPTH: usize = 50;
 
-/// Runs a script and gives the value that it bound to `name`. Each of `given` is text that the script reads as
-/// `given["KEY"]`.
+/// Runs a script and returns the value of its variable `name`. The script reads the pairs of `given` as `given["KEY"]`.
 ///
 /// # Errors
-/// The script cannot be read or run, with line and column; it passed a bound; it binds no `name`; the value holds
-/// something that JSON has no form for.
+/// [`SettingsError::Script`]: the script cannot be parsed or run, exceeds a bound, does not set `name`, or sets it to a
+/// value that JSON cannot express.
 pub fn run(
     file: &str,
     text: String,
     given: &[(String, String)],
     name: &str,
 ) -> Result<serde_json::Value, SettingsError> {
-    let failed = |e: String| SettingsError::Script { file: file.into(), what: e };
-    if text.len() as u64 > MOST_SCRIPT {
-        return Err(failed(format!("the script has {} bytes, at most {MOST_SCRIPT} are read", text.len())));
+    let failed = |what: String| SettingsError::Script { file: file.into(), what };
+    if text.len() as u64 > MAX_SCRIPT_BYTES {
+        let bytes = text.len();
+        return Err(failed(format!("the script has {bytes} bytes, at most {MAX_SCRIPT_BYTES} are read")));
     }
     let dialect = Dialect { enable_load: false, enable_top_level_stmt: true, ..Dialect::Standard };
-    let ast = AstModule::parse(file, text, &dialect).map_err(|e| failed(e.to_string()))?;
+    let ast = AstModule::parse(file, text, &dialect).map_err(|error| failed(error.to_string()))?;
     Module::with_temp_heap(|module| {
-        let map = module.heap().alloc(starlark::values::dict::AllocDict(given.iter().cloned()));
-        module.set("given", map);
+        let given = module.heap().alloc(AllocDict(given.iter().cloned()));
+        module.set("given", given);
         {
-            let mut eval = Evaluator::new(&module);
-            let bounds = eval
-                .set_max_callstack_size(MOST_CALLS)
-                .and_then(|()| eval.set_max_heap_size(MOST_HEAP))
-                .and_then(|()| eval.set_max_tick_count(MOST_TICKS));
-            bounds.map_err(|e| failed(e.to_string()))?;
-            eval.eval_module(ast, &Globals::standard()).map_err(|e| failed(e.to_string()))?;
+            let mut evaluator = Evaluator::new(&module);
+            let bounded = evaluator
+                .set_max_callstack_size(MAX_CALL_DEPTH)
+                .and_then(|()| evaluator.set_max_heap_size(MAX_HEAP_BYTES))
+                .and_then(|()| evaluator.set_max_tick_count(MAX_TICKS));
+            bounded.map_err(|error| failed(error.to_string()))?;
+            let evaluated = evaluator.eval_module(ast, &Globals::standard());
+            evaluated.map_err(|error| failed(error.to_string()))?;
         }
         let value =
             module.get(name).ok_or_else(|| failed(format!("expected the script to bind `{name}`")))?;
-        value.to_json_value().map_err(|e| failed(format!("`{name}`: {e}")))
+        value.to_json_value().map_err(|error| failed(format!("`{name}`: {error}")))
     })
 }
--- a/crates/platform/src/front.rs
+++ b/crates/platform/src/front.rs
@@ -49,7 +49,8 @@
 
     fn ask(&self, token: u32, request: Request, reply: Sender<Response>) -> PendingRequest<Work> {
         let Request { customer, class, plan, wait, units, width, first, work, .. } = request;
-        let customer = Customer { id: CustomerId(customer), plan, first, width };
+        let customer =
+            Customer { id: CustomerId(customer), plan, first_gateway: first, gateway_count: width };
         let deadline = self.runtime.now() + wait.saturating_sub(MARGIN);
         let id = RequestId(self.ids.fetch_add(1, Ordering::Relaxed));
         PendingRequest {
