--- a/crates/platform/src/backend/mod.rs
+++ b/crates/platform/src/backend/mod.rs
@@ -117,35 +117,35 @@
         let start = ConnectionCommand::Start(Box::new(attempt));
         let sent = self.commands.get(&number).map(|commands| commands.try_send(start));
         if !matches!(sent, Some(Ok(()))) {
-            self.closed(number, false);
-            self.ended(number);
+            self.connection_closed(number, false);
+            self.attempt_finished(number);
             return None;
         }
         Some(number)
     }
 
-    fn stop(&mut self, connection: u64, id: RequestId, attempt: u16) {
+    fn cancel(&mut self, connection: u64, id: RequestId, attempt: u16) {
         if let Some(commands) = self.commands.get(&connection) {
             // If the queue is full, the task was notified already. To cancel an attempt is to close its connection.
             let _ = commands.try_send(ConnectionCommand::Stop { id, attempt });
-            self.closed(connection, false);
+            self.connection_closed(connection, false);
         }
     }
 
-    fn withdraw(&mut self, connection: u64, id: RequestId, attempt: u16) {
+    fn cancel_unsent(&mut self, connection: u64, id: RequestId, attempt: u16) {
         if let Some(commands) = self.commands.get(&connection) {
             // If the queue is full, the task was notified already.
             let _ = commands.try_send(ConnectionCommand::Withdraw { id, attempt });
         }
     }
 
-    fn ended(&mut self, connection: u64) {
+    fn attempt_finished(&mut self, connection: u64) {
         if !self.pool.release(self.context.runtime.now(), connection) {
             self.commands.remove(&connection);
         }
     }
 
-    fn closed(&mut self, connection: u64, broke_on_first_write: bool) {
+    fn connection_closed(&mut self, connection: u64, broke_on_first_write: bool) {
         if self.pool.mark_closed(self.context.runtime.now(), connection, broke_on_first_write) {
             self.commands.remove(&connection);
         }
--- a/crates/platform/src/client_connection.rs
+++ b/crates/platform/src/client_connection.rs
@@ -3,7 +3,7 @@
 use crate::frontend::{FrontendContext, LINGER_MICROS};
 use crate::session::{IncomingRequest, Session, MAX_PENDING_COMMANDS};
 use async_channel::Sender;
-use chalkgap::frontend::{Answer, DriverEvent, Permit, Response};
+use chalkgap::frontend::{Answer, DriverEvent, Permit, RequestEnd, Response};
 use chalkgap::telemetry::add;
 use chalkgap_core::RequestId;
 use chalkgap_runtime::{Micros, Stream};
@@ -127,7 +127,7 @@
             return ClientState::Left;
         }
         if commands_before == 0 && pipe.conn.commands_received() > 0 {
-            self.permit.handshaken();
+            self.permit.handshake_completed();
         }
         self.update_partial_command(commands_before, &pipe.conn);
         ClientState::Connected
@@ -158,7 +158,7 @@
         } else if pipe.conn.is_idle() && !is_sending {
             pipe.conn.stop_reading();
         } else {
-            pipe.watch(self.permit.stays());
+            pipe.watch(self.permit.refuse_eviction());
         }
     }
 
@@ -183,7 +183,7 @@
         loop {
             let next = pipe.conn.next_request(|id| self.context.open_ids().insert(id));
             let Some(IncomingRequest { token, request }) = next else { return ClientState::Connected };
-            self.permit.request();
+            self.permit.request_started();
             let client_id = request.id;
             let pending = self.context.pending_request(token, request, self.response_sender.clone());
             self.open_requests.insert(token, OpenRequest { request: pending.id, client_id });
@@ -211,14 +211,14 @@
         let Some(open_request) = self.open_requests.remove(&response.token) else { return };
         self.context.open_ids().remove(&open_request.client_id);
         let rejected = matches!(response.answer, Answer::Rejected { .. });
-        self.permit.ended(None, rejected);
+        self.permit.request_ended(if rejected { RequestEnd::Rejected } else { RequestEnd::Other });
         session.answer(response.token, response.answer);
     }
 
     /// Answers all pending requests as failed and rejects what is not parsed yet: the process is about to be killed.
     async fn fail_pending(&mut self, session: &mut Session) {
         for token in self.cancel_requests().await {
-            self.permit.ended(None, false);
+            self.permit.request_ended(RequestEnd::Other);
             session.answer(token, Answer::Failed { late: true });
         }
         session.reject_buffered_commands();
--- a/crates/platform/src/connection_limits.rs
+++ b/crates/platform/src/connection_limits.rs
@@ -27,7 +27,7 @@
 pub(crate) fn gate_config(descriptors: u64) -> ConnectionGateConfig {
     ConnectionGateConfig {
         split: descriptor_split(descriptors),
-        most: descriptors,
+        max_descriptors: descriptors,
         caps: Caps {
             per_address: u32::MAX,
             per_prefix: u32::MAX,
@@ -44,9 +44,9 @@
                 idle: EVICTABLE_AFTER_MICROS,
             }),
         },
-        places: Places { most: 64, per_account: 4, lasts: 60_000_000 },
-        named: Vec::new(),
-        snapshot: None,
-        pace: Pace { patience: 2_000_000, bytes_per_s: 1 },
+        known_clients: Places { most: 64, per_account: 4, lasts: 60_000_000 },
+        always_known: Vec::new(),
+        known_clients_file: None,
+        minimum_throughput: Pace { patience: 2_000_000, bytes_per_s: 1 },
     }
 }
--- a/crates/platform/src/frontend.rs
+++ b/crates/platform/src/frontend.rs
@@ -49,8 +49,8 @@
         let customer = Customer {
             id: CustomerId(request.customer),
             plan: request.plan,
-            first: request.first_ingress,
-            width: request.spread,
+            first_gateway: request.first_ingress,
+            gateway_count: request.spread,
         };
         let deadline = self.runtime.now() + request.timeout.saturating_sub(DEADLINE_MARGIN_MICROS);
         PendingRequest {
--- a/crates/platform/src/ingress.rs
+++ b/crates/platform/src/ingress.rs
@@ -159,7 +159,7 @@
 
     /// How many connections of clients are open.
     pub fn open(&self) -> usize {
-        self.gate.open()
+        self.gate.open_connections()
     }
 
     /// Applies a new configuration: discovery's address now, the rest with the next start.
@@ -234,7 +234,7 @@
         let core = Gateway::new(deployment.settings.clone(), self.config.seed, self.runtime.now());
         let telemetry = self.telemetry.clone();
         let driver = Driver::new(self.runtime.clone(), driver_limits, telemetry, core, connections, events);
-        let driver = driver.telling(outgoing_gossip);
+        let driver = driver.with_gossip(outgoing_gossip);
         let mut endpoint_set =
             EndpointSet::new(deployment.zone_names.clone(), deployment.machine_kinds.clone());
         if let Some(list) = &self.config.cached_endpoints {
@@ -312,7 +312,7 @@
             open_ids: Arc::default(),
             fail_pending_at,
         };
-        self.spawn(Box::pin(acceptor.gate.clone().watch()));
+        self.spawn(Box::pin(acceptor.gate.clone().run()));
         self.spawn(Box::pin(listen(RespFrontend, context, acceptor, listener)));
         Ok(address)
     }
