--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,42 +1,61 @@
-//! Who is there: each member's view of its fleet. Free of I/O and clock: a [`Membership`] is told what comes, with the
-//! time, and says what to send, when to wake it, and what has changed.
+//! Membership of a fleet: each member's view of which gateways are alive. Sans-I/O and without a clock: a
+//! [`Membership`] is given messages and the time, and returns messages to send, the next timeout and what has changed.
 //!
-//! The protocol is SWIM's (Das, Gupta, Motivala, 2002) with what Lifeguard adds (Dadgar, Phillips, Currey, 2017): each
-//! member asks another one in each round, through others if it does not answer; who does not answer is suspected, told
-//! so, and given time to object, more of it where the suspecting one is slow itself. What is new rides on questions and
-//! answers. Beside that:
+//! The protocol is SWIM (Das, Gupta, Motivala, 2002) with the Lifeguard extensions (Dadgar, Phillips, Currey, 2017):
+//! in each protocol period a member probes one other member, through others if it does not answer. A member that does
+//! not answer is suspected, is notified of it, and has time to refute, longer where the suspecting member is slow
+//! itself. Updates are piggybacked on probes and their answers. It differs from SWIM in that
 //!
-//! - nobody is declared lost on another's word: each member asks the suspect itself a last time, also through others;
-//! - a fact about a member has a turn, even while it is in, odd once it is gone. The later turn holds, and only the
-//!   member itself brings the next even one. So equal facts are equal views, whatever way they came;
-//! - whoever was gone is asked now and then, so that two parts meet again after a cut of any length;
-//! - a member that was itself stopped or starved takes no silence of that time for the others' fault.
+//! - no member is declared dead on another's report: each member probes the suspect itself a last time, also through
+//!   others;
+//! - the version of a [`MemberRecord`] (SWIM's incarnation number) is even while the member is alive and odd once it is
+//!   not. The higher version wins, and only the member itself goes on to the next even one. So views with equal records
+//!   are equal, in whatever order the updates arrived;
+//! - dead members are probed now and then, so that two sides of a partition meet again however long it lasted;
+//! - a member whose own process was stopped or starved does not count that time as the others' silence.
 //!
-//! No rule of the gateway rests on a view: it may be late, and it says by how much.
+//! No decision about a request needs a correct view: a view may be stale, by at most [`Membership::detection_bound`].
 //!
-//! - [`view`]: what is known of whom, its number and digest
+//! - [`membership`]: the state machine, and the order in which it runs the modules below
+//! - [`view`]: the records of all members, the view's version and digest
 //! - [`wire`]: the messages
-//! - [`detector`]: the decider
-//! - [`standing`]: whether the fleet has shrunk, or this one is cut off
+//! - [`partition_status`]: whether the fleet has shrunk, or this member is cut off from it
+//! - `probing`: direct and indirect probes
+//! - `suspicion`: suspecting a member, confirmations, declaring it dead
+//! - `merging`: merging received records, refuting what is wrong about this member
+//! - `dissemination`: piggybacking updates on messages
+//! - `anti_entropy`: comparing digests and exchanging the records that differ
+//! - `reconnect`: probing dead members and seeds
+//! - `local_health`: this member's own slowness
+//! - `outbox`: messages to send, and their rate limit
 
-pub mod detector;
-pub mod standing;
+mod anti_entropy;
+mod dissemination;
+mod local_health;
+pub mod membership;
+mod merging;
+mod outbox;
+pub mod partition_status;
+mod probing;
+mod reconnect;
+mod suspicion;
 pub mod view;
 pub mod wire;
 
-pub use detector::{Change, Config, Membership, Outgoing};
-pub use standing::Standing;
-pub use view::{Member, State, View};
+pub use membership::{Config, Event, Membership};
+pub use outbox::Transmit;
+pub use partition_status::PartitionStatus;
+pub use view::{Member, MemberRecord, MemberState, View};
 pub use wire::Malformed;
 
-/// A span of time, or a time, in microseconds.
+/// A duration, or a time, in microseconds.
 pub type Micros = u64;
 
-/// The number of a member; it keeps it over its starts.
-pub type Number = u16;
+/// The id of a member; it stays the same over restarts.
+pub type MemberId = u16;
 
-/// In place of a receiver's number: whoever listens there.
-pub const ANYONE: Number = Number::MAX;
+/// As a receiver's id: whichever member listens at the address.
+pub const ANY_MEMBER: MemberId = MemberId::MAX;
 
-/// In place of a sender's number: somebody who holds the key and is no member, such as a person with a command.
-pub const VISITOR: Number = Number::MAX;
+/// As a sender's id: a holder of the key that is no member, such as the `fleet show` command.
+pub const OBSERVER: MemberId = MemberId::MAX;
--- /dev/null
+++ b/crates/membership/src/reconnect.rs
@@ -0,0 +1,36 @@
+//! Probing dead members and seeds: so partitions heal, and a new member finds the fleet.
+
+use crate::membership::Membership;
+use crate::probing::Purpose;
+use crate::view::MemberState;
+use crate::{MemberId, Micros, ANY_MEMBER};
+use std::collections::BTreeSet;
+use std::net::SocketAddr;
+
+/// One protocol period in so many probes a dead member or a seed.
+const RECONNECT_EVERY: u64 = 4;
+
+impl Membership {
+    /// Probes the next dead member or unknown seed, where it is due or this member knows no other live one.
+    pub(crate) fn reconnect_if_due(&mut self, now: Micros) {
+        if self.periods % RECONNECT_EVERY != 0 && self.view.live_count() != 1 {
+            return;
+        }
+        let candidates = self.reconnect_candidates();
+        if candidates.is_empty() {
+            return;
+        }
+        self.reconnect_index = (self.reconnect_index + 1) % candidates.len();
+        let (target, address) = candidates[self.reconnect_index];
+        self.probe(now, target, address, Purpose::Reconnect);
+    }
+
+    fn reconnect_candidates(&self) -> Vec<(MemberId, SocketAddr)> {
+        let known_addresses: BTreeSet<SocketAddr> =
+            self.view.members().map(|member| member.record.address).collect();
+        let dead = self.view.members().filter(|member| member.record.state == MemberState::Dead);
+        let dead = dead.map(|member| (member.record.id, member.record.address));
+        let seeds = self.config.seeds.iter().filter(|seed| !known_addresses.contains(*seed));
+        dead.chain(seeds.map(|seed| (ANY_MEMBER, *seed))).collect()
+    }
+}
--- a/crates/membership/src/view.rs
+++ b/crates/membership/src/view.rs
@@ -1,144 +1,160 @@
-//! What is known of whom: facts with a turn, and the digest by which two views are found equal.
+//! The records of all members, and the digest by which two views are found equal.
 
-use crate::{Micros, Number};
+use crate::{MemberId, Micros};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// Parts of a view that are compared by themselves, so that little is sent where little differs.
+/// Parts of a view with a digest each, so that little is sent where little differs. Part of the wire format.
 pub const BUCKETS: usize = 16;
-/// Turns from here on are not believed: a member must always have a next one.
-pub const LAST_TURN: u32 = 1 << 30;
+/// Versions from here on are not accepted: a member must always have a next one.
+pub const VERSION_LIMIT: u32 = 1 << 30;
 
-/// How a member is.
+/// The state of a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum State {
+pub enum MemberState {
     /// It answers, as far as is known.
-    In,
-    /// It did not answer somebody. It counts as in until the time to object is over.
-    Suspected,
-    /// It did not object in time.
-    Lost,
-    /// It went in order.
+    Alive,
+    /// It did not answer some member. It counts as live until the time to refute is over.
+    Suspect,
+    /// It did not refute the suspicion in time.
+    Dead,
+    /// It left gracefully.
     Left,
 }
 
-impl State {
-    /// Whether it counts as one of the fleet.
-    pub fn counts(self) -> bool {
-        matches!(self, State::In | State::Suspected)
+impl MemberState {
+    /// Whether it counts as a member of the fleet.
+    pub fn is_live(self) -> bool {
+        matches!(self, MemberState::Alive | MemberState::Suspect)
     }
 }
 
-/// A fact about a member.
+/// What is known of a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Fact {
+pub struct MemberRecord {
     /// Whom it is about.
-    pub number: Number,
-    /// How it is.
-    pub state: State,
-    /// Even while it is in or suspected, odd once it is gone.
-    pub turn: u32,
-    /// Its incarnation: when it last started, in microseconds.
-    pub start: u64,
+    pub id: MemberId,
+    /// Its state.
+    pub state: MemberState,
+    /// SWIM's incarnation number: even while the member is alive or suspected, odd once it is dead or has left.
+    pub version: u32,
+    /// When its process started, in microseconds since 1970.
+    pub incarnation: u64,
     /// Where it receives datagrams.
     pub address: SocketAddr,
-    /// Who says so.
-    pub by: Number,
+    /// The member that reported this state.
+    pub reported_by: MemberId,
 }
 
-impl Fact {
-    /// The later fact of two is the one with the later turn, then the later start; who left is not lost any more.
-    pub fn order(&self) -> (u32, u64, bool) {
-        (self.turn, self.start, self.state == State::Left)
+/// The order of two records of one member: the higher version wins, then the later process; left wins over dead.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct Precedence {
+    version: u32,
+    incarnation: u64,
+    left: bool,
+}
+
+impl MemberRecord {
+    /// Of two records the one with the greater precedence holds.
+    pub fn precedence(&self) -> Precedence {
+        let left = self.state == MemberState::Left;
+        Precedence { version: self.version, incarnation: self.incarnation, left }
     }
 
     fn hash(&self) -> u64 {
         let mut bytes = [0; 15];
-        bytes[..2].copy_from_slice(&self.number.to_be_bytes());
-        bytes[2..6].copy_from_slice(&self.turn.to_be_bytes());
-        bytes[6..14].copy_from_slice(&self.start.to_be_bytes());
-        bytes[14] = u8::from(self.state == State::Left);
-        let mut short = [0; 8];
-        short.copy_from_slice(&blake3::hash(&bytes).as_bytes()[..8]);
-        u64::from_be_bytes(short)
+        bytes[..2].copy_from_slice(&self.id.to_be_bytes());
+        bytes[2..6].copy_from_slice(&self.version.to_be_bytes());
+        bytes[6..14].copy_from_slice(&self.incarnation.to_be_bytes());
+        bytes[14] = u8::from(self.state == MemberState::Left);
+        let mut truncated = [0; 8];
+        truncated.copy_from_slice(&blake3::hash(&bytes).as_bytes()[..8]);
+        u64::from_be_bytes(truncated)
     }
 }
 
 /// A member as one view has it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Member {
-    /// The fact.
-    pub fact: Fact,
+    /// Its record.
+    pub record: MemberRecord,
     /// Since when it is in this state, on the clock of the view's owner.
     pub since: Micros,
 }
 
-/// A view, as one member has it.
+/// The view that one member has of the fleet.
 #[derive(Clone, Debug, Default)]
 pub struct View {
-    members: BTreeMap<Number, Member>,
-    sums: [u64; BUCKETS],
-    number: u64,
-    counting: usize,
+    members: BTreeMap<MemberId, Member>,
+    bucket_hashes: [u64; BUCKETS],
+    version: u64,
+    live_count: usize,
 }
 
 impl View {
     /// What is known of a member.
-    pub fn get(&self, number: Number) -> Option<&Member> {
-        self.members.get(&number)
+    pub fn get(&self, id: MemberId) -> Option<&Member> {
+        self.members.get(&id)
     }
 
-    /// All that are known, by number.
+    /// All known members, by id.
     pub fn members(&self) -> impl Iterator<Item = &Member> {
         self.members.values()
     }
 
-    /// Those that count as in, by number.
-    pub fn counted(&self) -> impl Iterator<Item = &Member> {
-        self.members.values().filter(|m| m.fact.state.counts())
+    /// The live members, by id.
+    pub fn live(&self) -> impl Iterator<Item = &Member> {
+        self.members.values().filter(|member| member.record.state.is_live())
     }
 
-    /// How many count as in.
-    pub fn counting(&self) -> usize {
-        self.counting
+    /// How many members are live.
+    pub fn live_count(&self) -> usize {
+        self.live_count
     }
 
-    /// How many are known.
-    pub fn known(&self) -> usize {
+    /// How many members are known.
+    pub fn known_count(&self) -> usize {
         self.members.len()
     }
 
-    /// Grows with each turn of each member: of two views of one fleet the one with the higher number knows more.
-    pub fn number(&self) -> u64 {
-        self.number
+    /// Grows with each version of each member: of two views of one fleet the one with the higher version knows more.
+    pub fn version(&self) -> u64 {
+        self.version
     }
 
-    /// Equal where two views hold the same of everybody, suspicions aside: these are one's own.
+    /// Equal where two views have the same records, suspicions aside: each member has its own.
     pub fn digest(&self) -> u64 {
-        self.sums.iter().fold(0, |all, sum| all.rotate_left(5) ^ sum)
+        self.bucket_hashes.iter().fold(0, |digest, hash| digest.rotate_left(5) ^ hash)
     }
 
-    /// The digest's parts.
-    pub fn sums(&self) -> [u32; BUCKETS] {
-        self.sums.map(|s| (s >> 32) as u32 ^ s as u32)
+    /// The digest of each bucket.
+    pub fn bucket_digests(&self) -> [u32; BUCKETS] {
+        self.bucket_hashes.map(|hash| (hash >> 32) as u32 ^ hash as u32)
     }
 
-    /// The facts of one part.
-    pub fn bucket(&self, bucket: usize) -> impl Iterator<Item = &Fact> {
-        self.members.values().map(|m| &m.fact).filter(move |f| usize::from(f.number) % BUCKETS == bucket)
+    /// The records of one bucket.
+    pub fn bucket(&self, bucket: usize) -> impl Iterator<Item = &MemberRecord> {
+        let records = self.members.values().map(|member| &member.record);
+        records.filter(move |record| bucket_of(record.id) == bucket)
     }
 
-    pub(crate) fn put(&mut self, fact: Fact, now: Micros) {
-        let bucket = usize::from(fact.number) % BUCKETS;
-        self.sums[bucket] ^= fact.hash();
-        self.number = self.number.saturating_add(u64::from(fact.turn) + 1);
-        self.counting += usize::from(fact.state.counts());
-        let before = self.members.get(&fact.number);
-        let since = before.filter(|m| m.fact.state == fact.state).map_or(now, |m| m.since);
-        if let Some(m) = self.members.insert(fact.number, Member { fact, since }) {
-            self.sums[bucket] ^= m.fact.hash();
-            self.number = self.number.saturating_sub(u64::from(m.fact.turn) + 1);
-            self.counting -= usize::from(m.fact.state.counts());
+    pub(crate) fn put(&mut self, record: MemberRecord, now: Micros) {
+        let previous = self.members.get(&record.id).copied();
+        let same_state = previous.filter(|previous| previous.record.state == record.state);
+        let since = same_state.map_or(now, |previous| previous.since);
+        let bucket = bucket_of(record.id);
+        self.bucket_hashes[bucket] ^= record.hash();
+        self.version = self.version.saturating_add(u64::from(record.version) + 1);
+        self.live_count += usize::from(record.state.is_live());
+        if let Some(previous) = previous {
+            self.bucket_hashes[bucket] ^= previous.record.hash();
+            self.version = self.version.saturating_sub(u64::from(previous.record.version) + 1);
+            self.live_count -= usize::from(previous.record.state.is_live());
         }
+        self.members.insert(record.id, Member { record, since });
     }
 }
+
+fn bucket_of(id: MemberId) -> usize {
+    usize::from(id) % BUCKETS
+}
--- a/crates/membership/src/wire.rs
+++ b/crates/membership/src/wire.rs
@@ -1,281 +1,167 @@
-//! The messages: one datagram each, within the room that the datagrams between ingresses have. Numbers are big-endian.
+//! The messages: one datagram each, within the size that datagrams between gateways have. Numbers are big-endian.
 //!
-//! A message is its kind (1 byte), a nonce (4), the sender's digest (8), what belongs to the kind, then facts to the end.
-//! A fact is number (2), state with the address's family (1), turn (4), start (8), by whom (2), address (6 or 18).
+//! A message is its kind (1 byte), a nonce (4), the sender's digest (8), the fields of the kind, then records to the end.
+//! A record is id (2), state with the address's family (1), version (4), incarnation (8), reporter (2), address (6 or
+//! 18), and in a page of the view for how long the state has held (8).
 
-use crate::view::{Fact, State, BUCKETS, LAST_TURN};
-use crate::{Micros, Number};
-use std::net::{IpAddr, SocketAddr};
+mod decode;
+mod encode;
+
+use crate::view::{MemberRecord, BUCKETS};
+use crate::{MemberId, Micros};
+use std::net::SocketAddr;
 
 /// Bytes of a message at most.
-pub const MOST: usize = 256;
+pub const MAX_MESSAGE_LENGTH: usize = 256;
+
+/// Kind, nonce and digest.
+const HEADER_LENGTH: usize = 1 + 4 + 8;
+/// A record without its address.
+const RECORD_FIELDS_LENGTH: usize = 2 + 1 + 4 + 8 + 2;
+const IPV4_ADDRESS_LENGTH: usize = 4 + 2;
+const IPV6_ADDRESS_LENGTH: usize = 16 + 2;
+/// How long a state has held.
+const DURATION_LENGTH: usize = 8;
+const VIEW_SUMMARY_LENGTH: usize = 2 + 8 + 2 + 2 + 1 + 8 + 2;
+/// The bit of a record's state byte that says that its address is IPv6.
+const IPV6_BIT: u8 = 0x80;
+
+/// Codes of the kinds of messages.
+mod code {
+    pub(super) const PING: u8 = 1;
+    pub(super) const ACK: u8 = 2;
+    pub(super) const PING_REQUEST: u8 = 3;
+    pub(super) const INDIRECT_ACK: u8 = 4;
+    pub(super) const INDIRECT_NACK: u8 = 5;
+    pub(super) const DIGESTS: u8 = 6;
+    pub(super) const RECORDS: u8 = 7;
+    pub(super) const VIEW_REQUEST: u8 = 8;
+    pub(super) const VIEW_PAGE: u8 = 9;
+}
 
-/// Why a message is not read.
+/// Why a message cannot be decoded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("message of a member, byte {at}: expected {expected}")]
 pub struct Malformed {
-    /// Where.
+    /// The offset of the offending byte.
     pub at: usize,
     /// What should be there.
     pub expected: &'static str,
 }
 
-/// What a message is for.
+/// The kind of a message.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Kind {
-    /// Are you there?
+    /// A direct probe.
     Ping,
-    /// I am.
+    /// The answer to a direct probe.
     Ack,
-    /// Ask that one for me.
-    Ask {
-        /// Whom.
-        target: Number,
-        /// Where it is.
-        at: SocketAddr,
+    /// Asks the receiver to probe another member for the sender.
+    PingRequest {
+        /// The member to probe.
+        target: MemberId,
+        /// Its address.
+        address: SocketAddr,
     },
-    /// It has answered.
-    Heard,
-    /// It has not answered in time, but I am here.
-    Unheard,
-    /// The parts of my digest.
-    Sums {
-        /// Tell me yours, too.
-        ask: bool,
-        /// The parts.
-        sums: [u32; BUCKETS],
+    /// The target of a [`Kind::PingRequest`] has answered.
+    IndirectAck,
+    /// The target of a [`Kind::PingRequest`] has not answered in time; the sender itself is alive.
+    IndirectNack,
+    /// The digests of the sender's buckets.
+    Digests {
+        /// Whether the receiver is to send its own digests.
+        reply_requested: bool,
+        /// One for each bucket.
+        digests: [u32; BUCKETS],
     },
-    /// Facts alone.
-    Facts,
-    /// A visitor wants to see the view, from this number on.
-    Show {
-        /// The first number.
-        from: Number,
+    /// Only records.
+    Records,
+    /// An observer asks for a page of the view.
+    ViewRequest {
+        /// The first id of the page.
+        from: MemberId,
     },
-    /// A part of the view.
-    Shown(Shown),
+    /// A page of the view.
+    ViewPage(ViewSummary),
 }
 
-/// What is said of a view beside its facts.
+/// What is said of a view besides its records.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Shown {
+pub struct ViewSummary {
     /// Whose view it is.
-    pub owner: Number,
-    /// The view's number.
-    pub number: u64,
-    /// How many members it counts.
-    pub counting: u16,
-    /// How many it would have to count to be the greater part.
-    pub of: u16,
-    /// 0: whole; 1: the greater part; 2: cut off.
-    pub standing: u8,
-    /// How late it may be about a death.
-    pub late: Micros,
-    /// The number to go on from; none: that was all.
-    pub next: Option<Number>,
+    pub owner: MemberId,
+    /// The view's version.
+    pub version: u64,
+    /// How many members are live.
+    pub live_count: u16,
+    /// Among how many a majority is counted.
+    pub voter_count: u16,
+    /// A [`PartitionStatus`](crate::PartitionStatus) as a number: 0 complete, 1 majority, 2 no quorum.
+    pub partition_status: u8,
+    /// How long a death may take to show in it.
+    pub detection_bound: Micros,
+    /// The id at which the next page begins; none after the last page.
+    pub next: Option<MemberId>,
 }
 
 /// A message.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Message {
-    /// What it is for.
+    /// Its kind.
     pub kind: Kind,
-    /// Names a question; its answer has the same.
+    /// Identifies a probe or request; its answer has the same.
     pub nonce: u32,
-    /// The sender's digest.
+    /// The digest of the sender's view.
     pub digest: u64,
-    /// Facts, with how long each state has held where they are shown to a visitor.
-    pub facts: Vec<(Fact, Micros)>,
-}
-
-const HEAD: usize = 13;
-
-/// Bytes of a fact.
-fn length(fact: &Fact, shown: bool) -> usize {
-    17 + if fact.address.is_ipv4() { 6 } else { 18 } + if shown { 8 } else { 0 }
+    /// Records, with how long each state has held in a [`Kind::ViewPage`], else 0.
+    pub records: Vec<(MemberRecord, Micros)>,
 }
 
 impl Message {
-    /// A message without facts.
+    /// A message without records.
     pub fn new(kind: Kind, nonce: u32, digest: u64) -> Message {
-        Message { kind, nonce, digest, facts: Vec::new() }
-    }
-
-    fn own(&self) -> usize {
-        HEAD + match self.kind {
-            Kind::Ping | Kind::Ack | Kind::Heard | Kind::Unheard | Kind::Facts => 0,
-            Kind::Ask { at, .. } => 2 + if at.is_ipv4() { 7 } else { 19 },
-            Kind::Sums { .. } => 1 + 4 * BUCKETS,
-            Kind::Show { .. } => 2,
-            Kind::Shown(_) => 2 + 8 + 2 + 2 + 1 + 8 + 2,
-        }
+        Message { kind, nonce, digest, records: Vec::new() }
     }
 
-    /// Adds a fact if there is room for it.
-    pub fn add(&mut self, fact: Fact, held: Micros) -> bool {
-        let shown = matches!(self.kind, Kind::Shown(_));
-        let used: usize = self.own() + self.facts.iter().map(|f| length(&f.0, shown)).sum::<usize>();
-        let fits = used + length(&fact, shown) <= MOST;
+    /// Adds a record, with how long its state has held. Returns false, and adds nothing, if the message would get too
+    /// long.
+    pub fn add(&mut self, record: MemberRecord, held_for: Micros) -> bool {
+        let records_length: usize = self.records.iter().map(|(record, _)| self.record_length(record)).sum();
+        let length = self.fields_length() + records_length + self.record_length(&record);
+        let fits = length <= MAX_MESSAGE_LENGTH;
         if fits {
-            self.facts.push((fact, held));
+            self.records.push((record, held_for));
         }
         fits
     }
 
-    /// Its bytes.
-    pub fn encode(&self) -> Vec<u8> {
-        let mut out = Vec::with_capacity(MOST);
-        let kind = match self.kind {
-            Kind::Ping => 1,
-            Kind::Ack => 2,
-            Kind::Ask { .. } => 3,
-            Kind::Heard => 4,
-            Kind::Unheard => 5,
-            Kind::Sums { .. } => 6,
-            Kind::Facts => 7,
-            Kind::Show { .. } => 8,
-            Kind::Shown(_) => 9,
-        };
-        out.push(kind);
-        out.extend_from_slice(&self.nonce.to_be_bytes());
-        out.extend_from_slice(&self.digest.to_be_bytes());
-        match self.kind {
-            Kind::Ask { target, at } => {
-                out.extend_from_slice(&target.to_be_bytes());
-                out.push(u8::from(at.is_ipv6()));
-                put_address(&mut out, at);
-            }
-            Kind::Sums { ask, sums } => {
-                out.push(u8::from(ask));
-                sums.iter().for_each(|s| out.extend_from_slice(&s.to_be_bytes()));
+    /// Bytes without the records.
+    fn fields_length(&self) -> usize {
+        HEADER_LENGTH
+            + match self.kind {
+                Kind::Ping | Kind::Ack | Kind::IndirectAck | Kind::IndirectNack | Kind::Records => 0,
+                Kind::PingRequest { address, .. } => 2 + 1 + address_length(&address),
+                Kind::Digests { .. } => 1 + 4 * BUCKETS,
+                Kind::ViewRequest { .. } => 2,
+                Kind::ViewPage(_) => VIEW_SUMMARY_LENGTH,
             }
-            Kind::Show { from } => out.extend_from_slice(&from.to_be_bytes()),
-            Kind::Shown(s) => {
-                out.extend_from_slice(&s.owner.to_be_bytes());
-                out.extend_from_slice(&s.number.to_be_bytes());
-                out.extend_from_slice(&s.counting.to_be_bytes());
-                out.extend_from_slice(&s.of.to_be_bytes());
-                out.push(s.standing);
-                out.extend_from_slice(&s.late.to_be_bytes());
-                out.extend_from_slice(&s.next.unwrap_or(Number::MAX).to_be_bytes());
-            }
-            _ => {}
-        }
-        for (fact, held) in &self.facts {
-            out.extend_from_slice(&fact.number.to_be_bytes());
-            out.push(fact.state as u8 | u8::from(fact.address.is_ipv6()) << 7);
-            out.extend_from_slice(&fact.turn.to_be_bytes());
-            out.extend_from_slice(&fact.start.to_be_bytes());
-            out.extend_from_slice(&fact.by.to_be_bytes());
-            put_address(&mut out, fact.address);
-            if matches!(self.kind, Kind::Shown(_)) {
-                out.extend_from_slice(&held.to_be_bytes());
-            }
-        }
-        out
     }
 
-    /// Reads a message.
-    ///
-    /// # Errors
-    /// The first byte that cannot be, and what should be there.
-    pub fn decode(bytes: &[u8]) -> Result<Message, Malformed> {
-        if bytes.len() > MOST {
-            return Err(Malformed { at: MOST, expected: "its end" });
-        }
-        let mut r = Reader { bytes, at: 0 };
-        let [code] = r.take()?;
-        let (nonce, digest) = (u32::from_be_bytes(r.take()?), u64::from_be_bytes(r.take()?));
-        let kind = match code {
-            1 => Kind::Ping,
-            2 => Kind::Ack,
-            3 => {
-                let target = r.short()?;
-                let six = r.flag()?;
-                Kind::Ask { target, at: r.address(six)? }
-            }
-            4 => Kind::Heard,
-            5 => Kind::Unheard,
-            6 => {
-                let ask = r.flag()?;
-                let mut sums = [0; BUCKETS];
-                for s in &mut sums {
-                    *s = u32::from_be_bytes(r.take()?);
-                }
-                Kind::Sums { ask, sums }
-            }
-            7 => Kind::Facts,
-            8 => Kind::Show { from: r.short()? },
-            9 => Kind::Shown(Shown {
-                owner: r.short()?,
-                number: u64::from_be_bytes(r.take()?),
-                counting: r.short()?,
-                of: r.short()?,
-                standing: r.take::<1>()?[0],
-                late: u64::from_be_bytes(r.take()?),
-                next: Some(r.short()?).filter(|n| *n != Number::MAX),
-            }),
-            _ => return Err(Malformed { at: 0, expected: "a kind from 1 to 9" }),
-        };
-        let mut facts = Vec::new();
-        while r.at < bytes.len() {
-            let number = r.short()?;
-            let [byte] = r.take()?;
-            let state = match byte & 0x7f {
-                0 => State::In,
-                1 => State::Suspected,
-                2 => State::Lost,
-                3 => State::Left,
-                _ => return Err(Malformed { at: r.at - 1, expected: "a state from 0 to 3" }),
-            };
-            let turn = u32::from_be_bytes(r.take()?);
-            if turn >= LAST_TURN || (turn % 2 == 0) != state.counts() {
-                return Err(Malformed { at: r.at - 4, expected: "a turn, even while in, odd once gone" });
-            }
-            let (start, by) = (u64::from_be_bytes(r.take()?), r.short()?);
-            let address = r.address(byte & 0x80 != 0)?;
-            let held = if matches!(kind, Kind::Shown(_)) { u64::from_be_bytes(r.take()?) } else { 0 };
-            facts.push((Fact { number, state, turn, start, address, by }, held));
-        }
-        Ok(Message { kind, nonce, digest, facts })
+    fn record_length(&self, record: &MemberRecord) -> usize {
+        let duration_length = if self.has_durations() { DURATION_LENGTH } else { 0 };
+        RECORD_FIELDS_LENGTH + address_length(&record.address) + duration_length
     }
-}
 
-fn put_address(out: &mut Vec<u8>, at: SocketAddr) {
-    match at.ip() {
-        IpAddr::V4(ip) => out.extend_from_slice(&ip.octets()),
-        IpAddr::V6(ip) => out.extend_from_slice(&ip.octets()),
+    /// Whether each record carries how long its state has held.
+    fn has_durations(&self) -> bool {
+        matches!(self.kind, Kind::ViewPage(_))
     }
-    out.extend_from_slice(&at.port().to_be_bytes());
-}
-
-struct Reader<'b> {
-    bytes: &'b [u8],
-    at: usize,
 }
 
-impl Reader<'_> {
-    fn take<const N: usize>(&mut self) -> Result<[u8; N], Malformed> {
-        let part = self.bytes.get(self.at..self.at + N).and_then(|p| <[u8; N]>::try_from(p).ok());
-        let part = part.ok_or(Malformed { at: self.bytes.len(), expected: "more bytes" })?;
-        self.at += N;
-        Ok(part)
-    }
-
-    fn short(&mut self) -> Result<u16, Malformed> {
-        Ok(u16::from_be_bytes(self.take()?))
-    }
-
-    fn flag(&mut self) -> Result<bool, Malformed> {
-        match self.take()? {
-            [0] => Ok(false),
-            [1] => Ok(true),
-            _ => Err(Malformed { at: self.at - 1, expected: "0 or 1" }),
-        }
-    }
-
-    fn address(&mut self, six: bool) -> Result<SocketAddr, Malformed> {
-        let ip: IpAddr = if six { self.take::<16>()?.into() } else { self.take::<4>()?.into() };
-        Ok(SocketAddr::new(ip, self.short()?))
+fn address_length(address: &SocketAddr) -> usize {
+    if address.is_ipv4() {
+        IPV4_ADDRESS_LENGTH
+    } else {
+        IPV6_ADDRESS_LENGTH
     }
 }
--- a/crates/membership/tests/fleet.rs
+++ b/crates/membership/tests/fleet.rs
@@ -1,573 +1,383 @@
-//! Whole fleets of members on a network in memory, with a clock that jumps: three, twenty-four, three hundred of them.
+//! Fleets of 3, 8, 24 and 300 members on a simulated network.
 
-use chalkgap_membership::view::Fact;
+use chalkgap_membership::view::MemberRecord;
 use chalkgap_membership::wire::{Kind, Message};
-use chalkgap_membership::{Change, Config, Membership, Micros, Number, Standing, State, ANYONE};
+use chalkgap_membership::{Event, MemberId, MemberState, Micros, PartitionStatus};
 use proptest::prelude::*;
-use rand::rngs::SmallRng;
-use rand::{RngExt, SeedableRng};
-use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
+use std::collections::BTreeSet;
 use std::net::SocketAddr;
 
-const ROUND: Micros = 500_000;
-const SECOND: Micros = 1_000_000;
+mod simulated_network;
+use simulated_network::{address_of, Network, Sent, PROTOCOL_PERIOD, SECOND};
 
-#[derive(PartialEq, Eq, PartialOrd, Ord)]
-struct Letter {
-    /// Reversed, as the heap gives the greatest first.
-    at: std::cmp::Reverse<(Micros, u64)>,
-    from: Number,
-    source: SocketAddr,
-    /// To whom it is sealed: another one does not open it.
-    whom: Number,
-    to: SocketAddr,
-    bytes: Vec<u8>,
+fn seconds(micros: Micros) -> f64 {
+    micros as f64 / 1e6
 }
 
-#[derive(Default, Clone, Copy)]
-struct Sent {
-    messages: u64,
-    bytes: u64,
-}
-
-struct Slot {
-    member: Membership,
-    /// Stopped until then: nothing comes in, no clock ticks.
-    stopped: Micros,
-    sent: Sent,
-}
-
-/// Whether a datagram from one number to another is lost: the cuts of a day.
-type Cut = Box<dyn Fn(Number, Number) -> bool>;
-
-struct Net {
-    now: Micros,
-    rng: SmallRng,
-    loss: f64,
-    cut: Cut,
-    letters: BinaryHeap<Letter>,
-    set: u64,
-    /// By address: an old process and its replacement may both live.
-    slots: BTreeMap<SocketAddr, Slot>,
-    /// What members said has changed: when, who, what.
-    changes: Vec<(Micros, SocketAddr, Change)>,
-    /// A process that runs for a tenth of the time, in slices.
-    slow: Option<SocketAddr>,
-}
-
-fn at(n: Number) -> SocketAddr {
-    ([10, 0, (n >> 8) as u8, n as u8], 7000).into()
-}
-
-impl Net {
-    fn new(seed: u64) -> Net {
-        Net {
-            now: 1_800_000_000 * SECOND,
-            rng: SmallRng::seed_from_u64(seed),
-            loss: 0.0,
-            cut: Box::new(|_, _| false),
-            letters: BinaryHeap::new(),
-            set: 0,
-            slots: BTreeMap::new(),
-            changes: Vec::new(),
-            slow: None,
-        }
-    }
-
-    fn of(seed: u64, count: Number) -> Net {
-        let mut net = Net::new(seed);
-        (0..count).for_each(|n| net.start(n, at(n)));
-        net.run(60 * SECOND);
-        assert_eq!(net.agreed(), Some(usize::from(count)), "all have met");
-        net
-    }
-
-    fn start(&mut self, me: Number, address: SocketAddr) {
-        let config = Config {
-            me,
-            start: self.now,
-            address,
-            seeds: vec![at(0), at(1), at(2)],
-            most: 1000,
-            round: ROUND,
-            objection: 0,
-            per_second: 40.0,
-            seed: self.rng.random(),
-        };
-        let member = Membership::new(self.now, config);
-        self.slots.insert(address, Slot { member, stopped: 0, sent: Sent::default() });
-    }
-
-    /// Runs for so long.
-    fn run(&mut self, span: Micros) {
-        let end = self.now + span;
-        self.until(end, |_| false);
-    }
-
-    /// Runs to a time, or until something is so; the time that it took.
-    fn until(&mut self, end: Micros, done: impl Fn(&Net) -> bool) -> Option<Micros> {
-        let begun = self.now;
-        let step = 10_000;
-        while self.now < end {
-            let next = self.now + step;
-            while self.letters.peek().is_some_and(|l| l.at.0 .0 <= next) {
-                let Some(l) = self.letters.pop() else { break };
-                let now = l.at.0 .0.max(self.now);
-                let asleep = self.asleep(l.to, now);
-                let Some(slot) = self.slots.get_mut(&l.to) else { continue };
-                if let Some(until) = asleep {
-                    self.set += 1;
-                    self.letters.push(Letter { at: std::cmp::Reverse((until, self.set)), ..l });
-                    continue;
-                }
-                if l.whom != ANYONE && l.whom != slot.member.number() {
-                    continue;
-                }
-                slot.member.hear(now, l.from, l.source, &l.bytes).unwrap();
-                self.collect(l.to, now);
-            }
-            self.now = next;
-            let due: Vec<SocketAddr> =
-                self.slots.iter().filter(|s| s.1.member.wake() <= next).map(|s| *s.0).collect();
-            for address in due {
-                if self.asleep(address, next).is_none() {
-                    self.slots.get_mut(&address).unwrap().member.tick(next);
-                    self.collect(address, next);
-                }
-            }
-            if done(self) {
-                return Some(self.now - begun);
-            }
-        }
-        None
-    }
-
-    fn asleep(&self, address: SocketAddr, now: Micros) -> Option<Micros> {
-        let stopped = self.slots.get(&address).map_or(0, |s| s.stopped);
-        if stopped > now {
-            return Some(stopped);
-        }
-        // Nine tenths of each half second it stands still.
-        (self.slow == Some(address) && now % 500_000 >= 50_000).then(|| (now / 500_000 + 1) * 500_000)
-    }
-
-    fn collect(&mut self, address: SocketAddr, now: Micros) {
-        let slot = self.slots.get_mut(&address).unwrap();
-        let from = slot.member_number();
-        while let Some(out) = slot.member.send() {
-            slot.sent.messages += 1;
-            slot.sent.bytes += out.bytes.len() as u64 + 53; // with the datagram's own head and hash
-            let to = out.address;
-            let to_number = (u16::from(to_ip(to)[2]) << 8) + u16::from(to_ip(to)[3]);
-            if (self.cut)(from, to_number) || self.rng.random::<f64>() < self.loss {
-                continue;
-            }
-            self.set += 1;
-            let late = self.rng.random_range(500..4500);
-            let at = std::cmp::Reverse((now + late, self.set));
-            self.letters.push(Letter { at, from, source: address, whom: out.to, to, bytes: out.bytes });
-        }
-        while let Some(change) = slot.member.change() {
-            self.changes.push((now, address, change));
-        }
-    }
-
-    /// How many all count as in, if all agree.
-    fn agreed(&self) -> Option<usize> {
-        let mut views = self
-            .slots
-            .values()
-            .map(|s| (s.member.view().digest(), s.member.view().number(), s.member.view().counting()));
-        let first = views.next()?;
-        views.all(|v| v == first).then_some(first.2)
-    }
-
-    fn kill(&mut self, numbers: &[Number]) {
-        numbers.iter().for_each(|n| {
-            self.slots.remove(&at(*n));
-        });
-    }
-
-    /// When each member that lives has said that this one is lost, since `from`.
-    fn known_lost(&self, number: Number, from: Micros) -> BTreeMap<SocketAddr, Micros> {
-        let mut seen = BTreeMap::new();
-        for (when, who, change) in &self.changes {
-            if let Change::Member(f) = change {
-                if f.number == number
-                    && f.state == State::Lost
-                    && *when >= from
-                    && self.slots.contains_key(who)
-                {
-                    seen.entry(*who).or_insert(when - from);
-                }
-            }
-        }
-        seen
-    }
-
-    fn ever_lost(&self) -> Vec<Number> {
-        let lost = |c: &(Micros, SocketAddr, Change)| match &c.2 {
-            Change::Member(f) if f.state == State::Lost => Some(f.number),
-            _ => None,
-        };
-        self.changes.iter().filter_map(lost).collect::<BTreeSet<_>>().into_iter().collect()
-    }
-
-    fn standing(&self, n: Number) -> Standing {
-        self.slots[&at(n)].member.standing()
-    }
-}
-
-fn to_ip(a: SocketAddr) -> [u8; 4] {
-    match a.ip() {
-        std::net::IpAddr::V4(ip) => ip.octets(),
-        std::net::IpAddr::V6(_) => [0; 4],
-    }
-}
-
-impl Slot {
-    fn member_number(&self) -> Number {
-        self.member.number()
-    }
-}
-
-/// The quantile of a list.
-fn quantile(list: &mut [Micros], q: f64) -> f64 {
-    list.sort_unstable();
-    list[((list.len() - 1) as f64 * q) as usize] as f64 / 1e6
+/// A quantile of durations, in seconds.
+fn quantile(durations: &mut [Micros], quantile: f64) -> f64 {
+    durations.sort_unstable();
+    seconds(durations[((durations.len() - 1) as f64 * quantile) as usize])
 }
 
 #[test]
-fn a_death_is_known_to_all_within_the_bound_at_any_size() {
+fn a_death_is_detected_by_all_within_the_bound_at_any_size() {
     for (count, seeds) in [(3, 6), (8, 4), (24, 3), (300, 1)] {
-        let mut times = Vec::new();
+        let mut detection_times = Vec::new();
         let mut bound = 0;
         for seed in 0..seeds {
-            let mut net = Net::of(seed, count);
-            bound = net.slots[&at(0)].member.late(1);
-            let victims: Vec<Number> = if count == 300 { (100..108).collect() } else { vec![count / 2] };
-            let begun = net.now;
-            net.kill(&victims);
-            let all = usize::from(count) - victims.len();
-            let done = |n: &Net| victims.iter().all(|v| n.known_lost(*v, begun).len() == all);
-            net.until(begun + bound, done)
+            let mut network = Network::with_members(seed, count);
+            bound = network.member(0).detection_bound(1);
+            let victims: Vec<MemberId> = if count == 300 { (100..108).collect() } else { vec![count / 2] };
+            let start = network.now;
+            network.kill(&victims);
+            let survivors = usize::from(count) - victims.len();
+            let done = |network: &Network| {
+                victims.iter().all(|victim| network.death_reports(*victim, start).len() == survivors)
+            };
+            network
+                .run_until(start + bound, done)
                 .unwrap_or_else(|| panic!("{count} members, seed {seed}: not in {bound}"));
-            for v in &victims {
-                times.extend(net.known_lost(*v, begun).into_values());
+            for victim in &victims {
+                detection_times.extend(network.death_reports(*victim, start).into_values());
             }
-            net.run(10 * SECOND);
-            assert_eq!(net.ever_lost(), victims, "and nobody else");
-            assert_eq!(net.agreed(), Some(all));
+            network.run(10 * SECOND);
+            assert_eq!(network.ever_dead(), victims, "and no other member");
+            assert_eq!(network.agreed_live_count(), Some(survivors));
         }
-        let (half, most) = (quantile(&mut times, 0.5), quantile(&mut times, 0.99));
-        println!("{count} members: p50 {half:.2} s, p99 {most:.2} s, bound {:.2} s", bound as f64 / 1e6);
+        let p50 = quantile(&mut detection_times, 0.5);
+        let p99 = quantile(&mut detection_times, 0.99);
+        println!("{count} members: p50 {p50:.2} s, p99 {p99:.2} s, bound {:.2} s", seconds(bound));
     }
 }
 
 #[test]
-fn a_death_of_half_is_known_to_the_other_half_within_its_bound() {
+fn the_death_of_half_is_detected_by_the_other_half_within_the_bound() {
     for count in [8, 24, 300] {
-        let mut net = Net::of(3, count);
-        let bound = net.slots[&at(0)].member.late(usize::from(count / 2));
-        let begun = net.now;
-        net.kill(&(0..count).filter(|n| n % 2 == 1).collect::<Vec<_>>());
-        let all = usize::from(count / 2);
-        let done = |n: &Net| n.slots.values().all(|s| s.member.view().counting() == all);
-        let took =
-            net.until(begun + bound, done).unwrap_or_else(|| panic!("{count} members: not in {bound}"));
-        println!("half of {count}: {:.2} s, bound {:.2} s", took as f64 / 1e6, bound as f64 / 1e6);
+        let mut network = Network::with_members(3, count);
+        let bound = network.member(0).detection_bound(usize::from(count / 2));
+        let start = network.now;
+        network.kill(&(0..count).filter(|id| id % 2 == 1).collect::<Vec<_>>());
+        let survivors = usize::from(count / 2);
+        let done = |network: &Network| {
+            network.nodes.values().all(|node| node.member.view().live_count() == survivors)
+        };
+        let took = network
+            .run_until(start + bound, done)
+            .unwrap_or_else(|| panic!("{count} members: not in {bound}"));
+        println!("half of {count}: {:.2} s, bound {:.2} s", took as f64 / 1e6, seconds(bound));
     }
 }
 
 #[test]
 fn bytes_and_messages_are_the_same_at_any_size() {
-    let mut all = Vec::new();
+    const MEASURED_SECONDS: f64 = 20.0;
+    let mut mean_bytes = Vec::new();
     for count in [3, 24, 300] {
-        let mut net = Net::of(5, count);
-        net.slots.values_mut().for_each(|s| s.sent = Sent::default());
-        net.run(20 * SECOND);
-        let most = net.slots.values().map(|s| (s.sent.messages, s.sent.bytes)).max().unwrap();
-        let sum: u64 = net.slots.values().map(|s| s.sent.bytes).sum();
+        let mut network = Network::with_members(5, count);
+        network.nodes.values_mut().for_each(|node| node.sent = Sent::default());
+        network.run(20 * SECOND);
+        let sent: Vec<Sent> = network.nodes.values().map(|node| node.sent).collect();
+        let max_messages = sent.iter().map(|sent| sent.messages).max().unwrap();
+        let max_bytes = sent.iter().map(|sent| sent.bytes).max().unwrap();
+        let total_bytes: u64 = sent.iter().map(|sent| sent.bytes).sum();
+        let mean = total_bytes as f64 / MEASURED_SECONDS / f64::from(count);
         println!(
-            "{count} members: at most {:.1} messages a second, {:.0} bytes; mean {:.0} bytes",
-            most.0 as f64 / 20.0,
-            most.1 as f64 / 20.0,
-            sum as f64 / 20.0 / f64::from(count)
+            "{count} members: at most {:.1} messages a second, {:.0} bytes; mean {mean:.0} bytes",
+            max_messages as f64 / MEASURED_SECONDS,
+            max_bytes as f64 / MEASURED_SECONDS,
         );
-        all.push(sum as f64 / 20.0 / f64::from(count));
+        mean_bytes.push(mean);
     }
-    assert!(all.iter().all(|b| *b < 600.0 && *b < 1.2 * all[0]), "{all:?}");
+    assert!(mean_bytes.iter().all(|bytes| *bytes < 600.0 && *bytes < 1.2 * mean_bytes[0]), "{mean_bytes:?}");
 }
 
 #[test]
-fn nobody_is_lost_by_a_fifth_of_all_messages_for_two_minutes() {
+fn no_member_is_declared_dead_while_a_fifth_of_all_messages_is_lost() {
     for count in [3, 8, 24] {
-        let mut net = Net::of(7, count);
-        net.loss = 0.2;
-        net.run(120 * SECOND);
-        assert_eq!(net.ever_lost(), [], "{count} members");
-        net.loss = 0.0;
-        net.run(20 * SECOND);
-        assert_eq!(net.agreed(), Some(usize::from(count)));
+        let mut network = Network::with_members(7, count);
+        network.loss = 0.2;
+        network.run(120 * SECOND);
+        assert_eq!(network.ever_dead(), [], "{count} members");
+        network.loss = 0.0;
+        network.run(20 * SECOND);
+        assert_eq!(network.agreed_live_count(), Some(usize::from(count)));
     }
 }
 
 #[test]
-fn nobody_is_lost_by_one_that_runs_a_tenth_of_the_time() {
+fn a_starved_member_declares_no_member_dead() {
     for seed in 0..4 {
-        let mut net = Net::of(seed, 8);
-        net.slow = Some(at(3));
-        net.run(120 * SECOND);
-        assert_eq!(net.ever_lost(), [], "seed {seed}");
+        let mut network = Network::with_members(seed, 8);
+        network.starved = Some(address_of(3));
+        network.run(120 * SECOND);
+        assert_eq!(network.ever_dead(), [], "seed {seed}");
     }
 }
 
 #[test]
-fn after_a_cut_in_three_all_meet_again_in_any_order() {
-    let mut net = Net::of(11, 24);
-    net.cut = Box::new(|a, b| a % 3 != b % 3);
-    net.run(60 * SECOND);
-    let parts: BTreeSet<usize> = net.slots.values().map(|s| s.member.view().counting()).collect();
-    assert_eq!(parts, BTreeSet::from([8]), "each part has its own third");
-    assert!((0..24).all(|n| net.standing(n) == Standing::CutOff), "and knows that it is not the fleet");
-    net.cut = Box::new(|a, b| a % 3 != b % 3 && (a % 3 == 2 || b % 3 == 2));
-    net.run(40 * SECOND);
-    assert_eq!(net.standing(0), Standing::Most);
-    assert_eq!(net.standing(2), Standing::CutOff);
-    net.cut = Box::new(|_, _| false);
-    let begun = net.now;
-    let took = net.until(begun + 30 * SECOND, |n| n.agreed() == Some(24));
-    println!("24 members after a cut in three: {:.2} s", took.expect("all agree") as f64 / 1e6);
-    assert!((0..24).all(|n| net.standing(n) == Standing::Whole));
+fn a_partition_in_three_heals_in_any_order() {
+    let mut network = Network::with_members(11, 24);
+    network.partition = Box::new(|a, b| a % 3 != b % 3);
+    network.run(60 * SECOND);
+    let parts: BTreeSet<usize> = network.nodes.values().map(|node| node.member.view().live_count()).collect();
+    assert_eq!(parts, BTreeSet::from([8]), "each side has its own third");
+    assert!(
+        (0..24).all(|id| network.partition_status(id) == PartitionStatus::NoQuorum),
+        "and knows that it has no quorum"
+    );
+    network.partition = Box::new(|a, b| a % 3 != b % 3 && (a % 3 == 2 || b % 3 == 2));
+    network.run(40 * SECOND);
+    assert_eq!(network.partition_status(0), PartitionStatus::Majority);
+    assert_eq!(network.partition_status(2), PartitionStatus::NoQuorum);
+    network.partition = Box::new(|_, _| false);
+    let start = network.now;
+    let took = network.run_until(start + 30 * SECOND, |network| network.agreed_live_count() == Some(24));
+    println!("24 members after a partition in three: {:.2} s", seconds(took.expect("all agree")));
+    assert!((0..24).all(|id| network.partition_status(id) == PartitionStatus::Complete));
 }
 
 #[test]
-fn three_hundred_meet_again_after_half_was_cut_from_half() {
-    let mut net = Net::of(13, 300);
-    net.cut = Box::new(|a, b| (a < 150) != (b < 150));
-    net.run(60 * SECOND);
-    assert!((0..300).all(|n| net.standing(n) == Standing::CutOff));
-    assert_eq!(net.slots[&at(7)].member.view().counting(), 150);
-    net.cut = Box::new(|_, _| false);
-    let begun = net.now;
-    let took = net.until(begun + 60 * SECOND, |n| n.agreed() == Some(300));
-    println!("300 members after a cut in half: {:.2} s", took.expect("all agree") as f64 / 1e6);
+fn a_partition_of_three_hundred_in_halves_heals() {
+    let mut network = Network::with_members(13, 300);
+    network.partition = Box::new(|a, b| (a < 150) != (b < 150));
+    network.run(60 * SECOND);
+    assert!((0..300).all(|id| network.partition_status(id) == PartitionStatus::NoQuorum));
+    assert_eq!(network.member(7).view().live_count(), 150);
+    network.partition = Box::new(|_, _| false);
+    let start = network.now;
+    let took = network.run_until(start + 60 * SECOND, |network| network.agreed_live_count() == Some(300));
+    println!("300 members after a partition in halves: {:.2} s", seconds(took.expect("all agree")));
 }
 
 #[test]
-fn a_link_that_goes_one_way_only_loses_nobody() {
-    let mut net = Net::of(17, 5);
-    net.cut = Box::new(|a, b| (a, b) == (0, 1));
-    net.run(120 * SECOND);
-    assert_eq!(net.ever_lost(), []);
+fn a_one_way_link_leaves_all_members_alive() {
+    let mut network = Network::with_members(17, 5);
+    network.partition = Box::new(|a, b| (a, b) == (0, 1));
+    network.run(120 * SECOND);
+    assert_eq!(network.ever_dead(), []);
 }
 
 #[test]
-fn one_whom_a_single_other_reaches_is_not_lost() {
-    let mut net = Net::of(19, 8);
-    net.cut = Box::new(|a, b| (a == 5 && b != 2) || (b == 5 && a != 2));
-    net.run(120 * SECOND);
-    assert_eq!(net.ever_lost(), []);
+fn a_member_that_a_single_other_reaches_is_not_declared_dead() {
+    let mut network = Network::with_members(19, 8);
+    network.partition = Box::new(|a, b| (a == 5 && b != 2) || (b == 5 && a != 2));
+    network.run(120 * SECOND);
+    assert_eq!(network.ever_dead(), []);
 }
 
 #[test]
-fn one_that_was_stopped_is_lost_wakes_and_is_in_again() {
-    let mut net = Net::of(23, 5);
-    net.slots.get_mut(&at(3)).unwrap().stopped = net.now + 30 * SECOND;
-    net.run(29 * SECOND);
-    assert_eq!(net.ever_lost(), [3]);
-    let begun = net.now;
-    net.run(2 * SECOND);
-    let took = net.until(begun + 30 * SECOND, |n| n.agreed() == Some(5)).expect("all agree");
-    println!("awake again after 30 s: {:.2} s", (took + 2 * SECOND) as f64 / 1e6);
-    assert_eq!(net.ever_lost(), [3], "it has held nobody for lost in its sleep");
+fn a_stopped_member_is_declared_dead_and_is_alive_again_once_it_resumes() {
+    let mut network = Network::with_members(23, 5);
+    network.node(address_of(3)).stopped_until = network.now + 30 * SECOND;
+    network.run(29 * SECOND);
+    assert_eq!(network.ever_dead(), [3]);
+    let start = network.now;
+    network.run(2 * SECOND);
+    let took = network
+        .run_until(start + 30 * SECOND, |network| network.agreed_live_count() == Some(5))
+        .expect("all agree");
+    println!("resumed after 30 s: {:.2} s", seconds(took + 2 * SECOND));
+    assert_eq!(network.ever_dead(), [3], "it declared no member dead on resuming");
 }
 
 #[test]
-fn all_killed_and_started_at_once_are_one_fleet_again() {
-    let mut net = Net::of(29, 8);
-    net.kill(&[0, 1, 2, 3, 4, 5, 6, 7]);
-    net.run(SECOND);
-    (0..8).for_each(|n| net.start(n, at(n)));
-    let begun = net.now;
-    let took = net.until(begun + 20 * SECOND, |n| n.agreed() == Some(8)).expect("all agree");
-    println!("all killed and started: {:.2} s", took as f64 / 1e6);
+fn members_that_all_restart_at_once_are_one_fleet_again() {
+    let mut network = Network::with_members(29, 8);
+    network.kill(&[0, 1, 2, 3, 4, 5, 6, 7]);
+    network.run(SECOND);
+    (0..8).for_each(|id| network.start(id, address_of(id)));
+    let start = network.now;
+    let took = network
+        .run_until(start + 20 * SECOND, |network| network.agreed_live_count() == Some(8))
+        .expect("all agree");
+    println!("all killed and started: {:.2} s", seconds(took));
 }
 
 #[test]
-fn a_replacement_takes_the_number_and_the_old_one_falls_silent() {
-    let mut net = Net::of(31, 5);
+fn a_replacement_takes_the_id_and_the_old_process_is_superseded() {
+    let mut network = Network::with_members(31, 5);
     let other: SocketAddr = ([10, 0, 0, 3], 7001).into();
-    net.start(3, other);
-    net.run(20 * SECOND);
-    let over = |c: &(Micros, SocketAddr, Change)| c.1 == at(3) && c.2 == Change::Superseded;
-    assert!(net.changes.iter().any(over), "the old one knows");
-    net.slots.remove(&at(3));
-    assert_eq!(net.agreed(), Some(5));
-    assert_eq!(net.slots[&at(0)].member.view().get(3).unwrap().fact.address, other);
-    assert_eq!(net.ever_lost(), []);
+    network.start(3, other);
+    network.run(20 * SECOND);
+    let mut old_process_events = network.reported.iter().filter(|reported| reported.by == address_of(3));
+    assert!(
+        old_process_events.any(|reported| reported.event == Event::Superseded),
+        "the old process is notified"
+    );
+    network.nodes.remove(&address_of(3));
+    assert_eq!(network.agreed_live_count(), Some(5));
+    assert_eq!(network.member(0).view().get(3).unwrap().record.address, other);
+    assert_eq!(network.ever_dead(), []);
 }
 
-/// Messages for the dead come to a living one that has its address now, and are not taken for its own.
+/// Messages for the dead member arrive at the live one that has its address now, and are ignored.
 #[test]
-fn one_that_starts_at_the_old_address_of_a_dead_one_is_itself() {
-    let mut net = Net::of(33, 6);
-    net.kill(&[3]);
-    net.start(9, at(3));
-    net.run(30 * SECOND);
-    assert_eq!((net.agreed(), net.ever_lost()), (Some(6), vec![3]));
-    // The dead one comes back elsewhere.
-    net.start(3, ([10, 0, 0, 9], 7000).into());
-    let begun = net.now;
-    net.until(begun + 20 * SECOND, |n| n.agreed() == Some(7)).expect("all agree");
+fn a_member_that_starts_at_the_address_of_a_dead_one_is_not_taken_for_it() {
+    let mut network = Network::with_members(33, 6);
+    network.kill(&[3]);
+    network.start(9, address_of(3));
+    network.run(30 * SECOND);
+    assert_eq!((network.agreed_live_count(), network.ever_dead()), (Some(6), vec![3]));
+    // The dead member restarts elsewhere.
+    network.start(3, ([10, 0, 0, 9], 7000).into());
+    let start = network.now;
+    network
+        .run_until(start + 20 * SECOND, |network| network.agreed_live_count() == Some(7))
+        .expect("all agree");
 }
 
 #[test]
-fn ten_join_in_one_second_and_half_leave_while_two_die() {
-    let mut net = Net::of(37, 10);
-    for n in 10..20 {
-        net.start(n, at(n));
-        net.run(SECOND / 10);
+fn ten_members_join_in_a_second_and_leave_while_two_die() {
+    let mut network = Network::with_members(37, 10);
+    for id in 10..20 {
+        network.start(id, address_of(id));
+        network.run(SECOND / 10);
     }
-    let begun = net.now;
-    let took = net.until(begun + 20 * SECOND, |n| n.agreed() == Some(20)).expect("all agree");
-    println!("ten joined: {:.2} s", took as f64 / 1e6);
-    for n in 10..20 {
-        let slot = net.slots.get_mut(&at(n)).unwrap();
-        slot.member.leave(net.now);
-        net.collect(at(n), net.now);
+    let start = network.now;
+    let took = network
+        .run_until(start + 20 * SECOND, |network| network.agreed_live_count() == Some(20))
+        .expect("all agree");
+    println!("ten joined: {:.2} s", seconds(took));
+    for id in 10..20 {
+        let now = network.now;
+        network.node(address_of(id)).member.leave(now);
+        network.collect(address_of(id), now);
     }
-    net.kill(&[4, 5]);
-    net.run(SECOND);
-    net.kill(&(10..20).collect::<Vec<_>>());
-    net.run(30 * SECOND);
-    assert_eq!(net.agreed(), Some(8));
-    let view = net.slots[&at(0)].member.view();
-    let state = |n: Number| view.get(n).unwrap().fact.state;
-    assert!((10..20).all(|n| state(n) == State::Left), "who left in order is not lost");
-    assert_eq!((state(4), state(5)), (State::Lost, State::Lost));
-    assert_eq!(net.standing(0), Standing::Most);
+    network.kill(&[4, 5]);
+    network.run(SECOND);
+    network.kill(&(10..20).collect::<Vec<_>>());
+    network.run(30 * SECOND);
+    assert_eq!(network.agreed_live_count(), Some(8));
+    let view = network.member(0).view();
+    let state = |id: MemberId| view.get(id).unwrap().record.state;
+    assert!((10..20).all(|id| state(id) == MemberState::Left), "a member that left is not dead");
+    assert_eq!((state(4), state(5)), (MemberState::Dead, MemberState::Dead));
+    assert_eq!(network.partition_status(0), PartitionStatus::Majority);
 }
 
 #[test]
-fn seeds_that_are_dead_are_no_harm_once_one_was_met() {
-    let mut net = Net::of(41, 6);
-    net.kill(&[0, 1, 2]);
-    net.run(30 * SECOND);
-    assert_eq!(net.agreed(), Some(3));
-    net.start(9, at(9));
-    net.run(10 * SECOND);
-    assert_eq!(net.standing(9), Standing::CutOff, "it has met nobody and does not hold itself for a fleet");
-    net.start(1, at(1));
-    let begun = net.now;
-    net.until(begun + 20 * SECOND, |n| n.agreed() == Some(5)).expect("one seed is enough");
+fn dead_seeds_do_no_harm_once_one_was_reached() {
+    let mut network = Network::with_members(41, 6);
+    network.kill(&[0, 1, 2]);
+    network.run(30 * SECOND);
+    assert_eq!(network.agreed_live_count(), Some(3));
+    network.start(9, address_of(9));
+    network.run(10 * SECOND);
+    assert_eq!(
+        network.partition_status(9),
+        PartitionStatus::NoQuorum,
+        "a member that reaches no other is not a fleet by itself"
+    );
+    network.start(1, address_of(1));
+    let start = network.now;
+    network
+        .run_until(start + 20 * SECOND, |network| network.agreed_live_count() == Some(5))
+        .expect("one seed is enough");
 }
 
-/// One that holds the key and lies: it says of all others that they are lost, or suspected, in every round.
+/// A member with the key sends in every protocol period that all others are suspected, dead or have left.
 #[test]
-fn a_member_that_lies_about_others_makes_nobody_lost() {
-    let mut net = Net::of(43, 8);
+fn a_member_that_lies_cannot_have_others_declared_dead() {
+    const LIAR: MemberId = 7;
+    let mut network = Network::with_members(43, 8);
     for _ in 0..120 {
-        let facts: Vec<Fact> = net.slots[&at(0)].member.view().members().map(|m| m.fact).collect();
-        for state in [State::Suspected, State::Lost, State::Left] {
-            let mut lie = Message::new(Kind::Facts, 0, 1);
-            for f in facts.iter().filter(|f| f.number != 7) {
-                let turn = f.turn / 2 * 2 + u32::from(state != State::Suspected);
-                lie.add(Fact { state, turn, by: 7, ..*f }, 0);
-            }
-            for n in 0..7 {
-                net.set += 1;
-                let due = std::cmp::Reverse((net.now + 1000, net.set));
-                let bytes = lie.encode();
-                net.letters.push(Letter { at: due, from: 7, source: at(7), whom: n, to: at(n), bytes });
+        let records: Vec<MemberRecord> =
+            network.member(0).view().members().map(|member| member.record).collect();
+        for state in [MemberState::Suspect, MemberState::Dead, MemberState::Left] {
+            let mut lie = Message::new(Kind::Records, 0, 1);
+            for record in records.iter().filter(|record| record.id != LIAR) {
+                let version = record.version / 2 * 2 + u32::from(state != MemberState::Suspect);
+                lie.add(MemberRecord { state, version, reported_by: LIAR, ..*record }, 0);
             }
+            (0..LIAR).for_each(|id| network.forge(LIAR, id, lie.encode()));
         }
-        net.run(ROUND);
+        network.run(PROTOCOL_PERIOD);
     }
-    assert_eq!(net.ever_lost(), []);
-    let left = net.changes.iter().any(|c| matches!(&c.2, Change::Member(f) if f.state == State::Left));
-    assert!(!left, "nor to have left");
-    net.run(10 * SECOND);
-    assert_eq!(net.agreed(), Some(8));
+    assert_eq!(network.ever_dead(), []);
+    assert_eq!(network.ever_reported(MemberState::Left), [], "nor to have left");
+    network.run(10 * SECOND);
+    assert_eq!(network.agreed_live_count(), Some(8));
 }
 
-/// Everything that was under way for a while comes again, after one has died and another has a new start.
+/// All datagrams of a while arrive again after one member has died and another has restarted.
 #[test]
-fn what_is_told_again_much_later_changes_nothing() {
-    let mut net = Net::of(47, 5);
-    let mut kept = Vec::new();
+fn replayed_messages_change_nothing() {
+    let mut network = Network::with_members(47, 5);
+    let mut recorded = Vec::new();
     for _ in 0..100 {
-        net.run(SECOND / 20);
-        kept.extend(net.letters.iter().map(|l| (l.from, l.source, l.whom, l.to, l.bytes.clone())));
+        network.run(SECOND / 20);
+        recorded.extend(network.in_flight.iter().cloned());
     }
-    net.kill(&[3, 4]);
-    net.run(SECOND);
-    net.start(4, at(4));
-    net.run(30 * SECOND);
-    let view = |net: &Net| {
-        let v = net.slots[&at(0)].member.view();
-        v.members().map(|m| (m.fact.number, m.fact.state, m.fact.start)).collect::<Vec<_>>()
+    network.kill(&[3, 4]);
+    network.run(SECOND);
+    network.start(4, address_of(4));
+    network.run(30 * SECOND);
+    let view = |network: &Network| {
+        let records = network.member(0).view().members().map(|member| member.record);
+        records.map(|record| (record.id, record.state, record.incarnation)).collect::<Vec<_>>()
     };
-    let before = view(&net);
-    for (from, source, whom, to, bytes) in kept {
-        net.set += 1;
-        let due = std::cmp::Reverse((net.now + 1000, net.set));
-        net.letters.push(Letter { at: due, from, source, whom, to, bytes });
-    }
-    net.run(30 * SECOND);
-    assert_eq!(view(&net), before);
-    assert_eq!(net.agreed(), Some(4));
+    let before = view(&network);
+    recorded.into_iter().for_each(|datagram| network.inject(datagram));
+    network.run(30 * SECOND);
+    assert_eq!(view(&network), before);
+    assert_eq!(network.agreed_live_count(), Some(4));
 }
 
-fn any_fact() -> impl Strategy<Value = Fact> {
-    let state = prop_oneof![Just(State::In), Just(State::Suspected), Just(State::Lost), Just(State::Left)];
+fn any_record() -> impl Strategy<Value = MemberRecord> {
+    let state = prop_oneof![
+        Just(MemberState::Alive),
+        Just(MemberState::Suspect),
+        Just(MemberState::Dead),
+        Just(MemberState::Left)
+    ];
     (any::<u16>(), state, 0u32..1 << 28, any::<u64>(), any::<[u8; 4]>(), any::<u16>()).prop_map(
-        |(number, state, turn, start, ip, by)| Fact {
-            number,
+        |(id, state, version, incarnation, ip, reported_by)| MemberRecord {
+            id,
             state,
-            turn: turn * 2 + u32::from(!state.counts()),
-            start,
-            address: (ip, by).into(),
-            by,
+            version: version * 2 + u32::from(!state.is_live()),
+            incarnation,
+            address: (ip, reported_by).into(),
+            reported_by,
         },
     )
 }
 
 proptest! {
     #[test]
-    fn messages_come_out_as_they_went_in(facts in proptest::collection::vec(any_fact(), 0..20), nonce: u32, digest: u64, target: u16) {
-        for kind in [Kind::Ping, Kind::Ask { target, at: at(target) }, Kind::Sums { ask: true, sums: [nonce; 16] }, Kind::Facts] {
-            let mut m = Message::new(kind, nonce, digest);
-            let _ = facts.iter().all(|f| m.add(*f, 0));
-            let bytes = m.encode();
+    fn messages_decode_to_what_was_encoded(records in proptest::collection::vec(any_record(), 0..20), nonce: u32, digest: u64, target: u16) {
+        for kind in [Kind::Ping, Kind::PingRequest { target, address: address_of(target) }, Kind::Digests { reply_requested: true, digests: [nonce; 16] }, Kind::Records] {
+            let mut message = Message::new(kind, nonce, digest);
+            let _ = records.iter().all(|record| message.add(*record, 0));
+            let bytes = message.encode();
             prop_assert!(bytes.len() <= 256);
-            prop_assert_eq!(Message::decode(&bytes).unwrap(), m);
+            prop_assert_eq!(Message::decode(&bytes).unwrap(), message);
         }
     }
 
-    /// Whatever a holder of the key sends: no panic, no more messages than allowed, a view that is bounded.
+    /// Whatever a member with the key sends: no panic, no more messages than the limit, a bounded view.
     #[test]
-    fn any_bytes_and_any_facts(
-        list in proptest::collection::vec((any::<u16>(), proptest::collection::vec(any::<u8>(), 0..260)), 0..50),
-        facts in proptest::collection::vec(any_fact(), 0..50),
+    fn any_bytes_and_any_records(
+        messages in proptest::collection::vec((any::<u16>(), proptest::collection::vec(any::<u8>(), 0..260)), 0..50),
+        records in proptest::collection::vec(any_record(), 0..50),
     ) {
-        let mut net = Net::new(1);
-        net.start(0, at(0));
-        let member = &mut net.slots.get_mut(&at(0)).unwrap().member;
-        let mut now = net.now;
-        for (from, bytes) in list {
+        let mut network = Network::new(1);
+        network.start(0, address_of(0));
+        let mut now = network.now;
+        let member = &mut network.node(address_of(0)).member;
+        for (from, bytes) in messages {
             now += 1000;
-            let _ = member.hear(now, from, at(from), &bytes);
+            let _ = member.handle_message(now, from, address_of(from), &bytes);
         }
-        for fact in facts {
-            let mut m = Message::new(Kind::Ping, 1, 2);
-            m.add(fact, 0);
+        for record in records {
+            let mut message = Message::new(Kind::Ping, 1, 2);
+            message.add(record, 0);
             now += 1000;
-            prop_assert!(member.hear(now, fact.number % 1000, at(1), &m.encode()).is_ok());
-            member.tick(now);
+            prop_assert!(member.handle_message(now, record.id % 1000, address_of(1), &message.encode()).is_ok());
+            member.handle_timeout(now);
         }
-        prop_assert!(member.view().known() <= 1000);
-        let sent = std::iter::from_fn(|| member.send()).count();
+        prop_assert!(member.view().known_count() <= 1000);
+        let sent = std::iter::from_fn(|| member.poll_transmit()).count();
         prop_assert!(sent <= 41, "{}", sent);
     }
 }
--- a/crates/membership/tests/recorded_messages.rs
+++ b/crates/membership/tests/recorded_messages.rs
@@ -1,7 +1,7 @@
 //! Every kind of message is the bytes that earlier versions wrote, and is read back from them.
 
-use chalkgap_membership::view::{Fact, State, BUCKETS};
-use chalkgap_membership::wire::{Kind, Message, Shown};
+use chalkgap_membership::view::{MemberRecord, MemberState, BUCKETS};
+use chalkgap_membership::wire::{Kind, Message, ViewSummary};
 
 #[path = "../../../tests/support/recorded.rs"]
 mod recorded;
@@ -9,45 +9,52 @@
 fn messages() -> Vec<(&'static str, Message)> {
     let four = "127.0.0.1:7946".parse().unwrap();
     let six = "[2001:db8::7]:7947".parse().unwrap();
-    let fact = |number, state, turn, address| Fact {
-        number,
+    let record = |id, state, version, address| MemberRecord {
+        id,
         state,
-        turn,
-        start: 1_800_000_000_123_456,
+        version,
+        incarnation: 1_800_000_000_123_456,
         address,
-        by: 3,
+        reported_by: 3,
     };
-    let facts = [
-        fact(1, State::In, 0, four),
-        fact(2, State::Suspected, 2, six),
-        fact(300, State::Lost, 5, four),
-        fact(65_533, State::Left, 7, six),
+    let records = [
+        record(1, MemberState::Alive, 0, four),
+        record(2, MemberState::Suspect, 2, six),
+        record(300, MemberState::Dead, 5, four),
+        record(65_533, MemberState::Left, 7, six),
     ];
-    let mut sums = [0; BUCKETS];
-    for (number, sum) in (0u32..).zip(&mut sums) {
-        *sum = number.wrapping_mul(0x9e37_79b9);
+    let mut digests = [0; BUCKETS];
+    for (index, digest) in (0u32..).zip(&mut digests) {
+        *digest = index.wrapping_mul(0x9e37_79b9);
     }
-    let shown =
-        Shown { owner: 2, number: 9, counting: 12, of: 15, standing: 1, late: 1_250_000, next: Some(40) };
+    let summary = ViewSummary {
+        owner: 2,
+        version: 9,
+        live_count: 12,
+        voter_count: 15,
+        partition_status: 1,
+        detection_bound: 1_250_000,
+        next: Some(40),
+    };
     let kinds = [
         ("ping", Kind::Ping),
         ("acknowledgement", Kind::Ack),
-        ("indirect ping, IPv4", Kind::Ask { target: 5, at: four }),
-        ("indirect ping, IPv6", Kind::Ask { target: 6, at: six }),
-        ("indirect answer", Kind::Heard),
-        ("indirect silence", Kind::Unheard),
-        ("digests", Kind::Sums { ask: true, sums }),
-        ("facts", Kind::Facts),
-        ("view request", Kind::Show { from: 17 }),
-        ("view page", Kind::Shown(shown)),
-        ("last view page", Kind::Shown(Shown { next: None, ..shown })),
+        ("indirect ping, IPv4", Kind::PingRequest { target: 5, address: four }),
+        ("indirect ping, IPv6", Kind::PingRequest { target: 6, address: six }),
+        ("indirect answer", Kind::IndirectAck),
+        ("indirect silence", Kind::IndirectNack),
+        ("digests", Kind::Digests { reply_requested: true, digests }),
+        ("facts", Kind::Records),
+        ("view request", Kind::ViewRequest { from: 17 }),
+        ("view page", Kind::ViewPage(summary)),
+        ("last view page", Kind::ViewPage(ViewSummary { next: None, ..summary })),
     ];
     let mut messages = Vec::new();
     for (name, kind) in kinds {
         let mut message = Message::new(kind, 0x0102_0304, 0xfeed_face_cafe_f00d);
-        let held = if matches!(kind, Kind::Shown(_)) { 4_200_000 } else { 0 };
-        for fact in facts {
-            assert!(message.add(fact, held), "{name}: a fact does not fit");
+        let held_for = if matches!(kind, Kind::ViewPage(_)) { 4_200_000 } else { 0 };
+        for record in records {
+            assert!(message.add(record, held_for), "{name}: a record does not fit");
         }
         messages.push((name, message));
     }
@@ -57,7 +64,8 @@
 #[test]
 fn messages_are_the_bytes_that_were_recorded() {
     let messages = messages();
-    let bytes: Vec<(&str, Vec<u8>)> = messages.iter().map(|(name, m)| (*name, m.encode())).collect();
+    let bytes: Vec<(&str, Vec<u8>)> =
+        messages.iter().map(|(name, message)| (*name, message.encode())).collect();
     recorded::check_messages("messages.txt", &bytes);
     for ((name, message), (_, bytes)) in messages.iter().zip(&bytes) {
         assert_eq!(Message::decode(bytes).as_ref(), Ok(message), "{name}");
