--- a/crates/gateway/src/fleet.rs
+++ b/crates/gateway/src/fleet.rs
@@ -8,10 +8,10 @@
 use crate::settings::Peers;
 use crate::telemetry::{add, Telemetry};
 use async_channel::{Receiver, Sender};
-use chalkgap_membership::view::Fact;
-use chalkgap_membership::wire::{Kind, Message, Shown};
+use chalkgap_membership::view::MemberRecord;
+use chalkgap_membership::wire::{Kind, Message, ViewSummary};
 use chalkgap_membership::{
-    Change, Config, Membership, Micros, Number, Outgoing, Standing, State, ANYONE, VISITOR,
+    Config, Event, MemberId, MemberState, Membership, Micros, PartitionStatus, Transmit, ANY_MEMBER, OBSERVER,
 };
 use chalkgap_runtime::{Datagrams, Runtime, Shared};
 use futures_lite::future;
@@ -49,21 +49,21 @@
         socket: &Arc<dyn Datagrams>,
         peers: &Peers,
         key: Key,
-        (me, most): (Number, Number),
+        (me, most): (MemberId, MemberId),
         born: Micros,
         (telemetry, driver): (&Arc<Telemetry>, &Sender<DriverEvent>),
     ) -> Option<Arc<Fleet>> {
         let view = peers.view.as_ref()?;
         let config = Config {
-            me,
-            start: born,
+            self_id: me,
+            incarnation: born,
             address: view.address.unwrap_or_else(|| socket.address()),
             seeds: view.seeds.clone(),
-            most,
-            round: view.round_ms * 1000,
-            objection: view.objection_ms * 1000,
-            per_second: view.per_second,
-            seed: runtime.random(),
+            max_members: most,
+            protocol_period: view.round_ms * 1000,
+            min_suspicion_timeout: view.objection_ms * 1000,
+            max_messages_per_second: view.per_second,
+            rng_seed: runtime.random(),
         };
         let member = Membership::new(runtime.now(), config);
         let sealer = Sealer::new(Channel::View, key, me, born);
@@ -91,14 +91,14 @@
     pub(crate) fn shown(&self) -> ShownView {
         let (inner, now) = (self.lock(), self.runtime.now());
         let view = inner.member.view();
-        let members = view.members().map(|m| ShownMember::new(&m.fact, now.saturating_sub(m.since)));
-        ShownView::new(inner.member.shown(), view.digest(), members.collect())
+        let members = view.members().map(|m| ShownMember::new(&m.record, now.saturating_sub(m.since)));
+        ShownView::new(inner.member.view_summary(), view.digest(), members.collect())
     }
 
     /// Where a member that counts as in receives datagrams.
-    pub(crate) fn address(&self, number: Number) -> Option<SocketAddr> {
+    pub(crate) fn address(&self, number: MemberId) -> Option<SocketAddr> {
         let inner = self.lock();
-        inner.member.view().get(number).filter(|m| m.fact.state.counts()).map(|m| m.fact.address)
+        inner.member.view().get(number).filter(|m| m.record.state.is_live()).map(|m| m.record.address)
     }
 
     /// Ends when a later start of this instance's number is there.
@@ -115,10 +115,10 @@
             let wake = {
                 let mut inner = self.lock();
                 let now = self.runtime.now();
-                if inner.member.wake() <= now {
-                    inner.member.tick(now);
+                if inner.member.next_timeout() <= now {
+                    inner.member.handle_timeout(now);
                 }
-                inner.member.wake()
+                inner.member.next_timeout()
             };
             self.carry().await;
             let sleep = self.runtime.sleep_until(wake);
@@ -130,8 +130,8 @@
     }
 
     /// A message of the view has come.
-    pub(crate) async fn hear(&self, from: Number, source: SocketAddr, message: &[u8]) {
-        let heard = self.lock().member.hear(self.runtime.now(), from, source, message);
+    pub(crate) async fn hear(&self, from: MemberId, source: SocketAddr, message: &[u8]) {
+        let heard = self.lock().member.handle_message(self.runtime.now(), from, source, message);
         match heard {
             Ok(()) => add(&self.telemetry.view_in),
             Err(_) => add(&self.telemetry.peer_dropped),
@@ -153,19 +153,21 @@
             let next = {
                 let mut inner = self.lock();
                 let Inner { member, sealer } = &mut *inner;
-                while let Some(change) = member.change() {
+                while let Some(change) = member.poll_event() {
                     self.note(member, &change);
                     match change {
-                        Change::Member(f) if f.number != member.number() => {
+                        Event::MemberChanged(f) if f.id != member.id() => {
                             reach.push(DriverEvent::PeerReachability {
-                                peer: f.number,
-                                reachable: f.state.counts(),
+                                peer: f.id,
+                                reachable: f.state.is_live(),
                             });
                         }
                         _ => {}
                     }
                 }
-                member.send().map(|Outgoing { to, address, bytes }| (sealer.seal(to, &bytes), address))
+                member
+                    .poll_transmit()
+                    .map(|Transmit { to, address, bytes }| (sealer.seal(to, &bytes), address))
             };
             let Some((datagram, to)) = next else { break };
             add(&self.telemetry.view_out);
@@ -178,22 +180,24 @@
     }
 
     /// One line for each change: a process's own account of what it knew when.
-    fn note(&self, member: &Membership, change: &Change) {
-        let (me, at, view) = (member.number(), self.runtime.now(), member.view());
-        let (number, counting, digest) = (view.number(), view.counting(), format!("{:016x}", view.digest()));
+    fn note(&self, member: &Membership, change: &Event) {
+        let (me, at, view) = (member.id(), self.runtime.now(), member.view());
+        let (number, counting, digest) =
+            (view.version(), view.live_count(), format!("{:016x}", view.digest()));
         match change {
-            Change::Member(f) => {
-                let (of, state, turn, start, by) = (f.number, name(f.state), f.turn, f.start, f.by);
+            Event::MemberChanged(f) => {
+                let (of, state, turn, start, by) =
+                    (f.id, name(f.state), f.version, f.incarnation, f.reported_by);
                 tracing::info!(
                     target: "chalkgap::fleet",
                     me, at, of, state, turn, start, by, number, counting, digest, "member"
                 );
             }
-            Change::Standing(standing) => {
-                let (standing, of) = (standing_name(*standing as u8), member.basis());
+            Event::PartitionStatusChanged(standing) => {
+                let (standing, of) = (standing_name(*standing as u8), member.voter_count());
                 tracing::warn!(target: "chalkgap::fleet", me, at, standing, counting, of, number, digest, "standing");
             }
-            Change::Superseded => {
+            Event::Superseded => {
                 tracing::error!(
                     target: "chalkgap::fleet", me, at, "superseded: a later start has this number; this one has to end"
                 );
@@ -203,18 +207,21 @@
     }
 }
 
-fn name(state: State) -> &'static str {
+fn name(state: MemberState) -> &'static str {
     match state {
-        State::In => "in",
-        State::Suspected => "suspected",
-        State::Lost => "lost",
-        State::Left => "left",
+        MemberState::Alive => "in",
+        MemberState::Suspect => "suspected",
+        MemberState::Dead => "lost",
+        MemberState::Left => "left",
     }
 }
 
 fn standing_name(standing: u8) -> &'static str {
-    const NAMES: [(Standing, &str); 3] =
-        [(Standing::Whole, "whole"), (Standing::Most, "most"), (Standing::CutOff, "cut off")];
+    const NAMES: [(PartitionStatus, &str); 3] = [
+        (PartitionStatus::Complete, "whole"),
+        (PartitionStatus::Majority, "most"),
+        (PartitionStatus::NoQuorum, "cut off"),
+    ];
     NAMES.iter().find(|n| n.0 as u8 == standing).map_or("unknown", |n| n.1)
 }
 
@@ -222,7 +229,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct ShownMember {
     /// Its number.
-    pub number: Number,
+    pub number: MemberId,
     /// `in`, `suspected`, `lost` or `left`.
     pub state: &'static str,
     /// How long it has been so, in microseconds.
@@ -234,13 +241,13 @@
     /// Where it receives datagrams.
     pub address: SocketAddr,
     /// By whose word.
-    pub by: Number,
+    pub by: MemberId,
 }
 
 impl ShownMember {
-    fn new(f: &Fact, held: Micros) -> ShownMember {
+    fn new(f: &MemberRecord, held: Micros) -> ShownMember {
         let (number, state, turn, start, address, by) =
-            (f.number, name(f.state), f.turn, f.start, f.address, f.by);
+            (f.id, name(f.state), f.version, f.incarnation, f.address, f.reported_by);
         ShownMember { number, state, held, turn, start, address, by }
     }
 }
@@ -249,7 +256,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct ShownView {
     /// Whose it is.
-    pub owner: Number,
+    pub owner: MemberId,
     /// Its number.
     pub number: u64,
     /// Its digest; equal digests are equal views.
@@ -267,8 +274,16 @@
 }
 
 impl ShownView {
-    fn new(shown: Shown, digest: u64, members: Vec<ShownMember>) -> ShownView {
-        let Shown { owner, number, counting, of, standing, late, next: _ } = shown;
+    fn new(shown: ViewSummary, digest: u64, members: Vec<ShownMember>) -> ShownView {
+        let ViewSummary {
+            owner,
+            version: number,
+            live_count: counting,
+            voter_count: of,
+            partition_status: standing,
+            detection_bound: late,
+            next: _,
+        } = shown;
         let (digest, standing) = (format!("{digest:016x}"), standing_name(standing));
         ShownView { owner, number, digest, standing, counting, of, late, members }
     }
@@ -308,13 +323,13 @@
         std::net::IpAddr::V6(_) => ([0u16; 8], 0).into(),
     };
     let socket = runtime.datagrams(any).map_err(ShowError::Socket)?;
-    let mut sealer = Sealer::new(Channel::View, key.clone(), VISITOR, runtime.now());
-    let mut opener = Opener::new(key, VISITOR, VISITOR, [1.0, 10_000.0]);
+    let mut sealer = Sealer::new(Channel::View, key.clone(), OBSERVER, runtime.now());
+    let mut opener = Opener::new(key, OBSERVER, OBSERVER, [1.0, 10_000.0]);
     let (mut from, mut members) = (0, Vec::new());
-    let mut head: Option<(Shown, u64)> = None;
+    let mut head: Option<(ViewSummary, u64)> = None;
     for _ in 0..PARTS {
         let (shown, message) = part(&**runtime, &*socket, (&mut sealer, &mut opener), address, from).await?;
-        members.extend(message.facts.iter().map(|(f, held)| ShownMember::new(f, *held)));
+        members.extend(message.records.iter().map(|(f, held)| ShownMember::new(f, *held)));
         // Parts of a view that changed meanwhile are shown under the last one's number.
         head = Some((shown, message.digest));
         match shown.next {
@@ -332,12 +347,12 @@
     socket: &dyn Datagrams,
     (sealer, opener): (&mut Sealer, &mut Opener),
     address: SocketAddr,
-    from: Number,
-) -> Result<(Shown, Message), ShowError> {
+    from: MemberId,
+) -> Result<(ViewSummary, Message), ShowError> {
     for _ in 0..TRIES {
         let nonce = runtime.random() as u32;
-        let ask = Message::new(Kind::Show { from }, nonce, 0);
-        let _ = socket.send(&sealer.seal(ANYONE, &ask.encode()), address).await; // seen by its silence
+        let ask = Message::new(Kind::ViewRequest { from }, nonce, 0);
+        let _ = socket.send(&sealer.seal(ANY_MEMBER, &ask.encode()), address).await; // seen by its silence
         let until = runtime.now() + TRY;
         let mut buffer = [0; MOST_DATAGRAM + 1];
         while runtime.now() < until {
@@ -349,7 +364,7 @@
             let Some(n) = future::or(got, sleep).await else { continue };
             let Ok(opened) = opener.open(runtime.now(), &buffer[..n]) else { continue };
             let Ok(message) = Message::decode(opened.message) else { continue };
-            if let (Kind::Shown(shown), true) = (message.kind, message.nonce == nonce) {
+            if let (Kind::ViewPage(shown), true) = (message.kind, message.nonce == nonce) {
                 return Ok((shown, message));
             }
         }
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -11,7 +11,7 @@
 //! What a holder of the key, or a repeat after this instance's own restart, could do is bounded by the module: no rule
 //! rests on a message.
 
-use chalkgap_membership::{ANYONE, VISITOR};
+use chalkgap_membership::{ANY_MEMBER, OBSERVER};
 use std::collections::HashMap;
 
 const HEAD: usize = 1 + 2 + 2 + 8 + 8;
@@ -187,16 +187,16 @@
         let long = |at: usize| body[at..at + 8].iter().fold(0u64, |n, b| n << 8 | u64::from(*b));
         let (to, from, incarnation, count) = (short(1), short(3), long(5), long(13));
         let view = channel == Channel::View;
-        let here = to == self.me || view && to == ANYONE;
+        let here = to == self.me || view && to == ANY_MEMBER;
         // Another start under this one's own number has to hear that it is over, or this one that it is.
         let member = from < self.fleet && (from != self.me || view);
-        if !here || !(member || view && from == VISITOR) {
+        if !here || !(member || view && from == OBSERVER) {
             return Err(Dropped::Stranger);
         }
         let limit = &mut self.intake[usize::from(view)];
         let opened = Opened { channel, from, message: &body[HEAD..] };
         let h = self.heard.entry((channel, from)).or_insert(Heard { incarnation, highest: 0, taken: 0 });
-        if incarnation < h.incarnation || from == VISITOR {
+        if incarnation < h.incarnation || from == OBSERVER {
             // What an earlier start says, or a visitor asks, changes nothing; the intake bounds what it costs.
             return match view {
                 true if limit.take(now) => Ok(opened),
@@ -294,12 +294,12 @@
         let (_, mut o) = pair();
         let sealer = |me, start| Sealer::new(Channel::View, key("a"), me, start);
         let old = sealer(1, 100).seal(0, b"x");
-        assert!(o.open(1, &sealer(1, 200).seal(ANYONE, b"y")).is_ok());
+        assert!(o.open(1, &sealer(1, 200).seal(ANY_MEMBER, b"y")).is_ok());
         assert!(o.open(1, &old).is_ok(), "to be told that it is over");
         assert!(o.open(1, &sealer(0, 200).seal(0, b"y")).is_ok(), "its own number, another start");
-        assert!(o.open(1, &sealer(VISITOR, 5).seal(ANYONE, b"y")).is_ok());
+        assert!(o.open(1, &sealer(OBSERVER, 5).seal(ANY_MEMBER, b"y")).is_ok());
         assert_eq!(o.open(1, &sealer(7, 5).seal(0, b"y")), Err(Dropped::Stranger));
-        let module = Sealer::new(Channel::Module, key("a"), 1, 300).seal(ANYONE, b"y");
+        let module = Sealer::new(Channel::Module, key("a"), 1, 300).seal(ANY_MEMBER, b"y");
         assert_eq!(o.open(1, &module), Err(Dropped::Stranger));
     }
 
