--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,6 +1,25 @@
-//! chalkgap decides for an admission gateway of a service sold by plan: which requests to let in, which backend
-//! gets them, when to try again, what to tell the peers. It does no input or output and reads no clock: the
-//! host feeds [`Event`]s with the time and carries out the [`Action`]s that come back, in their order.
+//! The decisions of an admission gateway for services sold by plan: which requests to admit, which endpoint gets them, when
+//! to retry, what to tell the peers. Nothing here does input or output or reads a clock: the host feeds [`Event`]s with
+//! the time, and carries out the [`Action`]s that come back, in their order. Equal events give equal actions.
+//!
+//! [`Gateway::handle`] orders the steps; each rule stands whole in one module:
+//!
+//! | module | rule |
+//! | --- | --- |
+//! | `admission` | what becomes of a request when it arrives |
+//! | `quota`, `ownership` | token buckets and hard limits; which gateways keep them |
+//! | `quota_gossip` | reports of use to the owners of a quota, and their replies |
+//! | `load_shedding` | the steps of an alert, and whom they reject |
+//! | `concurrency`, `latency` | the pressure on the endpoints, and the limit on attempts in flight |
+//! | `load_balancing` | the choice of an endpoint |
+//! | `slow_start` | what an endpoint that started lately may be sent |
+//! | `outlier` | failure rates, and ejection |
+//! | `retry` | retries and hedged requests |
+//! | `completion` | the one final answer of each request |
+//! | `endpoints` | the list of endpoints, and what is learned of each |
+//!
+//! `customer` and `request` are records that these share, `gossip` is the format of messages, `interface` holds the types of
+//! this crate's border, `random` and `decay` are arithmetic.
 //!
 //! One request, from its arrival to its answer:
 //!
