--- a/crates/core/src/completion.rs
+++ b/crates/core/src/completion.rs
@@ -26,8 +26,8 @@
 
 impl Gateway {
     /// An attempt ended: learns from it, and answers, retries or gives up its request.
-    pub(crate) fn on_attempt_finished(&mut self, finished: FinishedAttempt, actions: &mut Vec<Action>) {
-        let FinishedAttempt { id, backend, outcome, elapsed, .. } = finished;
+    pub(crate) fn on_attempt_finished(&mut self, finished: &FinishedAttempt, actions: &mut Vec<Action>) {
+        let FinishedAttempt { id, backend, outcome, elapsed, .. } = *finished;
         let class = self.requests.get(&id).map(|request| usize::from(request.request.class));
         if let Some(class) = class {
             self.record_outcome(backend, class, outcome, elapsed);
@@ -35,7 +35,7 @@
         if let Some(queued) = finished.report.and_then(|report| report.queued) {
             self.record_queue(backend, queued);
         }
-        if !self.settle_attempt(&finished) {
+        if !self.settle_attempt(finished) {
             return;
         }
         let Some(request) = self.requests.get_mut(&id) else { return };
--- a/crates/core/src/gateway.rs
+++ b/crates/core/src/gateway.rs
@@ -165,7 +165,7 @@
                     charged_units,
                     report,
                 };
-                self.on_attempt_finished(finished, actions);
+                self.on_attempt_finished(&finished, actions);
             }
             Event::FirstByte { id, attempt } => self.on_first_byte(id, attempt, actions),
             Event::ClientCancelled(id) => self.close(id, actions),
--- a/crates/core/src/gossip.rs
+++ b/crates/core/src/gossip.rs
@@ -169,8 +169,9 @@
 fn pack_customer(customer: CustomerId, in_flight: u8) -> [u8; 5] {
     let id = customer.0 & ((1 << CUSTOMER_BITS) - 1);
     let word = id | u64::from(in_flight.min(MAX_IN_FLIGHT)) << CUSTOMER_BITS;
-    let [a, b, c, d, e, ..] = word.to_le_bytes();
-    [a, b, c, d, e]
+    let mut bytes = [0; 5];
+    bytes.copy_from_slice(&word.to_le_bytes()[..5]);
+    bytes
 }
 
 fn unpack_customer(row: &[u8]) -> (CustomerId, u8) {
