--- a/crates/wire/src/http2/connection/validation.rs
+++ b/crates/wire/src/http2/connection/validation.rs
@@ -4,6 +4,7 @@
 use bytes::Bytes;
 
 /// What of a message's fields matters to the connection.
+#[derive(Clone, Copy)]
 pub(super) struct CheckedFields {
     /// The content length, if it is stated.
     pub(super) content_length: Option<u64>,
