--- a/crates/cli/src/tools.rs
+++ b/crates/cli/src/tools.rs
@@ -7,7 +7,7 @@
 use chalkgap_testbed::client::{self, Client};
 use chalkgap_testbed::journal::{Answer, Journal};
 use chalkgap_testbed::node::{Faults, Machine, Node};
-use chalkgap_testbed::roster::Roster;
+use chalkgap_testbed::registry::Registry;
 use chalkgap_wire::roster;
 use futures_lite::StreamExt;
 use std::net::SocketAddr;
@@ -48,7 +48,7 @@
             Err(e) => return fail(Exit::NoAnswer, format!("{}: {e}", args.address)),
         };
         let begun = system.now();
-        let ask = client::Ask {
+        let ask = client::Request {
             call: begun,
             account: args.account,
             class: args.class,
@@ -152,7 +152,7 @@
                 Exit::Good
             }
             Standin::Roster { listen, file } => {
-                let roster = match Roster::start(system.clone(), listen, Journal::nowhere()) {
+                let roster = match Registry::start(system.clone(), listen, Journal::nowhere()) {
                     Ok(roster) => roster,
                     Err(e) => return fail(Exit::System, format!("{listen}: {e}")),
                 };
--- a/crates/cli/tests/descriptors.rs
+++ b/crates/cli/tests/descriptors.rs
@@ -1,7 +1,7 @@
 //! A daemon whose descriptors are few, under a flood from many addresses.
 
 use chalkgap::runtime::{system::System, Shared};
-use chalkgap_testbed::client::{Ask, Client};
+use chalkgap_testbed::client::{Client, Request};
 use chalkgap_testbed::flood::{self, knock, Knock, Plan};
 use chalkgap_testbed::journal::{Answer, Journal};
 use rustix::process::{prlimit, Pid, Resource, Rlimit};
@@ -82,7 +82,7 @@
     for call in 0..n {
         let Ok(client) = Client::connect(runtime.clone(), to, 0, Journal::nowhere()).await else { continue };
         let (account, class) = ("one".to_owned(), "sig-check".to_owned());
-        let ask = Ask { call, account, class, units: 1, key: None, timeout: 2_000_000 };
+        let ask = Request { call, account, class, units: 1, key: None, timeout: 2_000_000 };
         served += u64::from(client.call(&ask).await.answer == Answer::Served);
         runtime.sleep_until(runtime.now() + 5000).await;
     }
--- a/crates/fault-injection/benches/admission.rs
+++ b/crates/fault-injection/benches/admission.rs
@@ -9,7 +9,7 @@
 use chalkgap::Instance;
 use chalkgap_admission::known::Places;
 use chalkgap_admission::{Admission, Budget, Caps, ConnId, Known};
-use chalkgap_testbed::client::{Ask, Client};
+use chalkgap_testbed::client::{Client, Request};
 use chalkgap_testbed::flood::{self, knock, Knock, Plan};
 use chalkgap_testbed::journal::{Answer, Journal};
 use chalkgap_testbed::node::{Machine, Node};
@@ -108,7 +108,7 @@
         }
         let (world, shared, times) = (runtime.clone(), shared.clone(), times.clone());
         tasks.push(runtime.spawn(Box::pin(async move {
-            let ask = Ask {
+            let ask = Request {
                 call,
                 account: "one".into(),
                 class: "c".into(),
--- a/crates/fault-injection/src/drill/mod.rs
+++ b/crates/fault-injection/src/drill/mod.rs
@@ -15,8 +15,8 @@
 use chalkgap_testbed::billing::{self, Consumer, Vault};
 use chalkgap_testbed::journal::Journal;
 use chalkgap_testbed::network::{LinkFaults, Network, Party, Relay, Way};
-use chalkgap_testbed::node::{Cell, Faults, Machine, Tally};
-use chalkgap_testbed::roster::Roster;
+use chalkgap_testbed::node::{Cell, ExecutionLog, Faults, Machine};
+use chalkgap_testbed::registry::Registry;
 use processes::{end, free_port, free_udp, Life, NodeSlot, Slot};
 use std::collections::{BTreeMap, HashMap};
 use std::io;
@@ -79,7 +79,7 @@
     journal: Journal,
     slots: Mutex<Vec<Slot>>,
     nodes: Mutex<Vec<NodeSlot>>,
-    roster: Mutex<Option<Roster>>,
+    roster: Mutex<Option<Registry>>,
     roster_at: SocketAddr,
     whereabouts: Whereabouts,
     network: Network,
@@ -164,7 +164,7 @@
         let folder = std::env::temp_dir().join(unique);
         std::fs::create_dir_all(&folder).map_err(io_error(folder.display().to_string()))?;
         let journal = Journal::default();
-        let roster = Roster::start(runtime.clone(), ([127, 0, 0, 1], 0).into(), journal.clone());
+        let roster = Registry::start(runtime.clone(), ([127, 0, 0, 1], 0).into(), journal.clone());
         let roster = roster.map_err(io_error("the roster"))?;
         let (mut relays, mut peers) = (Vec::new(), Vec::new());
         let network = Network::new(weather(&day));
@@ -291,13 +291,13 @@
                     cores: g.cores,
                     speed: g.speed,
                     work: day.work_ms.iter().map(|(c, ms)| (c.clone(), ms * 1000.0)).collect(),
-                    cold_from: rules.cold_from,
-                    cold_time: 0,
-                    fall_factor: rules.fall_factor,
-                    fall_time: rules.fall_ms * 1000,
+                    slow_start_min_capacity: rules.cold_from,
+                    slow_start_window: 0,
+                    overload_factor: rules.fall_factor,
+                    overload_window: rules.fall_ms * 1000,
                     queue: g.queue,
                     cell: cells[n % zones].clone(),
-                    tally: Tally::default(),
+                    executions: ExecutionLog::default(),
                     seed: day.seed.wrapping_mul(1000) + n as u64,
                 };
                 let zone = n % zones;
@@ -313,7 +313,7 @@
         let roster_at = roster.address();
         // An ingress is told where its own way to a node begins.
         let whereabouts: Whereabouts = Arc::new(whereabouts);
-        roster.told_as(whereabouts.clone());
+        roster.advertise(whereabouts.clone());
         Ok(Arc::new(World {
             runtime,
             day,
@@ -430,7 +430,8 @@
         let (ledger, (_, vault)) = (settings.ledger.as_ref()?, self.billing.as_ref()?);
         let (periods, end) = (chalkgap::periods(ledger.period), self.runtime.now() + BILLED);
         loop {
-            let tallies: Vec<_> = lock(&self.nodes).iter().map(|n| n.machine.tally.ran()).collect();
+            let tallies: Vec<_> =
+                lock(&self.nodes).iter().map(|n| n.machine.executions.completed()).collect();
             let billing = match billed(&vault.batches()) {
                 Ok(billed) => compare(&counted(tallies, periods), &billed),
                 Err(what) => Billing { differences: vec![what], ..Billing::default() },
--- a/crates/fault-injection/src/drill/processes.rs
+++ b/crates/fault-injection/src/drill/processes.rs
@@ -232,11 +232,11 @@
         let cold_time = lock(&self.slots)[0].settings.rules.cold_ms * 1000;
         let slot = &mut nodes[n];
         let mut machine = slot.machine.clone();
-        machine.cold_time = if cold { cold_time } else { 0 };
+        machine.slow_start_window = if cold { cold_time } else { 0 };
         let node = Node::start(self.runtime.clone(), slot.address, machine, self.journal.clone());
         let node = node.map_err(io_error(format!("node at {}", slot.address)))?;
         node.faults(slot.faults.clone());
-        slot.started_ms = if cold { node.born() / 1000 } else { 0 };
+        slot.started_ms = if cold { node.started_at() / 1000 } else { 0 };
         slot.state = 0;
         slot.node = Some(node);
         Ok(())
--- a/crates/fault-injection/src/drill/traffic.rs
+++ b/crates/fault-injection/src/drill/traffic.rs
@@ -3,7 +3,7 @@
 use super::{lock, World};
 use crate::day::{AccountGroup, Door};
 use chalkgap::runtime::Micros;
-use chalkgap_testbed::client::{Ask, Client};
+use chalkgap_testbed::client::{Client, Request};
 use chalkgap_testbed::journal::Answer;
 use chalkgap_testbed::mqtt;
 use rand::rngs::SmallRng;
@@ -27,7 +27,7 @@
         }
     }
 
-    pub(super) async fn call(&self, ask: &Ask) -> Answer {
+    pub(super) async fn call(&self, ask: &Request) -> Answer {
         match self {
             Speaker::Grpc(c) => c.call(ask).await.answer,
             Speaker::Mqtt(c) => c.call(ask).await.answer,
@@ -132,7 +132,7 @@
             }
             let call = self.calls.fetch_add(1, Ordering::Relaxed);
             let account = account(g, i);
-            let ask = Ask { call, account, class: class.clone(), units, key: Some(key.clone()), timeout };
+            let ask = Request { call, account, class: class.clone(), units, key: Some(key.clone()), timeout };
             let answer = match self.client(&g.name, ingress).await {
                 Some(client) => client.call(&ask).await,
                 None => Answer::NotTaken,
--- a/crates/fault-injection/src/drill/troubles.rs
+++ b/crates/fault-injection/src/drill/troubles.rs
@@ -5,12 +5,12 @@
 use crate::day::{Kind, Trouble};
 use crate::fleet::Act;
 use chalkgap::runtime::Micros;
-use chalkgap_testbed::client::Ask;
+use chalkgap_testbed::client::Request;
 use chalkgap_testbed::flood;
 use chalkgap_testbed::journal::Seen;
 use chalkgap_testbed::network::{Cut, LinkFaults, Party};
 use chalkgap_testbed::node::Faults;
-use chalkgap_testbed::roster::Roster;
+use chalkgap_testbed::registry::Registry;
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 use rustix::process::Signal;
@@ -331,9 +331,9 @@
             Kind::RosterDown => {
                 *lock(&self.roster) = None;
                 self.pause(t.lasts).await;
-                let again = Roster::start(self.runtime.clone(), self.roster_at, self.journal.clone());
+                let again = Registry::start(self.runtime.clone(), self.roster_at, self.journal.clone());
                 let again = again.map_err(io_error("the roster"))?;
-                again.told_as(self.whereabouts.clone());
+                again.advertise(self.whereabouts.clone());
                 *lock(&self.roster) = Some(again);
                 self.publish();
             }
@@ -351,7 +351,7 @@
                         let timeout = world.deadlines.get(&class).copied().unwrap_or(1_000_000);
                         let call = world.calls.fetch_add(1, Ordering::Relaxed);
                         let account = format!("scan-{i}");
-                        let ask = Ask { call, account, class, units: 1, key: None, timeout };
+                        let ask = Request { call, account, class, units: 1, key: None, timeout };
                         if let Some(client) = world.client("scan", to).await {
                             client.call(&ask).await;
                         }
--- a/crates/fault-injection/tests/auditor.rs
+++ b/crates/fault-injection/tests/auditor.rs
@@ -2,7 +2,7 @@
 
 use chalkgap::runtime::{system::System, Shared};
 use chalkgap_fault_injection::audit::{judge, Law, Plan, Repeat, Verdict};
-use chalkgap_testbed::client::{Ask, Client};
+use chalkgap_testbed::client::{Client, Request};
 use chalkgap_testbed::journal::{Answer, Journal, Seen};
 use chalkgap_testbed::node::{Cell, Machine, Node};
 use chalkgap_testbed::rogue::{self, Defect};
@@ -36,10 +36,10 @@
                 let machine = Machine {
                     work: [("safe".to_owned(), 2000.0)].into(),
                     cell: Cell::new(&format!("cell-{n}"), 1_000_000),
-                    cold_time: if defect == Defect::Floods { 5_000_000 } else { 0 },
-                    fall_time: 1_000_000,
+                    slow_start_window: if defect == Defect::Floods { 5_000_000 } else { 0 },
+                    overload_window: 1_000_000,
                     cores: if defect == Defect::Floods { 1 } else { 3 },
-                    fall_factor: 0.2,
+                    overload_factor: 0.2,
                     ..Machine::default()
                 };
                 Node::start(runtime.clone(), ([127, 0, 0, 1], 0).into(), machine, journal.clone()).unwrap()
@@ -50,7 +50,7 @@
         let client = Client::connect(runtime.clone(), at, 0, journal.clone()).await.unwrap();
         for call in 0..calls {
             let (account, class) = (account.to_owned(), class.to_owned());
-            client.call(&Ask { call, account, class, units: 1, key: None, timeout: 500_000 }).await;
+            client.call(&Request { call, account, class, units: 1, key: None, timeout: 500_000 }).await;
         }
         runtime.sleep_until(runtime.now() + 50_000).await;
         judge(&journal.entries(), &law())
--- a/crates/gateway/tests/common/mod.rs
+++ b/crates/gateway/tests/common/mod.rs
@@ -5,9 +5,9 @@
 use chalkgap::runtime::{system::System, Shared};
 use chalkgap::settings::{self, Settings};
 use chalkgap::Instance;
-use chalkgap_testbed::client::{Ask, Client};
+use chalkgap_testbed::client::{Client, Request};
 use chalkgap_testbed::journal::Journal;
-use chalkgap_testbed::node::{Machine, Node, Tally};
+use chalkgap_testbed::node::{ExecutionLog, Machine, Node};
 use std::future::Future;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -71,7 +71,7 @@
     pub runtime: Shared,
     pub journal: Journal,
     pub nodes: Vec<Node>,
-    pub tallies: Vec<Tally>,
+    pub tallies: Vec<ExecutionLog>,
     pub ingress: Instance,
     pub client: Client,
 }
@@ -79,7 +79,7 @@
 impl Small {
     pub async fn start(runtime: Shared, settings: Settings, machines: Vec<Machine>) -> Small {
         let journal = Journal::default();
-        let tallies = machines.iter().map(|m: &Machine| m.tally.clone()).collect();
+        let tallies = machines.iter().map(|m: &Machine| m.executions.clone()).collect();
         let start = |m| Node::start(runtime.clone(), ([127, 0, 0, 1], 0).into(), m, journal.clone()).unwrap();
         let nodes: Vec<Node> = machines.into_iter().map(start).collect();
         let ingress = Instance::start(settings, runtime.clone()).await.unwrap();
@@ -90,8 +90,8 @@
     }
 }
 
-pub fn ask(call: u64, account: &str, class: &str) -> Ask {
-    Ask { call, account: account.into(), class: class.into(), units: 1, key: None, timeout: 3_000_000 }
+pub fn ask(call: u64, account: &str, class: &str) -> Request {
+    Request { call, account: account.into(), class: class.into(), units: 1, key: None, timeout: 3_000_000 }
 }
 
 pub async fn pause(runtime: &Shared, ms: u64) {
--- a/crates/gateway/tests/interop.rs
+++ b/crates/gateway/tests/interop.rs
@@ -266,7 +266,7 @@
     let node = receiver.recv().unwrap();
     common::run(|system| async move {
         let (_ingress, client) = with_node(&system, node).await;
-        let asked = chalkgap_testbed::client::Ask { timeout: 300_000, ..ask(1, "big", "referral") };
+        let asked = chalkgap_testbed::client::Request { timeout: 300_000, ..ask(1, "big", "referral") };
         assert_eq!(client.call(&asked).await.answer, Answer::Failed { code: 4 });
     });
 }
--- a/crates/gateway/tests/ledger.rs
+++ b/crates/gateway/tests/ledger.rs
@@ -11,7 +11,7 @@
 use chalkgap_testbed::billing::{Consumer, Faults as Wrong, Vault};
 use chalkgap_testbed::client::Client;
 use chalkgap_testbed::journal::{Answer, Journal, Seen};
-use chalkgap_testbed::node::{Faults, Machine, Node, Tally};
+use chalkgap_testbed::node::{ExecutionLog, Faults, Machine, Node};
 use common::*;
 use prost::Message;
 use rand::rngs::SmallRng;
@@ -64,12 +64,12 @@
 }
 
 /// Units by account and period, as nodes count them: a request once, wherever it ran.
-fn counted(tallies: &[Tally]) -> BTreeMap<(String, u64), i64> {
+fn counted(tallies: &[ExecutionLog]) -> BTreeMap<(String, u64), i64> {
     let mut requests = BTreeMap::new();
-    tallies.iter().for_each(|t| requests.extend(t.ran()));
+    tallies.iter().for_each(|t| requests.extend(t.completed()));
     let mut sums = BTreeMap::new();
     for used in requests.into_values() {
-        *sums.entry((used.account, used.entered / 1_000_000)).or_default() += used.units as i64;
+        *sums.entry((used.account, used.ledger_entry_at / 1_000_000)).or_default() += used.units as i64;
     }
     sums
 }
@@ -106,7 +106,7 @@
             let class = ["sig-check", "report-upload", "referral"][n as usize % 3];
             s.client.call(&ask(n, "big", class)).await;
         }
-        let tallies: Vec<Tally> = s.tallies.clone();
+        let tallies: Vec<ExecutionLog> = s.tallies.clone();
         eventually(&s.runtime, "billed as counted", || {
             let names = std::fs::read_dir(&drop.0).unwrap().map(|e| e.unwrap().path());
             let batches = names.filter(|p| p.extension().is_some_and(|e| e == "batch"));
@@ -130,10 +130,10 @@
         let vault = Vault::default();
         let consumer = Consumer::start(system.clone(), port(), vault.clone(), seed).unwrap();
         consumer.faults(Wrong { refuse: 0.2, silent: 0.2 });
-        let tallies: Vec<Tally> = (0..3).map(|_| Tally::default()).collect();
+        let tallies: Vec<ExecutionLog> = (0..3).map(|_| ExecutionLog::default()).collect();
         let journal = Journal::default();
-        let node = |t: &Tally| {
-            let machine = Machine { tally: t.clone(), ..Machine::default() };
+        let node = |t: &ExecutionLog| {
+            let machine = Machine { executions: t.clone(), ..Machine::default() };
             Node::start(system.clone(), port(), machine, journal.clone()).unwrap()
         };
         let nodes: Vec<Node> = tallies.iter().map(node).collect();
--- a/crates/gateway/tests/whole_path.rs
+++ b/crates/gateway/tests/whole_path.rs
@@ -64,7 +64,7 @@
     run(|system| async move {
         let s = Small::start(system, settings(), vec![Machine::default()]).await;
         for (n, timeout) in [0, 1, 1000, 5000].into_iter().enumerate() {
-            let asked = chalkgap_testbed::client::Ask { timeout, ..ask(n as u64, "big", "sig-check") };
+            let asked = chalkgap_testbed::client::Request { timeout, ..ask(n as u64, "big", "sig-check") };
             let end = s.client.call(&asked).await;
             assert!(matches!(end.answer, Answer::Refused { .. }), "{timeout}: {end:?}");
         }
@@ -137,7 +137,7 @@
     run(|system| async move {
         let s = Small::start(system, settings(), vec![Machine::default()]).await;
         s.nodes[0].faults(Faults { hang: true, ..Faults::default() });
-        let asked = chalkgap_testbed::client::Ask { timeout: 400_000, ..ask(1, "big", "referral") };
+        let asked = chalkgap_testbed::client::Request { timeout: 400_000, ..ask(1, "big", "referral") };
         let end = s.client.call(&asked).await;
         assert_eq!(end.answer, Answer::Failed { code: 4 }, "in time, by the deadline's name");
         let entries = s.journal.entries();
--- a/crates/testbed/src/billing.rs
+++ b/crates/testbed/src/billing.rs
@@ -1,7 +1,7 @@
 //! A stand-in billing consumer: sequences of numbered batches, each number taken once, with faults on command. What it
 //! has outlives its process.
 
-use crate::node::lock;
+use crate::lock;
 use async_channel::Sender;
 use bytes::Bytes;
 use chalkgap_runtime::Shared;
--- a/crates/testbed/src/client.rs
+++ b/crates/testbed/src/client.rs
@@ -1,6 +1,6 @@
-//! A stand-in client of the rate limit service: one connection to one ingress, many calls at once.
+//! A fake client of the rate limit service: one connection to one gateway, many calls at once.
 
-use crate::journal::{self, Journal, Seen, CALL_ENTRY};
+use crate::journal::{Answer, Journal, Seen, CALL_ENTRY};
 use async_channel::{Receiver, Sender};
 use bytes::Bytes;
 use chalkgap_runtime::{Micros, Shared};
@@ -12,33 +12,40 @@
 };
 use futures_lite::future;
 use prost::Message;
-use std::collections::HashMap;
+use std::collections::{HashMap, VecDeque};
 use std::io;
 use std::net::SocketAddr;
 
-/// What a call asks.
+/// Calls that may wait for the connection's task.
+const MAX_PENDING_CALLS: usize = 1000;
+const MAX_RESPONSE_BYTES: usize = 4 << 20;
+/// How long after its deadline a client still waits, so that a late answer is seen. The auditor judges by the times.
+const LATE_ANSWER_MICROS: Micros = 300_000;
+const CLOSE_TIMEOUT_MICROS: Micros = 100_000;
+
+/// A request of a client.
 #[derive(Clone, Debug)]
-pub struct Ask {
-    /// Unique over all tries of all clients.
+pub struct Request {
+    /// Unique over all requests of all clients.
     pub call: u64,
-    /// Whose.
+    /// The account in whose name it comes.
     pub account: String,
-    /// The class.
+    /// Its class.
     pub class: String,
-    /// Units.
+    /// Quota units.
     pub units: u32,
-    /// The request's key.
+    /// Its idempotency key.
     pub key: Option<String>,
-    /// How long the client waits; it is told to the ingress.
+    /// How long the client waits. The gateway is told.
     pub timeout: Micros,
 }
 
-impl Ask {
-    /// What the journal has of it when it is sent.
-    pub(crate) fn seen(&self, ingress: u16, now: Micros) -> Seen {
+impl Request {
+    /// Its entry in the journal when it is sent.
+    pub(crate) fn seen(&self, gateway: u16, now: Micros) -> Seen {
         Seen::Asked {
             call: self.call,
-            ingress,
+            ingress: gateway,
             account: self.account.clone(),
             class: self.class.clone(),
             units: self.units,
@@ -46,195 +53,248 @@
             deadline: now + self.timeout,
         }
     }
+
+    fn message(&self) -> RateLimitRequest {
+        let entry = |key: &str, value: String| Entry { key: key.into(), value };
+        let mut entries = vec![
+            entry("account", self.account.clone()),
+            entry("class", self.class.clone()),
+            entry(CALL_ENTRY, self.call.to_string()),
+        ];
+        entries.extend(self.key.iter().map(|key| entry("key", key.clone())));
+        let descriptors = vec![Descriptor { entries, hits_addend: None }];
+        RateLimitRequest { domain: "chalkgap".into(), descriptors, hits_addend: self.units }
+    }
 }
 
-/// How a call ended, and what came along.
+/// How a call ended, and what came with it.
 #[derive(Clone, Debug)]
 pub struct Outcome {
     /// As the journal has it.
-    pub answer: journal::Answer,
-    /// The whole answer, where one came.
+    pub answer: Answer,
+    /// The response, where one came.
     pub response: Option<RateLimitResponse>,
     /// The status's text, where it failed.
     pub message: String,
 }
 
-fn outcome(answer: journal::Answer) -> Outcome {
-    Outcome { answer, response: None, message: String::new() }
+impl Outcome {
+    fn without_response(answer: Answer) -> Outcome {
+        Outcome { answer, response: None, message: String::new() }
+    }
+
+    fn from_trailers(trailers: &[Field], response: Option<RateLimitResponse>) -> Outcome {
+        let status = Status::from_fields(trailers);
+        let answer = match &response {
+            Some(response) if status.code == grpc::Code::Ok => verdict(response),
+            _ => None,
+        };
+        let answer = answer.unwrap_or(Answer::Failed { code: status.code as u32 });
+        Outcome { answer, response, message: status.message.into_owned() }
+    }
 }
 
-enum Command {
-    Start(Bytes, Micros, Sender<Outcome>),
+fn verdict(response: &RateLimitResponse) -> Option<Answer> {
+    if response.overall_code == i32::from(Verdict::Ok) {
+        return Some(Answer::Served);
+    }
+    if response.overall_code != i32::from(Verdict::OverLimit) {
+        return None;
+    }
+    let reset = response.statuses.first().and_then(|status| status.duration_until_reset);
+    let pause = reset.map_or(0, |duration| {
+        duration.seconds.max(0) as u64 * 1_000_000 + duration.nanos.max(0) as u64 / 1000
+    });
+    Some(Answer::Refused { pause })
 }
 
-/// A connection to an ingress.
+/// A connection to a gateway.
 pub struct Client {
     runtime: Shared,
     journal: Journal,
-    ingress: u16,
-    commands: Sender<Command>,
+    gateway: u16,
+    calls: Sender<NewCall>,
 }
 
 impl Client {
-    /// Connects to ingress `ingress` at an address.
+    /// Connects to the gateway of this number, at an address.
     ///
     /// # Errors
     /// There is no connection.
     pub async fn connect(
         runtime: Shared,
         to: SocketAddr,
-        ingress: u16,
+        gateway: u16,
         journal: Journal,
     ) -> io::Result<Client> {
         let stream = runtime.connect(to).await?;
-        let (commands, receiver) = async_channel::bounded(1000);
-        let (_keep, signal) = async_channel::bounded(1);
+        let (calls, new_calls) = async_channel::bounded(MAX_PENDING_CALLS);
+        let (_signal_sender, signal) = async_channel::bounded(1);
         let config = Config { max_streams: 0, ..Config::default() };
-        let pipe = Pipe::new(runtime.clone(), stream, Connection::client(config), receiver.clone(), signal);
-        runtime.spawn(Box::pin(run(runtime.clone(), pipe, to, receiver, ingress, journal.clone()))).detach();
-        Ok(Client { runtime, journal, ingress, commands })
+        let connection = Connection::client(config);
+        let pipe = Pipe::new(runtime.clone(), stream, connection, new_calls.clone(), signal);
+        let connection = ClientConnection {
+            runtime: runtime.clone(),
+            journal: journal.clone(),
+            to,
+            gateway,
+            pipe,
+            open: HashMap::new(),
+            waiting: VecDeque::new(),
+        };
+        runtime.spawn(Box::pin(connection.run(new_calls))).detach();
+        Ok(Client { runtime, journal, gateway, calls })
     }
 
     /// Whether the connection is gone.
     pub fn closed(&self) -> bool {
-        self.commands.is_closed()
+        self.calls.is_closed()
     }
 
     /// Makes a call and waits for its end.
-    pub async fn call(&self, ask: &Ask) -> Outcome {
-        let entry = |key: &str, value: String| Entry { key: key.into(), value };
-        let mut entries = vec![
-            entry("account", ask.account.clone()),
-            entry("class", ask.class.clone()),
-            entry(CALL_ENTRY, ask.call.to_string()),
-        ];
-        entries.extend(ask.key.iter().map(|k| entry("key", k.clone())));
-        let descriptors = vec![Descriptor { entries, hits_addend: None }];
-        let request = RateLimitRequest { domain: "chalkgap".into(), descriptors, hits_addend: ask.units };
+    pub async fn call(&self, request: &Request) -> Outcome {
+        let message = grpc::frame(&request.message());
         let now = self.runtime.now();
         let (sender, receiver) = async_channel::bounded(1);
-        self.journal.note(now, ask.seen(self.ingress, now));
-        let sent = self.commands.send(Command::Start(grpc::frame(&request), now + ask.timeout, sender)).await;
-        let end = match sent {
-            Ok(()) => receiver.recv().await.unwrap_or_else(|_| outcome(journal::Answer::Broken)),
-            Err(_) => outcome(journal::Answer::NotTaken),
+        self.journal.note(now, request.seen(self.gateway, now));
+        let call = NewCall { message, deadline: now + request.timeout, outcome: sender };
+        let outcome = match self.calls.send(call).await {
+            Ok(()) => receiver.recv().await.unwrap_or_else(|_| Outcome::without_response(Answer::Broken)),
+            Err(_) => Outcome::without_response(Answer::NotTaken),
         };
-        let answered = Seen::Answered { call: ask.call, answer: end.answer.clone() };
+        let answered = Seen::Answered { call: request.call, answer: outcome.answer.clone() };
         self.journal.note(self.runtime.now(), answered);
-        end
+        outcome
     }
 }
 
-struct Open {
-    reply: Sender<Outcome>,
-    until: Micros,
+/// A call that has no stream yet.
+struct NewCall {
+    message: Bytes,
+    deadline: Micros,
+    outcome: Sender<Outcome>,
+}
+
+/// A call on its stream.
+struct OpenCall {
+    outcome: Sender<Outcome>,
+    deadline: Micros,
     body: Deframer,
     response: Option<RateLimitResponse>,
 }
 
-/// How long past its time a client still looks for an answer, to see a late one. The auditor judges by the times.
-const LOOK: Micros = 300_000;
+impl OpenCall {
+    fn gives_up_at(&self) -> Micros {
+        self.deadline + LATE_ANSWER_MICROS
+    }
+
+    fn end(self, outcome: Outcome) {
+        let _ = self.outcome.try_send(outcome); // closed: the caller was dropped
+    }
+}
 
-async fn run(
+struct ClientConnection {
     runtime: Shared,
-    mut pipe: Pipe<Command>,
-    to: SocketAddr,
-    commands: Receiver<Command>,
-    ingress: u16,
     journal: Journal,
-) {
-    let mut open: HashMap<u32, Open> = HashMap::new();
-    let mut waiting = Vec::new();
-    loop {
-        let until = open.values().map(|o| o.until + LOOK).min();
-        match pipe.turn(until, true).await {
-            Turn::Command(c) => waiting.push(c),
-            Turn::Read | Turn::Signal => {}
-            Turn::Time => {
-                let now = runtime.now();
-                let late: Vec<u32> = open.iter().filter(|o| o.1.until + LOOK <= now).map(|o| *o.0).collect();
-                for id in late {
-                    pipe.conn.reset(id, Code::CANCEL);
-                    if let Some(o) = open.remove(&id) {
-                        let _ = o.reply.try_send(outcome(journal::Answer::Left));
-                    }
+    to: SocketAddr,
+    gateway: u16,
+    pipe: Pipe<NewCall>,
+    open: HashMap<u32, OpenCall>,
+    waiting: VecDeque<NewCall>,
+}
+
+impl ClientConnection {
+    async fn run(mut self, new_calls: Receiver<NewCall>) {
+        loop {
+            let until = self.open.values().map(OpenCall::gives_up_at).min();
+            match self.pipe.turn(until, true).await {
+                Turn::Command(call) => self.waiting.push_back(call),
+                Turn::Read | Turn::Signal => {}
+                Turn::Time => self.give_up(),
+                Turn::Bad(error) => {
+                    let broke = Seen::Broke { ingress: self.gateway, what: error.to_string() };
+                    self.journal.note(self.runtime.now(), broke);
+                    break;
                 }
+                Turn::Closed => break,
+            }
+            while let Some(event) = self.pipe.conn.event() {
+                self.handle(event);
             }
-            Turn::Bad(e) => {
-                journal.note(runtime.now(), Seen::Broke { ingress, what: e.to_string() });
+            self.open_waiting();
+            if self.pipe.conn.finished() {
                 break;
             }
-            Turn::Closed => break,
         }
-        while let Some(event) = pipe.conn.event() {
-            match event {
-                Event::Data { stream, data, .. } => {
-                    pipe.conn.consumed(stream, data.len());
-                    let Some(o) = open.get_mut(&stream) else { continue };
-                    o.body.push(&data);
-                    if let Ok(Some(m)) = o.body.message() {
-                        o.response = RateLimitResponse::decode(m).ok();
-                    }
+        new_calls.close();
+        self.waiting.extend(std::iter::from_fn(|| new_calls.try_recv().ok()));
+        for call in self.waiting {
+            let _ = call.outcome.try_send(Outcome::without_response(Answer::NotTaken));
+        }
+        // Polled once: what can be written at once is, and nobody waits for the rest.
+        let _ = future::poll_once(self.pipe.close(self.runtime.now() + CLOSE_TIMEOUT_MICROS)).await;
+    }
+
+    /// Ends calls whose deadline passed a while ago.
+    fn give_up(&mut self) {
+        let now = self.runtime.now();
+        let late = self.open.iter().filter(|(_, call)| call.gives_up_at() <= now);
+        let late: Vec<u32> = late.map(|(stream, _)| *stream).collect();
+        for stream in late {
+            self.pipe.conn.reset(stream, Code::CANCEL);
+            if let Some(call) = self.open.remove(&stream) {
+                call.end(Outcome::without_response(Answer::Left));
+            }
+        }
+    }
+
+    fn handle(&mut self, event: Event) {
+        match event {
+            Event::Data { stream, data, .. } => {
+                self.pipe.conn.consumed(stream, data.len());
+                let Some(call) = self.open.get_mut(&stream) else { return };
+                call.body.push(&data);
+                if let Ok(Some(message)) = call.body.message() {
+                    call.response = RateLimitResponse::decode(message).ok();
                 }
-                Event::Headers { stream, fields, end: true } => {
-                    if let Some(o) = open.remove(&stream) {
-                        let _ = o.reply.try_send(read(&fields, o.response));
-                    }
+            }
+            Event::Headers { stream, fields, end: true } => {
+                if let Some(mut call) = self.open.remove(&stream) {
+                    let response = call.response.take();
+                    call.end(Outcome::from_trailers(&fields, response));
                 }
-                Event::Reset { stream, code, .. } => {
-                    // A server that needs no more of the request says so after its answer.
-                    if let Some(o) = open.remove(&stream) {
-                        let message = format!("reset: {code}");
-                        let refused = code == Code::REFUSED_STREAM;
-                        let answer =
-                            if refused { journal::Answer::NotTaken } else { journal::Answer::Broken };
-                        let _ = o.reply.try_send(Outcome { message, ..outcome(answer) });
-                    }
+            }
+            Event::Reset { stream, code, .. } => {
+                // A server that needs no more of the request says so after its answer: then the call is closed already.
+                if let Some(call) = self.open.remove(&stream) {
+                    let refused = code == Code::REFUSED_STREAM;
+                    let answer = if refused { Answer::NotTaken } else { Answer::Broken };
+                    let message = format!("reset: {code}");
+                    call.end(Outcome { message, ..Outcome::without_response(answer) });
                 }
-                _ => {}
             }
+            _ => {}
         }
-        while pipe.conn.greeted() && pipe.conn.can_open().is_ok() && !waiting.is_empty() {
-            let Command::Start(message, until, reply) = waiting.remove(0);
-            let left = until.saturating_sub(runtime.now());
+    }
+
+    /// Opens streams for calls that wait, as far as the gateway permits.
+    fn open_waiting(&mut self) {
+        while self.pipe.conn.greeted() && self.pipe.conn.can_open().is_ok() {
+            let Some(NewCall { message, deadline, outcome }) = self.waiting.pop_front() else { return };
+            let time_left = deadline.saturating_sub(self.runtime.now());
             let fields = [
                 Field::constant(":method", "POST"),
                 Field::constant(":scheme", "http"),
                 Field::constant(":path", SHOULD_RATE_LIMIT),
-                Field::new(":authority", to.to_string()),
+                Field::new(":authority", self.to.to_string()),
                 Field::constant("content-type", "application/grpc"),
                 Field::constant("te", "trailers"),
-                Field::new("grpc-timeout", grpc::format_timeout(left)),
+                Field::new("grpc-timeout", grpc::format_timeout(time_left)),
             ];
-            let Ok(stream) = pipe.conn.open(&fields, false) else { break };
-            let _ = pipe.conn.data(stream, message, true); // the stream is new
-            open.insert(stream, Open { reply, until, body: Deframer::new(4 << 20), response: None });
-        }
-        if pipe.conn.finished() {
-            break;
+            let Ok(stream) = self.pipe.conn.open(&fields, false) else { return };
+            let _ = self.pipe.conn.data(stream, message, true); // cannot fail: the stream was just opened
+            let body = Deframer::new(MAX_RESPONSE_BYTES);
+            self.open.insert(stream, OpenCall { outcome, deadline, body, response: None });
         }
     }
-    commands.close();
-    waiting.extend(std::iter::from_fn(|| commands.try_recv().ok()));
-    for Command::Start(_, _, reply) in waiting {
-        let _ = reply.try_send(outcome(journal::Answer::NotTaken));
-    }
-    let _ = future::poll_once(pipe.close(runtime.now() + 100_000)).await; // a last word, if it can go at once
-}
-
-fn read(trailers: &[Field], response: Option<RateLimitResponse>) -> Outcome {
-    let status = Status::from_fields(trailers);
-    let answer = match &response {
-        Some(r) if status.code == grpc::Code::Ok && r.overall_code == i32::from(Verdict::Ok) => {
-            journal::Answer::Served
-        }
-        Some(r) if status.code == grpc::Code::Ok && r.overall_code == i32::from(Verdict::OverLimit) => {
-            let reset = r.statuses.first().and_then(|s| s.duration_until_reset);
-            let pause =
-                reset.map_or(0, |d| d.seconds.max(0) as u64 * 1_000_000 + d.nanos.max(0) as u64 / 1000);
-            journal::Answer::Refused { pause }
-        }
-        _ => journal::Answer::Failed { code: status.code as u32 },
-    };
-    Outcome { answer, response, message: status.message.into_owned() }
 }
--- a/crates/testbed/src/mqtt.rs
+++ b/crates/testbed/src/mqtt.rs
@@ -1,6 +1,6 @@
 //! A stand-in MQTT 5 client: one connection to one ingress, many publishes at once, each with QoS 1 or 2.
 
-use crate::client::{Ask, Outcome};
+use crate::client::{Outcome, Request};
 use crate::journal::{Answer, Journal, Seen, CALL_ENTRY};
 use async_channel::{Receiver, Sender};
 use bytes::BytesMut;
@@ -105,7 +105,7 @@
     }
 
     /// Publishes and waits for the answer. Each third call goes with QoS 2.
-    pub async fn call(&self, ask: &Ask) -> Outcome {
+    pub async fn call(&self, ask: &Request) -> Outcome {
         let user = |key: &str, value: String| Property::User(key.into(), value);
         let mut list = vec![
             user(CALL_ENTRY, ask.call.to_string()),
--- a/crates/testbed/src/rogue.rs
+++ b/crates/testbed/src/rogue.rs
@@ -1,7 +1,8 @@
-//! An ingress that breaks one rule on purpose, for testing the auditor: it serves the rate limit service and sends
-//! calls on to nodes with no decision at all.
+//! A gateway that breaks one rule on purpose, to test the auditor: it serves the rate limit service and forwards calls to
+//! nodes without any decision.
 
 use crate::journal::CALL_ENTRY;
+use async_channel::Sender;
 use bytes::Bytes;
 use chalkgap_runtime::{Micros, Shared, Stream};
 use chalkgap_transport::{Pipe, Turn};
@@ -15,160 +16,218 @@
 use std::io;
 use std::net::SocketAddr;
 
-/// What it does wrong.
+/// Verdicts that may wait for their connection.
+const MAX_PENDING_VERDICTS: usize = 100;
+const MAX_REQUEST_BYTES: usize = 100_000;
+const DEFAULT_TIMEOUT_MICROS: Micros = 1_000_000;
+const ATTEMPT_TIMEOUT_MICROS: Micros = 1_000_000;
+/// How late [`Defect::Late`] answers.
+const LATE_BY_MICROS: Micros = 50_000;
+/// Attempts of [`Defect::Floods`].
+const FLOOD_ATTEMPTS: usize = 40;
+
+/// The rule that it breaks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Defect {
-    /// Nothing.
+    /// None.
     None,
-    /// Some calls get a second answer.
+    /// Each call gets a second answer.
     AnswersTwice,
-    /// Calls are sent on and never answered.
+    /// Calls are forwarded and never answered.
     Drops,
-    /// Calls are answered when their time is over.
+    /// Calls are answered after their deadline.
     Late,
     /// Each call goes to two nodes.
     SendsTwice,
-    /// Calls are sent on and then refused.
+    /// Calls are forwarded and then rejected.
     RefusesWhatRan,
     /// Each call goes to the first node forty times.
     Floods,
-    /// It says that it served what it never sent.
+    /// Calls are answered as served and never forwarded.
     Invents,
 }
 
-/// Starts a rogue ingress; gives its address. It runs for as long as the runtime does.
+/// Starts a rogue gateway and returns its address. It runs for as long as the runtime does.
 ///
 /// # Errors
 /// No address can be bound.
 pub fn start(runtime: Shared, nodes: Vec<SocketAddr>, defect: Defect) -> io::Result<SocketAddr> {
     let listener = runtime.listen(([127, 0, 0, 1], 0).into())?;
     let address = listener.address();
-    let world = runtime.clone();
-    let task = async move {
+    let gateway = Rogue { runtime: runtime.clone(), nodes, defect };
+    let accept = async move {
         while let Ok(stream) = listener.accept().await {
-            let served = serve(world.clone(), stream, nodes.clone(), defect);
-            world.spawn(Box::pin(served)).detach();
+            let connection = ServerConnection::new(gateway.clone(), stream);
+            gateway.runtime.spawn(Box::pin(connection.run())).detach();
         }
     };
-    runtime.spawn(Box::pin(task)).detach();
+    runtime.spawn(Box::pin(accept)).detach();
     Ok(address)
 }
 
-async fn serve(runtime: Shared, stream: Box<dyn Stream>, nodes: Vec<SocketAddr>, defect: Defect) {
-    let (over, ends) = async_channel::bounded::<(u32, Verdict)>(100);
-    let (_keep, signal) = async_channel::bounded(1);
-    let mut pipe = Pipe::new(runtime.clone(), stream, Connection::server(Config::default()), ends, signal);
-    let mut bodies: HashMap<u32, (Deframer, Micros)> = HashMap::new();
-    loop {
-        match pipe.turn(None, true).await {
-            Turn::Command((stream, verdict)) => {
-                let head = || {
-                    vec![
-                        Field::constant(":status", "200"),
-                        Field::constant("content-type", "application/grpc"),
-                    ]
-                };
-                let response = RateLimitResponse { overall_code: verdict.into(), ..Default::default() };
-                let sent = pipe.conn.headers(stream, head(), false);
-                let sent = sent.and_then(|()| pipe.conn.data(stream, grpc::frame(&response), false));
-                let trailers = vec![Field::constant("grpc-status", "0")];
-                let _ = sent.and_then(|()| pipe.conn.headers(stream, trailers, true));
-                if defect == Defect::AnswersTwice {
-                    // HEADERS with END_STREAM on the same stream again, past the state machine: `:status: 200`.
-                    let mut frame = vec![0, 0, 1, 1, 0x5];
-                    frame.extend_from_slice(&stream.to_be_bytes());
-                    frame.push(0x88);
-                    pipe.conn.output().extend_from_slice(&frame);
-                }
+#[derive(Clone)]
+struct Rogue {
+    runtime: Shared,
+    nodes: Vec<SocketAddr>,
+    defect: Defect,
+}
+
+/// The answer to a call, for its connection.
+struct Answer {
+    stream: u32,
+    verdict: Verdict,
+}
+
+/// A call whose message is not complete.
+struct IncomingCall {
+    body: Deframer,
+    deadline: Micros,
+}
+
+struct ServerConnection {
+    gateway: Rogue,
+    pipe: Pipe<Answer>,
+    answers: Sender<Answer>,
+    incoming: HashMap<u32, IncomingCall>,
+    /// Held, as no signal is to be reported.
+    _signal_sender: Sender<()>,
+}
+
+impl ServerConnection {
+    fn new(gateway: Rogue, stream: Box<dyn Stream>) -> Self {
+        let (answers, commands) = async_channel::bounded(MAX_PENDING_VERDICTS);
+        let (signal_sender, signal) = async_channel::bounded(1);
+        let connection = Connection::server(Config::default());
+        let pipe = Pipe::new(gateway.runtime.clone(), stream, connection, commands, signal);
+        ServerConnection { gateway, pipe, answers, incoming: HashMap::new(), _signal_sender: signal_sender }
+    }
+
+    async fn run(mut self) {
+        loop {
+            match self.pipe.turn(None, true).await {
+                Turn::Command(answer) => self.respond(&answer),
+                Turn::Read | Turn::Time | Turn::Signal => {}
+                Turn::Bad(_) | Turn::Closed => return,
+            }
+            while let Some(event) = self.pipe.conn.event() {
+                self.handle(event);
             }
-            Turn::Read | Turn::Time | Turn::Signal => {}
-            Turn::Bad(_) | Turn::Closed => return,
         }
-        while let Some(event) = pipe.conn.event() {
-            match event {
-                Event::Headers { stream, fields, .. } => {
-                    let timeout = fields.iter().find(|f| f.name == "grpc-timeout");
-                    let timeout = timeout.and_then(|f| grpc::parse_timeout(&f.value)).unwrap_or(1_000_000);
-                    bodies.insert(stream, (Deframer::new(100_000), runtime.now() + timeout));
-                }
-                Event::Data { stream, data, .. } => {
-                    pipe.conn.consumed(stream, data.len());
-                    let Some((body, deadline)) = bodies.get_mut(&stream) else { continue };
-                    body.push(&data);
-                    let Ok(Some(message)) = body.message() else { continue };
-                    let Ok(request) = RateLimitRequest::decode(message) else { continue };
-                    let (over, deadline, nodes, world) =
-                        (over.clone(), *deadline, nodes.clone(), runtime.clone());
-                    runtime
-                        .spawn(Box::pin(async move {
-                            if let Some(verdict) = forward(&world, &nodes, defect, &request, deadline).await {
-                                let _ = over.send((stream, verdict)).await; // the client has left
-                            }
-                        }))
-                        .detach();
-                }
-                _ => {}
+    }
+
+    fn handle(&mut self, event: Event) {
+        match event {
+            Event::Headers { stream, fields, .. } => {
+                let timeout = fields.iter().find(|field| field.name == "grpc-timeout");
+                let timeout = timeout.and_then(|field| grpc::parse_timeout(&field.value));
+                let deadline = self.gateway.runtime.now() + timeout.unwrap_or(DEFAULT_TIMEOUT_MICROS);
+                let body = Deframer::new(MAX_REQUEST_BYTES);
+                self.incoming.insert(stream, IncomingCall { body, deadline });
             }
+            Event::Data { stream, data, .. } => self.receive_data(stream, &data),
+            _ => {}
         }
     }
-}
 
-async fn forward(
-    runtime: &Shared,
-    nodes: &[SocketAddr],
-    defect: Defect,
-    request: &RateLimitRequest,
-    deadline: Micros,
-) -> Option<Verdict> {
-    let entries = request.descriptors.first().map(|d| d.entries.clone()).unwrap_or_default();
-    let value =
-        |key: &str| entries.iter().find(|e| e.key == key).map(|e| e.value.clone()).unwrap_or_default();
-    let (class, call) = (value("class"), value(CALL_ENTRY));
-    let own = entries.iter().filter(|e| e.key == CALL_ENTRY).cloned().collect();
-    let work =
-        Work { account: value("account"), units: request.hits_addend, entries: own, ..Work::default() };
-    let name = format!("0-rogue-{call}");
-    let times = match defect {
-        Defect::Invents => 0,
-        Defect::SendsTwice => 2,
-        Defect::Floods => 40,
-        _ => 1,
-    };
-    for n in 0..times {
-        let node = if defect == Defect::Floods { nodes[0] } else { nodes[n % nodes.len()] };
-        let _ = attempt(runtime, node, &class, &work, &name).await; // a node that is gone answers nothing
+    fn receive_data(&mut self, stream: u32, data: &[u8]) {
+        self.pipe.conn.consumed(stream, data.len());
+        let Some(call) = self.incoming.get_mut(&stream) else { return };
+        call.body.push(data);
+        let Ok(Some(message)) = call.body.message() else { return };
+        let Ok(request) = RateLimitRequest::decode(message) else { return };
+        let deadline = call.deadline;
+        let gateway = self.gateway.clone();
+        let answers = self.answers.clone();
+        let forward = async move {
+            if let Some(verdict) = gateway.forward(&request, deadline).await {
+                let _ = answers.send(Answer { stream, verdict }).await; // closed: the client has left
+            }
+        };
+        self.gateway.runtime.spawn(Box::pin(forward)).detach();
+    }
+
+    fn respond(&mut self, answer: &Answer) {
+        let stream = answer.stream;
+        let response = RateLimitResponse { overall_code: answer.verdict.into(), ..Default::default() };
+        let fields =
+            vec![Field::constant(":status", "200"), Field::constant("content-type", "application/grpc")];
+        let trailers = vec![Field::constant("grpc-status", "0")];
+        let connection = &mut self.pipe.conn;
+        // Fails only where the client has reset the call.
+        let _ = connection
+            .headers(stream, fields, false)
+            .and_then(|()| connection.data(stream, grpc::frame(&response), false))
+            .and_then(|()| connection.headers(stream, trailers, true));
+        if self.gateway.defect == Defect::AnswersTwice {
+            // HEADERS with END_STREAM on the same stream again, past the state machine: `:status: 200`.
+            let mut frame = vec![0, 0, 1, 1, 0x5];
+            frame.extend_from_slice(&stream.to_be_bytes());
+            frame.push(0x88);
+            connection.output().extend_from_slice(&frame);
+        }
     }
-    match defect {
-        Defect::Drops => None,
-        Defect::Late => {
-            runtime.sleep_until(deadline + 50_000).await;
-            Some(Verdict::Ok)
+}
+
+impl Rogue {
+    /// Forwards a call as the defect wants it, and returns the answer if there is to be one.
+    async fn forward(&self, request: &RateLimitRequest, deadline: Micros) -> Option<Verdict> {
+        let entries = request.descriptors.first().map(|descriptor| descriptor.entries.clone());
+        let entries = entries.unwrap_or_default();
+        let value = |key: &str| {
+            let entry = entries.iter().find(|entry| entry.key == key);
+            entry.map(|entry| entry.value.clone()).unwrap_or_default()
+        };
+        let class = value("class");
+        let name = format!("0-rogue-{}", value(CALL_ENTRY));
+        let work = Work {
+            account: value("account"),
+            units: request.hits_addend,
+            entries: entries.iter().filter(|entry| entry.key == CALL_ENTRY).cloned().collect(),
+            ..Work::default()
+        };
+        let attempts = match self.defect {
+            Defect::Invents => 0,
+            Defect::SendsTwice => 2,
+            Defect::Floods => FLOOD_ATTEMPTS,
+            _ => 1,
+        };
+        for number in 0..attempts {
+            let index = if self.defect == Defect::Floods { 0 } else { number % self.nodes.len() };
+            // A node that is gone answers nothing.
+            let _ = attempt(&self.runtime, self.nodes[index], &class, &work, &name).await;
+        }
+        match self.defect {
+            Defect::Drops => None,
+            Defect::Late => {
+                self.runtime.sleep_until(deadline + LATE_BY_MICROS).await;
+                Some(Verdict::Ok)
+            }
+            Defect::RefusesWhatRan => Some(Verdict::OverLimit),
+            _ => Some(Verdict::Ok),
         }
-        Defect::RefusesWhatRan => Some(Verdict::OverLimit),
-        _ => Some(Verdict::Ok),
     }
 }
 
 /// One attempt on a connection of its own; ends with the node's answer.
 async fn attempt(runtime: &Shared, node: SocketAddr, class: &str, work: &Work, name: &str) -> io::Result<()> {
     let stream = runtime.connect(node).await?;
-    let (_commands, none) = async_channel::bounded::<()>(1);
-    let (_keep, signal) = async_channel::bounded(1);
-    let conn = Connection::client(Config { max_streams: 0, ..Config::default() });
-    let mut pipe = Pipe::new(runtime.clone(), stream, conn, none, signal);
+    let (_commands, no_commands) = async_channel::bounded::<()>(1);
+    let (_signal_sender, signal) = async_channel::bounded(1);
+    let connection = Connection::client(Config { max_streams: 0, ..Config::default() });
+    let mut pipe = Pipe::new(runtime.clone(), stream, connection, no_commands, signal);
     let fields = [
         Field::constant(":method", "POST"),
         Field::constant(":scheme", "http"),
         Field::new(":path", format!("{}{class}", intake::SERVICE)),
         Field::new(intake::REQUEST, Bytes::from(name.to_owned())),
     ];
-    let end = runtime.now() + 1_000_000;
+    let deadline = runtime.now() + ATTEMPT_TIMEOUT_MICROS;
     let served = async {
         let mut sent = false;
         loop {
             if !sent && pipe.conn.greeted() {
                 if let Ok(stream) = pipe.conn.open(&fields, false) {
-                    let _ = pipe.conn.data(stream, grpc::frame(work), true); // the stream is new
+                    let _ = pipe.conn.data(stream, grpc::frame(work), true); // cannot fail: the stream was just opened
                     sent = true;
                 }
             }
@@ -182,6 +241,6 @@
             }
         }
     };
-    future::or(served, runtime.sleep_until(end)).await;
+    future::or(served, runtime.sleep_until(deadline)).await;
     Ok(())
 }
