--- a/crates/platform/src/discovery/backoff.rs
+++ b/crates/platform/src/discovery/backoff.rs
@@ -9,10 +9,10 @@
 pub(super) const MIN_BACKOFF_MICROS: Micros = 50_000;
 /// How often the time for a call is doubled after lists that arrived in part: a slow list must arrive in the end.
 const MAX_CALL_DOUBLINGS: u32 = 3;
-/// The first pause after a request that a polled service rejected at once, without its turn.
-const REJECTION_PAUSE_MICROS: Micros = POLL_TURN_MICROS / 2;
-/// How often that pause is doubled. A change must be known 6 s after the service is back: a request that was made a moment
-/// before, one that is rejected at once and one that waits for its turn fit into that, with their pauses.
+/// The first delay after a request that a polled service rejected at once, without its turn.
+const REJECTION_DELAY_MICROS: Micros = POLL_TURN_MICROS / 2;
+/// How often that delay is doubled. A change must be known 6 s after the service is back: a request that was made a moment
+/// before, one that is rejected at once and one that waits for its turn fit into that, with their delays.
 const MAX_REJECTION_DOUBLINGS: u32 = 2;
 
 /// Which requests are made on a new attempt.
@@ -26,7 +26,7 @@
 /// What the failures so far say about the next attempt.
 pub(super) struct Backoff {
     timeouts: DiscoveryTimeouts,
-    pause: Micros,
+    delay: Micros,
     slow_lists: u32,
     rejections: u32,
     /// A watch gives changes only: the list that they apply to must be held, and known to the service.
@@ -38,7 +38,7 @@
     pub(super) fn new(timeouts: DiscoveryTimeouts, has_list: bool) -> Backoff {
         Backoff {
             timeouts,
-            pause: MIN_BACKOFF_MICROS,
+            delay: MIN_BACKOFF_MICROS,
             slow_lists: 0,
             rejections: 0,
             needs_complete_list: !has_list,
@@ -69,15 +69,15 @@
         !std::mem::replace(&mut self.failure_reported, true)
     }
 
-    /// The pause after this failure, before jitter.
-    pub(super) fn next_pause(&mut self, error: &DiscoveryError) -> Micros {
+    /// The delay after this failure, before jitter.
+    pub(super) fn next_delay(&mut self, error: &DiscoveryError) -> Micros {
         if !self.was_rejected_at_once(error) {
             self.rejections = 0;
-            return self.pause;
+            return self.delay;
         }
-        let pause = REJECTION_PAUSE_MICROS << self.rejections;
+        let delay = REJECTION_DELAY_MICROS << self.rejections;
         self.rejections = (self.rejections + 1).min(MAX_REJECTION_DOUBLINGS);
-        pause
+        delay
     }
 
     /// Requests that a polled service rejects are work to it as well: a fleet that retries several times a second would keep
@@ -90,17 +90,17 @@
 
     /// An attempt ended after lists were applied.
     pub(super) fn reset(&mut self) {
-        self.pause = MIN_BACKOFF_MICROS;
+        self.delay = MIN_BACKOFF_MICROS;
         self.failure_reported = false;
     }
 
     /// An attempt ended before a list was applied.
     pub(super) fn increase(&mut self) {
-        self.pause = (self.pause * 2).min(self.timeouts.max_backoff);
+        self.delay = (self.delay * 2).min(self.timeouts.max_backoff);
     }
 
     /// Discovery is called at another address from now on.
     pub(super) fn address_changed(&mut self) {
-        self.pause = MIN_BACKOFF_MICROS;
+        self.delay = MIN_BACKOFF_MICROS;
     }
 }
--- a/crates/platform/src/discovery/mod.rs
+++ b/crates/platform/src/discovery/mod.rs
@@ -86,10 +86,10 @@
         } else {
             tracing::debug!(discovery = %self.address, %error, "discovery still unavailable");
         }
-        let pause = backoff.next_pause(&error);
+        let delay = backoff.next_delay(&error);
         // Jitter over half of it: ingresses that lost discovery together do not return together.
-        let jitter = self.runtime.random() % (pause / 2);
-        self.runtime.sleep_until(self.runtime.now() + pause / 2 + jitter).await;
+        let jitter = self.runtime.random() % (delay / 2);
+        self.runtime.sleep_until(self.runtime.now() + delay / 2 + jitter).await;
     }
 
     /// Applies lists until something goes wrong.
--- a/crates/platform/src/discovery/timeouts.rs
+++ b/crates/platform/src/discovery/timeouts.rs
@@ -1,4 +1,4 @@
-//! How long requests to discovery may take, and the pauses between them.
+//! How long requests to discovery may take, and the backoff between them.
 
 use super::backoff::MIN_BACKOFF_MICROS;
 use chalkgap_core::Discovery;
--- a/crates/platform/src/endpoint_list.rs
+++ b/crates/platform/src/endpoint_list.rs
@@ -77,7 +77,7 @@
 /// The id of the backend of this name: the same at all ingresses and after every restart.
 pub fn backend_id(name: &str) -> BackendId {
     let hash = blake3::hash(name.as_bytes());
-    let mut word = [0; 8];
-    word.copy_from_slice(&hash.as_bytes()[..8]);
-    BackendId(u64::from_le_bytes(word))
+    let mut prefix = [0; 8];
+    prefix.copy_from_slice(&hash.as_bytes()[..8]);
+    BackendId(u64::from_le_bytes(prefix))
 }
--- a/crates/platform/src/gossip.rs
+++ b/crates/platform/src/gossip.rs
@@ -12,8 +12,8 @@
 
 /// Bytes of a datagram, by the platform's limit and the core's.
 const MAX_DATAGRAM_BYTES: usize = 256;
-/// The pause after a failed receive.
-const RECEIVE_ERROR_PAUSE_MICROS: Micros = 1000;
+/// The delay after a failed receive.
+const RECEIVE_ERROR_DELAY_MICROS: Micros = 1000;
 
 /// A message for the gateway of this number.
 pub type OutgoingGossip = (u16, Vec<u8>);
@@ -45,7 +45,7 @@
     loop {
         let Ok((length, address)) = socket.receive(&mut buffer).await else {
             // A peer that is down may show as an error of the socket; the next receive succeeds.
-            runtime.sleep_until(runtime.now() + RECEIVE_ERROR_PAUSE_MICROS).await;
+            runtime.sleep_until(runtime.now() + RECEIVE_ERROR_DELAY_MICROS).await;
             continue;
         };
         // Unknown senders are dropped first: they must not use up what peers may send.
--- a/crates/platform/src/request.rs
+++ b/crates/platform/src/request.rs
@@ -7,8 +7,8 @@
 use std::ops::Range;
 use std::sync::Arc;
 
-/// Which word of a command is the list of attributes.
-pub(crate) const ATTRIBUTES_WORD: usize = 3;
+/// Which argument of a command is the list of attributes.
+pub(crate) const ATTRIBUTES_INDEX: usize = 3;
 /// Digits that any number may have.
 pub(crate) const MAX_DIGITS: usize = 15;
 
@@ -18,9 +18,9 @@
     /// The command is not known.
     #[error("unknown command, expected SVC.QUERY, SVC.SUBMIT or PING")]
     UnknownCommand,
-    /// Too few or too many words.
+    /// Too few or too many arguments.
     #[error("wrong number of words: expected customer, id, list and, with SVC.SUBMIT, a body")]
-    WordCount,
+    ArgumentCount,
     /// The customer's number.
     #[error("customer: expected 16 hexadecimal digits of a number below 2^33")]
     Customer,
@@ -78,7 +78,7 @@
 
 #[derive(Debug)]
 struct CommandParts {
-    words: Vec<Bytes>,
+    arguments: Vec<Bytes>,
     /// Where the digits of the deadline are in the attributes.
     deadline: Range<usize>,
 }
@@ -89,23 +89,23 @@
 
 impl ForwardedCommand {
     /// `deadline` is where the digits of the deadline are in the attributes.
-    pub(crate) fn new(words: Vec<Bytes>, deadline: Range<usize>) -> ForwardedCommand {
-        ForwardedCommand(Arc::new(CommandParts { words, deadline }))
+    pub(crate) fn new(arguments: Vec<Bytes>, deadline: Range<usize>) -> ForwardedCommand {
+        ForwardedCommand(Arc::new(CommandParts { arguments, deadline }))
     }
 
     /// Writes the command, with `remaining_millis` in the place of the client's deadline.
     pub fn encode(&self, out: &mut BytesMut, remaining_millis: u64) {
-        let CommandParts { words, deadline } = &*self.0;
-        put_array_header(out, words.len());
-        for (index, word) in words.iter().enumerate() {
-            if index != ATTRIBUTES_WORD {
-                put_bulk(out, word);
+        let CommandParts { arguments, deadline } = &*self.0;
+        put_array_header(out, arguments.len());
+        for (index, argument) in arguments.iter().enumerate() {
+            if index != ATTRIBUTES_INDEX {
+                put_bulk(out, argument);
                 continue;
             }
-            let mut attributes = Vec::with_capacity(word.len() + MAX_DIGITS);
-            attributes.extend_from_slice(&word[..deadline.start]);
+            let mut attributes = Vec::with_capacity(argument.len() + MAX_DIGITS);
+            attributes.extend_from_slice(&argument[..deadline.start]);
             let _ = write!(attributes, "{remaining_millis}"); // writing to a Vec cannot fail
-            attributes.extend_from_slice(&word[deadline.end..]);
+            attributes.extend_from_slice(&argument[deadline.end..]);
             put_bulk(out, &attributes);
         }
     }
--- a/crates/platform/src/request_parser.rs
+++ b/crates/platform/src/request_parser.rs
@@ -1,7 +1,7 @@
 //! Parses a client's command into a request. What is not of the protocol's form is rejected here: it reaches no backend,
 //! and takes nothing from the quota of the customer in whose name it comes.
 
-use crate::request::{ForwardedCommand, InvalidRequest, Request, ATTRIBUTES_WORD, MAX_DIGITS};
+use crate::request::{ForwardedCommand, InvalidRequest, Request, ATTRIBUTES_INDEX, MAX_DIGITS};
 use chalkgap_core::{Micros, RetrySafety};
 use chalkgap_deployment_config::DeploymentConfig;
 use chalkgap_resp::Command;
@@ -83,21 +83,21 @@
     }
 }
 
-fn parse_hex(word: &[u8]) -> Option<u64> {
-    if word.len() != HEX_DIGITS {
+fn parse_hex(digits: &[u8]) -> Option<u64> {
+    if digits.len() != HEX_DIGITS {
         return None;
     }
     let append = |number: u64, digit: &u8| Some(number << 4 | u64::from(char::from(*digit).to_digit(16)?));
-    word.iter().try_fold(0, append)
+    digits.iter().try_fold(0, append)
 }
 
 /// Parses a decimal number of digits and a point, without a sign or an exponent.
-fn parse_number(word: &[u8]) -> Option<f64> {
-    let is_plain = word.iter().all(|byte| byte.is_ascii_digit() || *byte == b'.');
-    if !is_plain || word.len() > MAX_DIGITS {
+fn parse_number(text: &[u8]) -> Option<f64> {
+    let is_plain = text.iter().all(|byte| byte.is_ascii_digit() || *byte == b'.');
+    if !is_plain || text.len() > MAX_DIGITS {
         return None;
     }
-    let number = std::str::from_utf8(word).ok()?.parse::<f64>().ok()?;
+    let number = std::str::from_utf8(text).ok()?.parse::<f64>().ok()?;
     number.is_finite().then_some(number)
 }
 
@@ -132,21 +132,21 @@
     /// # Errors
     /// See [`InvalidRequest`].
     pub fn parse(&self, command: Command) -> Result<Request, InvalidRequest> {
-        let words = command.words;
-        let name: &[u8] = words.first().map_or(&[], |word| word);
+        let arguments = command.arguments;
+        let name: &[u8] = arguments.first().map_or(&[], |argument| argument);
         let is_query = match name {
             b"SVC.QUERY" => true,
             b"SVC.SUBMIT" => false,
             _ => return Err(InvalidRequest::UnknownCommand),
         };
         // A query needs no body; one that has a body all the same is forwarded as it came.
-        if !(4..=5).contains(&words.len()) {
-            return Err(InvalidRequest::WordCount);
+        if !(4..=5).contains(&arguments.len()) {
+            return Err(InvalidRequest::ArgumentCount);
         }
-        let customer = parse_hex(&words[1]).filter(|customer| *customer < CUSTOMERS);
+        let customer = parse_hex(&arguments[1]).filter(|customer| *customer < CUSTOMERS);
         let customer = customer.ok_or(InvalidRequest::Customer)?;
-        let id = parse_hex(&words[2]).ok_or(InvalidRequest::Id)?;
-        let list = &words[ATTRIBUTES_WORD];
+        let id = parse_hex(&arguments[2]).ok_or(InvalidRequest::Id)?;
+        let list = &arguments[ATTRIBUTES_INDEX];
         if list.len() > MAX_ATTRIBUTE_BYTES {
             return Err(InvalidRequest::Attributes);
         }
@@ -169,7 +169,7 @@
         }
         let timeout = ((deadline_millis * 1000.0) as Micros).min(class.max_timeout);
         let deadline_digits = deadline.offset..deadline.offset + deadline.value.len();
-        let command = ForwardedCommand::new(words, deadline_digits);
+        let command = ForwardedCommand::new(arguments, deadline_digits);
         Ok(Request { customer, id, class: class.index, plan, timeout, units, spread, first_ingress, command })
     }
 
--- a/crates/platform/src/session.rs
+++ b/crates/platform/src/session.rs
@@ -114,7 +114,7 @@
                 }
             };
             self.commands_received += 1;
-            if command.words.len() == 1 && command.words[0].eq_ignore_ascii_case(b"PING") {
+            if command.arguments.len() == 1 && command.arguments[0].eq_ignore_ascii_case(b"PING") {
                 self.slots.push_back(ReplySlot::Encoded(Bytes::from_static(b"+PONG\r\n")));
                 continue;
             }
--- a/crates/platform/tests/common/mod.rs
+++ b/crates/platform/tests/common/mod.rs
@@ -118,7 +118,7 @@
 /// The words of the first whole command in a buffer.
 pub fn command_words(buffer: &mut BytesMut) -> Option<Vec<String>> {
     let command = decode_command(buffer, &LIMITS).ok()??;
-    Some(command.words.iter().map(|w| String::from_utf8_lossy(w).into_owned()).collect())
+    Some(command.arguments.iter().map(|w| String::from_utf8_lossy(w).into_owned()).collect())
 }
 
 /// What backends saw, in its order.
--- a/crates/platform/tests/machines.rs
+++ b/crates/platform/tests/machines.rs
@@ -33,7 +33,7 @@
 }
 
 fn words(list: &[&str]) -> Command {
-    Command { words: list.iter().map(|w| Bytes::copy_from_slice(w.as_bytes())).collect() }
+    Command { arguments: list.iter().map(|w| Bytes::copy_from_slice(w.as_bytes())).collect() }
 }
 
 fn written(list: &[&str]) -> BytesMut {
@@ -63,7 +63,7 @@
     let query = |list: &str| parser.parse(words(&["SVC.QUERY", CUSTOMER, ID, list])).unwrap_err();
     let with = |from: &str, to: &str| query(&QUERY.replace(from, to));
     assert_eq!(parser.parse(words(&["GET", "x"])).unwrap_err(), InvalidRequest::UnknownCommand);
-    assert_eq!(parser.parse(words(&["SVC.QUERY", CUSTOMER, ID])).unwrap_err(), InvalidRequest::WordCount);
+    assert_eq!(parser.parse(words(&["SVC.QUERY", CUSTOMER, ID])).unwrap_err(), InvalidRequest::ArgumentCount);
     for customer in ["", "b4d65521", "0000000200000000", "00000000b4d6552g", "-0000000b4d65521"] {
         assert_eq!(
             parser.parse(words(&["SVC.QUERY", customer, ID, QUERY])).unwrap_err(),
--- a/crates/resp/src/decoder.rs
+++ b/crates/resp/src/decoder.rs
@@ -56,9 +56,10 @@
 /// # Errors
 /// See [`DecodeError`]. The buffer is unchanged, and nothing behind the error can be trusted to begin a command.
 pub fn decode_command(buffer: &mut BytesMut, limits: &Limits) -> Result<Option<Command>, DecodeError> {
-    let decoded = take_item(buffer, limits, |cursor| cursor.words())?;
-    Ok(decoded
-        .map(|(item, words)| Command { words: words.into_iter().map(|word| item.slice(word)).collect() }))
+    let decoded = take_item(buffer, limits, |cursor| cursor.arguments())?;
+    Ok(decoded.map(|(item, arguments)| Command {
+        arguments: arguments.into_iter().map(|argument| item.slice(argument)).collect(),
+    }))
 }
 
 /// Takes a reply off the front of a buffer; none if more bytes are needed.
@@ -170,16 +171,16 @@
         }
     }
 
-    /// The places of a command's words.
-    fn words(&mut self) -> Result<Vec<Range<usize>>, Stop> {
+    /// The places of a command's arguments.
+    fn arguments(&mut self) -> Result<Vec<Range<usize>>, Stop> {
         self.expect_type(b'*', "an array")?;
         let count = self.length(1, self.limits.max_elements)?;
-        let mut words = Vec::with_capacity(count as usize);
+        let mut arguments = Vec::with_capacity(count as usize);
         for _ in 0..count {
             self.expect_type(b'$', "a bulk string")?;
-            words.extend(self.bulk(0)?);
+            arguments.extend(self.bulk(0)?);
         }
-        Ok(words)
+        Ok(arguments)
     }
 
     fn expect_type(&mut self, type_byte: u8, expected: &'static str) -> Result<(), Stop> {
--- a/crates/resp/src/encoder.rs
+++ b/crates/resp/src/encoder.rs
@@ -58,7 +58,7 @@
 }
 
 /// Writes a command.
-pub fn put_command(out: &mut BytesMut, words: &[&[u8]]) {
-    put_array_header(out, words.len());
-    words.iter().for_each(|word| put_bulk(out, word));
+pub fn put_command(out: &mut BytesMut, arguments: &[&[u8]]) {
+    put_array_header(out, arguments.len());
+    arguments.iter().for_each(|argument| put_bulk(out, argument));
 }
--- a/crates/resp/src/value.rs
+++ b/crates/resp/src/value.rs
@@ -2,11 +2,11 @@
 
 use bytes::Bytes;
 
-/// A command: its name and its arguments, in their order.
+/// A command.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Command {
-    /// The name first.
-    pub words: Vec<Bytes>,
+    /// The name is the first one, as in `argv`.
+    pub arguments: Vec<Bytes>,
 }
 
 /// A reply, or an element of one.
--- a/crates/resp/tests/codec.rs
+++ b/crates/resp/tests/codec.rs
@@ -20,7 +20,7 @@
 #[test]
 fn commands_are_arrays_of_bulk_strings() {
     let found = commands(b"*2\r\n$4\r\nPING\r\n$0\r\n\r\nrest").unwrap().unwrap();
-    assert_eq!(found.words, [Bytes::from("PING"), Bytes::new()]);
+    assert_eq!(found.arguments, [Bytes::from("PING"), Bytes::new()]);
     for part in [
         &b""[..],
         b"*",
@@ -102,7 +102,7 @@
             }
         }
         prop_assert_eq!(found.len(), 2);
-        prop_assert_eq!(found[0].words.iter().map(|w| w.to_vec()).collect::<Vec<_>>(), words);
+        prop_assert_eq!(found[0].arguments.iter().map(|w| w.to_vec()).collect::<Vec<_>>(), words);
         prop_assert!(buffer.is_empty());
     }
 
--- a/crates/resp/tests/recorded_messages.rs
+++ b/crates/resp/tests/recorded_messages.rs
@@ -55,8 +55,9 @@
 
     let mut text = String::new();
     for (name, bytes) in &commands {
-        let words =
-            shown(bytes, |buffer| format!("{:?}", decode_command(buffer, &LIMITS).unwrap().unwrap().words));
+        let words = shown(bytes, |buffer| {
+            format!("{:?}", decode_command(buffer, &LIMITS).unwrap().unwrap().arguments)
+        });
         text += &format!("{name}: {words}\n");
     }
     for (name, bytes) in &answers {
