--- a/crates/cli/tests/platform_faults.rs
+++ b/crates/cli/tests/platform_faults.rs
@@ -2,7 +2,7 @@
 //! for a while, restarted in order, backends that drain, hang and fail. What must hold all the same is judged from outside, by
 //! what clients and backends saw.
 
-use common::{discovery, Act, Client, ConnectionGate, Discovery, Journal};
+use common::{discovery, Act, Client, Discovery, Journal, Latch};
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 use running::Running;
@@ -348,7 +348,7 @@
 
 /// Backends that hang, break off, and fail now and then; the last one is sound, and is told to drain in the middle.
 fn moods() -> Vec<Mood> {
-    let never = ConnectionGate::closed();
+    let never = Latch::closed();
     let now_and_then = |every: usize, act: Act| -> Mood {
         Arc::new(move |n| {
             sleep(ms(8));
--- a/crates/platform/tests/common/mod.rs
+++ b/crates/platform/tests/common/mod.rs
@@ -86,20 +86,20 @@
     SayAndEnd(&'static [u8]),
     /// Says nothing, until the other side closes.
     Nothing,
-    /// Writes this when the test lets it, and goes on.
-    SayWhen(&'static ConnectionGate, &'static [u8]),
+    /// Writes this once the latch is open, and goes on.
+    SayWhen(&'static Latch, &'static [u8]),
 }
 
-/// What the test's word opens, for good.
+/// Opened once by the test, for good.
 #[derive(Default)]
-pub struct ConnectionGate {
+pub struct Latch {
     open: Mutex<bool>,
     changed: Condvar,
 }
 
-impl ConnectionGate {
+impl Latch {
     /// A closed one; it lives as long as the tests do.
-    pub fn closed() -> &'static ConnectionGate {
+    pub fn closed() -> &'static Latch {
         Box::leak(Box::default())
     }
 
--- a/crates/platform/tests/discovery.rs
+++ b/crates/platform/tests/discovery.rs
@@ -280,7 +280,7 @@
 /// Against an agent that indents its lists one ingress asked for the whole list 161 times in six seconds, and no change
 /// ever came by the watch.
 #[test]
-fn indented_changes_come_by_the_watch() {
+fn indented_changes_arrive_by_the_watch() {
     for indent in [false, true] {
         play(1, indent, |rig| async move {
             for version in 2..10 {
@@ -330,7 +330,7 @@
 /// Calls made in an outage are never answered, and when it ends what the agent has counts at once: work sent to a backend
 /// that drains must have ended two seconds later. With a pause of up to a second and a call of one it took up to 2.0 s.
 #[test]
-fn after_an_outage_the_list_is_there_well_within_the_grace_of_drains() {
+fn after_an_outage_the_list_arrives_well_within_the_drain_grace() {
     let mut worst = 0;
     for seed in 0..60 {
         let seen = Arc::new(Mutex::new(0));
@@ -357,7 +357,7 @@
 /// service may refuse the next one at once, as all come back together, and let the one after that wait: what it has is known
 /// within 6 s all the same.
 #[test]
-fn after_an_outage_a_service_that_is_asked_is_heard_within_six_seconds() {
+fn after_an_outage_a_polled_service_is_followed_within_six_seconds() {
     let (mut worst, turn) = (0, 2_000_000);
     for seed in 0..60 {
         let seen = Arc::new(Mutex::new(0));
@@ -387,7 +387,7 @@
 
 /// A new configuration is followed at once, whatever the old address does.
 #[test]
-fn a_new_address_is_asked_at_once() {
+fn a_new_address_is_called_at_once() {
     for mood in [Mood::Well, Mood::Down] {
         play(3, false, move |rig| async move {
             rig.silence(mood);
@@ -402,7 +402,7 @@
 
 /// A list that begins and does not end: empty lines behind it are no sign of life, and the half is never taken.
 #[test]
-fn half_a_list_is_given_up_after_a_call_s_time() {
+fn a_partial_list_is_abandoned_after_the_call_timeout() {
     play(4, true, |rig| async move {
         rig.agent().mood = Mood::Half;
         rig.agent().seq = 2;
@@ -430,7 +430,7 @@
 
 /// Where no list is held yet, a watch would give the changes to nothing: the whole list is asked for until it is there.
 #[test]
-fn changes_are_not_followed_before_a_whole_list() {
+fn changes_are_not_watched_before_a_complete_list() {
     let world = World::new(9, BEGIN);
     let inside = world.clone();
     let done = world.run(async move {
@@ -452,7 +452,7 @@
 /// its turn, and is told; calls that are given up and made anew are work for the same service, which it never gets done:
 /// with 0.75 s for a call, and two calls for each, the last of six heard after 7 s and more.
 #[test]
-fn a_service_that_takes_calls_in_turn_is_asked_once_by_each() {
+fn a_polled_service_gets_one_request_from_each_follower() {
     let world = World::new(7, BEGIN);
     let inside = world.clone();
     let done = world.run(async move {
--- a/crates/platform/tests/rig/mod.rs
+++ b/crates/platform/tests/rig/mod.rs
@@ -6,6 +6,7 @@
     backend, command_words, config, discovery, known, Act, Client, Discovery, Journal, PATIENCE,
 };
 use chalkgap_platform::{Config, Ingress};
+use chalkgap_resp::put_command;
 use chalkgap_runtime::system::System;
 use chalkgap_runtime::Runtime;
 use std::io::Read;
@@ -227,3 +228,22 @@
         Vec::new()
     }
 }
+
+const LIST: &str = "c=sig-check,t=team,d=4000,units=1,spread=1,first=0";
+
+/// Milliseconds.
+pub fn ms(n: u64) -> Duration {
+    Duration::from_millis(n)
+}
+
+pub fn query(id: u64) -> Vec<u8> {
+    let mut out = bytes::BytesMut::new();
+    let id = format!("{id:016x}");
+    let words = [&b"SVC.QUERY"[..], b"0000000000000007", id.as_bytes(), LIST.as_bytes()];
+    put_command(&mut out, &words);
+    out.to_vec()
+}
+
+pub fn queries(from: u64, count: u64) -> Vec<u8> {
+    (from..from + count).flat_map(query).collect()
+}
--- a/crates/platform/tests/whole_path.rs
+++ b/crates/platform/tests/whole_path.rs
@@ -9,7 +9,7 @@
 mod rig;
 
 #[test]
-fn a_request_goes_through_unchanged_but_for_its_time() {
+fn a_request_is_forwarded_unchanged_but_for_its_deadline() {
     let f = Fixture::start(vec![always(Act::Say(GOOD))]);
     let mut c = f.client();
     c.send(&["PING"]);
@@ -67,7 +67,7 @@
 
 /// What comes behind a good answer belongs to nobody: the next request must not take it for its own.
 #[test]
-fn what_follows_an_answer_is_never_served() {
+fn bytes_behind_a_reply_are_never_served() {
     const TWICE: &[u8] = b"*3\r\n$5\r\nvalue\r\n$-1\r\n$-1\r\n*3\r\n$5\r\nother\r\n$-1\r\n$-1\r\n";
     let f = Fixture::start(vec![first(Act::Say(TWICE), Act::Say(GOOD))]);
     let mut c = f.client();
@@ -79,7 +79,7 @@
 
 /// Bad clients get an error or a close, no word of theirs reaches a backend, and a usual client beside them is served.
 #[test]
-fn bad_clients_harm_nobody() {
+fn misbehaving_clients_do_not_harm_others() {
     let f = Fixture::start(vec![always(Act::Say(GOOD))]);
     let mut good = f.client();
     let list = "c=sig-check,t=team,d=480,units=1,spread=1,first=0";
@@ -124,7 +124,7 @@
 
 /// Silence and half a command end in an error and a close, and not by somebody else's clock.
 #[test]
-fn silent_clients_and_half_commands_are_closed() {
+fn silent_clients_and_partial_commands_time_out() {
     let f = Fixture::start(vec![always(Act::Say(GOOD))]);
     let (mut silent, mut half) = (f.client(), f.client());
     half.write(b"*4\r\n$9\r\nSVC.QU");
@@ -150,7 +150,7 @@
 
 /// The id of an open request is taken once; its owner's request is unharmed.
 #[test]
-fn an_open_id_is_not_had_by_another() {
+fn an_open_id_cannot_be_reused() {
     let f = Fixture::start(vec![always(Act::Nothing)]);
     let (mut owner, mut thief) = (f.client(), f.client());
     owner.submit(5);
@@ -167,7 +167,7 @@
 /// A drain told by a change reaches the module: no request goes there any more. An address that comes back under another
 /// name is another backend.
 #[test]
-fn discovery_moves_the_load() {
+fn discovery_changes_move_the_load() {
     let journal = Journal::default();
     let (old, new) = (Journal::default(), Journal::default());
     let ports = [backend(old.clone(), always(Act::Say(GOOD))), backend(new.clone(), always(Act::Say(GOOD)))];
@@ -216,7 +216,7 @@
 /// SIGTERM's way: new connections for a while, kept ones used until they are closed between requests, everything taken
 /// answered, and then the end.
 #[test]
-fn a_drain_answers_what_was_taken() {
+fn a_drain_answers_accepted_requests() {
     let f = Fixture::start(vec![Box::new(|n, _| if n == 0 { Act::Nothing } else { Act::Say(GOOD) })]);
     let mut slow = f.client();
     slow.submit(1);
--- a/crates/resp/tests/codec.rs
+++ b/crates/resp/tests/codec.rs
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn what_is_wrong_with_a_command_is_named() {
+fn invalid_commands_are_rejected_with_their_position() {
     let said = |bytes: &[u8]| commands(bytes).unwrap_err().to_string();
     assert_eq!(said(b"PING\r\n"), "byte 0: expected an array, found 0x50");
     assert_eq!(said(b"*0\r\n"), "byte 1: expected a length from 1 to 4, found 0");
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn answers_of_all_kinds() {
+fn replies_of_all_types() {
     let bulk = |text: &'static str| Value::Bulk(Some(Bytes::from(text)));
     assert_eq!(answers(b"+OK\r\n"), Ok(Some(Value::Simple("OK".into()))));
     assert_eq!(answers(b"-ERR failed queue=2\r\n"), Ok(Some(Value::Error("ERR failed queue=2".into()))));
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn lines_stay_one_line() {
+fn texts_are_encoded_as_one_line() {
     let mut out = BytesMut::new();
     put_error(&mut out, "ERR a\r\n+OK");
     put_null(&mut out);
@@ -85,7 +85,7 @@
 
 proptest! {
     #[test]
-    fn what_is_written_is_read_in_any_pieces(
+    fn encoded_commands_are_decoded_in_any_pieces(
         words in proptest::collection::vec(proptest::collection::vec(any::<u8>(), 0..40), 1..4),
         cuts in proptest::collection::vec(1usize..7, 1..40),
     ) {
@@ -107,7 +107,7 @@
     }
 
     #[test]
-    fn any_bytes_in_any_pieces_end_alike(bytes in proptest::collection::vec(any::<u8>(), 0..400), cut in 1usize..50) {
+    fn any_bytes_decode_alike_in_any_pieces(bytes in proptest::collection::vec(any::<u8>(), 0..400), cut in 1usize..50) {
         // Begun like an item, or nearly all would fail at their first byte.
         for head in [&b""[..], b"*2\r\n$3\r\n", b"*3\r\n$1\r\nv\r\n", b"-", b"$5\r\n"] {
             let all = [head, &bytes[..]].concat();
