--- a/crates/cli/src/fleet.rs
+++ b/crates/cli/src/fleet.rs
@@ -1,7 +1,7 @@
 //! `fleet`: what an ingress knows of the others.
 
 use crate::{fail, serve, Exit};
-use chalkgap::fleet::{show, ShownView};
+use chalkgap::fleet::{fetch_snapshot, FleetSnapshot, MemberSnapshot};
 use chalkgap::peers::Key;
 use chalkgap::runtime::system::System;
 use chalkgap::runtime::Shared;
@@ -38,7 +38,7 @@
     };
     let system = System::new();
     let shared: Shared = system.clone();
-    match system.run(async move { show(&shared, key, address).await }) {
+    match system.run(async move { fetch_snapshot(&shared, key, address).await }) {
         Ok(view) if json => println!("{}", serde_json::to_string(&view).unwrap_or_default()),
         Ok(view) => print(&view),
         Err(e) => return fail(Exit::NoAnswer, e),
@@ -46,13 +46,14 @@
     Exit::Good
 }
 
-fn print(v: &ShownView) {
-    println!("view of {}: number {}, digest {}", v.owner, v.number, v.digest);
-    println!("{}: {} in, of {} that were", v.standing, v.counting, v.of);
-    println!("a death is known within {:.1} s", v.late as f64 / 1e6);
+fn print(fleet: &FleetSnapshot) {
+    println!("view of {}: number {}, digest {}", fleet.owner, fleet.version, fleet.digest);
+    println!("{}: {} in, of {} that were", fleet.partition_status, fleet.member_count, fleet.majority_basis);
+    println!("a death is known within {:.1} s", fleet.max_detection_time as f64 / 1e6);
     println!("{:>6}  {:<10} {:>12}  {:>6}  {:>6}  address", "number", "state", "for", "turn", "by");
-    for m in &v.members {
-        let held = format!("{:.1} s", m.held as f64 / 1e6);
-        println!("{:>6}  {:<10} {:>12}  {:>6}  {:>6}  {}", m.number, m.state, held, m.turn, m.by, m.address);
+    for member in &fleet.members {
+        let MemberSnapshot { id, state, state_version, reported_by, address, .. } = member;
+        let in_state_for = format!("{:.1} s", member.in_state_for as f64 / 1e6);
+        println!("{id:>6}  {state:<10} {in_state_for:>12}  {state_version:>6}  {reported_by:>6}  {address}");
     }
 }
--- a/crates/cli/src/tools.rs
+++ b/crates/cli/src/tools.rs
@@ -2,7 +2,7 @@
 
 use crate::{fail, Exit};
 use async_signal::{Signal, Signals};
-use chalkgap::nodes::{NodeList, State};
+use chalkgap::node_list::{NodeList, State};
 use chalkgap::runtime::{system::System, Runtime};
 use chalkgap_testbed::client::{self, Client};
 use chalkgap_testbed::journal::{Answer, Journal};
@@ -174,7 +174,7 @@
     })
 }
 
-fn line(n: &chalkgap::nodes::Node) -> roster::Node {
+fn line(n: &chalkgap::node_list::Node) -> roster::Node {
     roster::Node {
         address: n.address.to_string(),
         zone: n.zone.clone(),
--- a/crates/fault-injection/benches/admission.rs
+++ b/crates/fault-injection/benches/admission.rs
@@ -3,7 +3,7 @@
 //!
 //! `cargo bench -p chalkgap-fault-injection --bench admission`
 
-use chalkgap::nodes::{Node as Line, NodeList, State};
+use chalkgap::node_list::{Node as Line, NodeList, State};
 use chalkgap::runtime::{system::System, Shared};
 use chalkgap::settings;
 use chalkgap::Instance;
--- a/crates/fault-injection/benches/ingress.rs
+++ b/crates/fault-injection/benches/ingress.rs
@@ -5,7 +5,7 @@
 //! `cargo bench -p chalkgap-fault-injection --bench ingress [-- --seconds N]`
 
 use bytes::Bytes;
-use chalkgap::nodes::{Node as Line, NodeList, State};
+use chalkgap::node_list::{Node as Line, NodeList, State};
 use chalkgap::runtime::{system::System, Runtime, Shared};
 use chalkgap::settings;
 use chalkgap::Instance;
--- a/crates/fault-injection/src/drill/mod.rs
+++ b/crates/fault-injection/src/drill/mod.rs
@@ -102,7 +102,7 @@
 type Whereabouts = Arc<HashMap<(u16, String), String>>;
 
 /// The first byte of datagrams of the view.
-const VIEW: u8 = chalkgap::peers::Channel::View as u8;
+const VIEW: u8 = chalkgap::peers::Channel::Membership as u8;
 
 /// How long after a day all that it used may take to be billed.
 const BILLED: Micros = 40_000_000;
--- /dev/null
+++ b/crates/gateway/src/discovery/service.rs
@@ -0,0 +1,204 @@
+//! A discovery service: a gRPC call that streams node lists.
+
+use super::MAX_LIST_BYTES;
+use crate::messages::DriverEvent;
+use crate::node_list::{Node, NodeList, State};
+use crate::telemetry::{add, Telemetry};
+use async_channel::{Receiver, Sender};
+use bytes::Bytes;
+use chalkgap_runtime::{Micros, Shared, Stream};
+use chalkgap_transport::{Pipe, Turn};
+use chalkgap_wire::grpc::{self, Deframer, Status};
+use chalkgap_wire::http2::{Config, Connection, Event, Field};
+use chalkgap_wire::roster;
+use futures_lite::future;
+use prost::Message;
+use std::net::SocketAddr;
+use std::sync::Arc;
+
+/// Backoff between two calls; it doubles from the smallest to the largest.
+const MIN_BACKOFF: Micros = 50_000;
+const MAX_BACKOFF: Micros = 5_000_000;
+/// How long connecting may take.
+const CONNECT_TIMEOUT: Micros = 5_000_000;
+/// A silent connection is pinged after this, and closed after as long again.
+const PING_AFTER: Micros = 5_000_000;
+
+/// Why a call to the discovery service ended.
+#[derive(Debug, thiserror::Error)]
+enum CallError {
+    #[error("{0}")]
+    Connect(std::io::Error),
+    #[error("{0}")]
+    Protocol(chalkgap_wire::http2::ConnError),
+    #[error("{0}")]
+    InvalidList(String),
+    #[error("{0}")]
+    Status(Status),
+    #[error("service reset the call: {0}")]
+    Reset(chalkgap_wire::http2::Code),
+    #[error("service ended the call")]
+    Ended,
+    #[error("no data from the service")]
+    Silent,
+    #[error("connection closed")]
+    Closed,
+    #[error("instance stopped")]
+    Stopped,
+}
+
+/// Keeps a call to the discovery service open and passes each list to the driver, until the instance stops.
+pub(crate) async fn watch(
+    runtime: Shared,
+    telemetry: Arc<Telemetry>,
+    gateway: u16,
+    address: SocketAddr,
+    driver: Sender<DriverEvent>,
+    alive: Receiver<()>,
+) {
+    let mut backoff = MIN_BACKOFF;
+    let mut logged = false;
+    let mut watcher = Watcher { runtime: runtime.clone(), gateway, address, driver, alive, revision: 0 };
+    loop {
+        let revision_before = watcher.revision;
+        let Err(error) = watcher.call().await;
+        if watcher.driver.is_closed() {
+            return;
+        }
+        let revision = watcher.revision;
+        if revision != revision_before {
+            backoff = MIN_BACKOFF;
+            logged = false;
+        }
+        add(&telemetry.lists_bad);
+        if !logged {
+            // Once for each outage.
+            logged = true;
+            tracing::warn!(roster = %address, %error, revision, "discovery call ended, keeping the last list");
+        }
+        // Jitter: gateways that lost the service together do not return together.
+        let jitter = runtime.random() % (backoff / 2);
+        runtime.sleep_until(runtime.now() + backoff / 2 + jitter).await;
+        backoff = (backoff * 2).min(MAX_BACKOFF);
+    }
+}
+
+struct Watcher {
+    runtime: Shared,
+    gateway: u16,
+    address: SocketAddr,
+    driver: Sender<DriverEvent>,
+    alive: Receiver<()>,
+    /// Revision of the last list that arrived.
+    revision: u64,
+}
+
+impl Watcher {
+    /// Makes one call and reads lists until it ends.
+    async fn call(&mut self) -> Result<std::convert::Infallible, CallError> {
+        let stream = self.connect().await?;
+        let (_commands, no_commands) = async_channel::bounded::<()>(1);
+        let config = Config { max_streams: 0, ..Config::default() };
+        let connection = Connection::client(config);
+        let mut pipe = Pipe::new(self.runtime.clone(), stream, connection, no_commands, self.alive.clone());
+        let mut call = None;
+        let mut body = Deframer::new(MAX_LIST_BYTES as usize);
+        let mut last_activity = self.runtime.now();
+        let mut ping_sent = false;
+        loop {
+            match pipe.turn(Some(last_activity + PING_AFTER), true).await {
+                Turn::Read => {
+                    last_activity = self.runtime.now();
+                    ping_sent = false;
+                }
+                Turn::Time if ping_sent || !pipe.conn.greeted() => return Err(CallError::Silent),
+                Turn::Time => {
+                    pipe.conn.ping();
+                    last_activity = self.runtime.now();
+                    ping_sent = true;
+                }
+                Turn::Bad(error) => return Err(CallError::Protocol(error)),
+                Turn::Closed | Turn::Signal => return Err(CallError::Closed),
+                Turn::Command(()) => {}
+            }
+            while let Some(event) = pipe.conn.event() {
+                match event {
+                    Event::Data { stream, data, end } if call == Some(stream) => {
+                        pipe.conn.consumed(stream, data.len());
+                        body.push(&data);
+                        self.pass_lists(&mut body).await?;
+                        if end {
+                            return Err(CallError::Ended);
+                        }
+                    }
+                    Event::Headers { end: true, fields, .. } => {
+                        return Err(CallError::Status(Status::from_fields(&fields)))
+                    }
+                    Event::Reset { code, .. } | Event::GoAway(code) => return Err(CallError::Reset(code)),
+                    _ => {}
+                }
+            }
+            if call.is_none() && pipe.conn.greeted() && pipe.conn.can_open().is_ok() {
+                call = self.open_call(&mut pipe.conn);
+            }
+        }
+    }
+
+    async fn connect(&self) -> Result<Box<dyn Stream>, CallError> {
+        let deadline = self.runtime.now() + CONNECT_TIMEOUT;
+        let timeout = async {
+            self.runtime.sleep_until(deadline).await;
+            Err(std::io::ErrorKind::TimedOut.into())
+        };
+        future::or(self.runtime.connect(self.address), timeout).await.map_err(CallError::Connect)
+    }
+
+    /// Opens the call's stream and returns its number.
+    fn open_call(&self, connection: &mut Connection) -> Option<u32> {
+        let fields = [
+            Field::constant(":method", "POST"),
+            Field::constant(":scheme", "http"),
+            Field::constant(":path", roster::WATCH),
+            Field::new(":authority", self.address.to_string()),
+            Field::constant("content-type", "application/grpc"),
+            Field::constant("te", "trailers"),
+        ];
+        let stream = connection.open(&fields, false).ok()?;
+        let request = roster::WatchRequest { ingress: self.gateway.into(), revision: self.revision };
+        // Cannot fail: the stream is new.
+        let _ = connection.data(stream, grpc::frame(&request), true);
+        Some(stream)
+    }
+
+    /// Passes the lists that are complete in `body` to the driver.
+    async fn pass_lists(&mut self, body: &mut Deframer) -> Result<(), CallError> {
+        loop {
+            let message = body.message().map_err(|status| CallError::InvalidList(status.to_string()))?;
+            let Some(message) = message else { return Ok(()) };
+            let list = decode(message).map_err(CallError::InvalidList)?;
+            self.revision = list.revision;
+            let event = DriverEvent::NodeList { list: Box::new(list), cached: false };
+            self.driver.send(event).await.map_err(|_| CallError::Stopped)?;
+        }
+    }
+}
+
+fn decode(message: Bytes) -> Result<NodeList, String> {
+    let list = roster::List::decode(message).map_err(|error| error.to_string())?;
+    let nodes = list.nodes.into_iter().enumerate().map(|(index, node)| convert(index, node));
+    Ok(NodeList { revision: list.revision, nodes: nodes.collect::<Result<_, _>>()? })
+}
+
+fn convert(index: usize, node: roster::Node) -> Result<Node, String> {
+    let address = node.address.parse().map_err(|_| {
+        format!("nodes[{index}].address: expected an address and a port, found {:?}", node.address)
+    })?;
+    let state = match node.state {
+        0 => State::Ready,
+        1 => State::Draining,
+        2 => State::Gone,
+        other => return Err(format!("nodes[{index}].state: expected 0 to 2, found {other}")),
+    };
+    let roster::Node { zone, cell, kind, size, started_ms, .. } = node;
+    Ok(Node { address, zone, cell, kind, state, size, started_ms })
+}
--- a/crates/gateway/src/driver/endpoints.rs
+++ b/crates/gateway/src/driver/endpoints.rs
@@ -2,7 +2,7 @@
 
 use super::Driver;
 use crate::messages::Upstream;
-use crate::nodes::NodeList;
+use crate::node_list::NodeList;
 use crate::telemetry::add;
 use chalkgap_core::{Availability, BackendId, Endpoint, EndpointUpdate, Event};
 use std::collections::BTreeSet;
@@ -11,7 +11,7 @@
 impl<U: Upstream> Driver<U> {
     /// Applies a complete node list; one that is not valid is dropped, and the last valid one stays in force.
     pub(super) fn on_node_list(&mut self, list: &NodeList, cached: bool) {
-        let endpoints = match self.endpoint_ids.take(list) {
+        let endpoints = match self.endpoint_ids.convert(list) {
             Ok(endpoints) => endpoints,
             Err(error) => {
                 add(&self.telemetry.lists_bad);
--- a/crates/gateway/src/driver/mod.rs
+++ b/crates/gateway/src/driver/mod.rs
@@ -20,7 +20,7 @@
 
 use crate::ledger::Desk as LedgerHandle;
 use crate::messages::{DriverEvent, Upstream};
-use crate::nodes::{EndpointIds, NodeList};
+use crate::node_list::{EndpointIds, NodeList};
 use crate::settings::Compiled;
 use crate::telemetry::{add, Telemetry};
 use async_channel::{Receiver, Sender};
--- /dev/null
+++ b/crates/gateway/src/fleet/mod.rs
@@ -0,0 +1,224 @@
+//! Membership of the fleet: which gateways are running.
+//!
+//! [`MembershipService`] connects the state machine of `chalkgap_membership` to the socket and the clock, logs its changes,
+//! and reports the reachability of peers to the driver. [`fetch_snapshot`] queries any running gateway for its view, as
+//! the command line does.
+
+mod query;
+mod snapshot;
+
+pub use query::{fetch_snapshot, FetchError};
+pub use snapshot::{FleetSnapshot, MemberSnapshot};
+
+use crate::messages::DriverEvent;
+use crate::peers::{Channel, Key, Sealer};
+use crate::settings::Peers;
+use crate::telemetry::{add, Telemetry};
+use async_channel::{Receiver, Sender};
+use chalkgap_membership::{Change, Config, Membership, Micros, Number as MemberId, Outgoing};
+use chalkgap_runtime::{Datagrams, Shared};
+use futures_lite::future;
+use snapshot::{standing_name, state_name};
+use std::future::Future;
+use std::net::SocketAddr;
+use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
+
+/// Messages accepted in a second, as a multiple of those that one member sends: after a partition heals, many members send
+/// to one.
+const RECEIVE_RATE_FACTOR: f64 = 4.0;
+
+struct State {
+    membership: Membership,
+    sealer: Sealer,
+}
+
+/// Membership detection of one instance.
+pub(crate) struct MembershipService {
+    runtime: Shared,
+    socket: Arc<dyn Datagrams>,
+    state: Mutex<State>,
+    telemetry: Arc<Telemetry>,
+    driver: Sender<DriverEvent>,
+    /// Wakes [`run`](Self::run) because the next deadline may have changed.
+    wake: (Sender<()>, Receiver<()>),
+    /// Closed when a later incarnation of this gateway's id has appeared.
+    superseded: (Sender<()>, Receiver<()>),
+}
+
+/// What a [`MembershipService`] is made of.
+pub(crate) struct MembershipParams<'a> {
+    pub runtime: &'a Shared,
+    pub socket: &'a Arc<dyn Datagrams>,
+    pub peers: &'a Peers,
+    pub key: Key,
+    pub self_id: MemberId,
+    pub gateway_count: u16,
+    pub incarnation: Micros,
+    pub telemetry: &'a Arc<Telemetry>,
+    pub driver: &'a Sender<DriverEvent>,
+}
+
+impl MembershipService {
+    /// Creates the service. `None` if the settings do not enable it.
+    pub fn new(params: MembershipParams<'_>) -> Option<Arc<MembershipService>> {
+        let settings = params.peers.view.as_ref()?;
+        let config = Config {
+            me: params.self_id,
+            start: params.incarnation,
+            address: settings.address.unwrap_or_else(|| params.socket.address()),
+            seeds: settings.seeds.clone(),
+            most: params.gateway_count,
+            round: settings.round_ms * 1000,
+            objection: settings.objection_ms * 1000,
+            per_second: settings.per_second,
+            seed: params.runtime.random(),
+        };
+        let membership = Membership::new(params.runtime.now(), config);
+        let sealer = Sealer::new(Channel::Membership, params.key, params.self_id, params.incarnation);
+        Some(Arc::new(MembershipService {
+            runtime: params.runtime.clone(),
+            socket: params.socket.clone(),
+            state: Mutex::new(State { membership, sealer }),
+            telemetry: params.telemetry.clone(),
+            driver: params.driver.clone(),
+            wake: async_channel::bounded(1),
+            superseded: async_channel::bounded(1),
+        }))
+    }
+
+    /// Most membership messages that an instance accepts in a second.
+    pub fn receive_rate(peers: &Peers) -> f64 {
+        peers.view.as_ref().map_or(0.0, |settings| settings.per_second * RECEIVE_RATE_FACTOR)
+    }
+
+    fn lock(&self) -> MutexGuard<'_, State> {
+        self.state.lock().unwrap_or_else(PoisonError::into_inner)
+    }
+
+    /// The members as this instance knows them now.
+    pub fn snapshot(&self) -> FleetSnapshot {
+        let state = self.lock();
+        let now = self.runtime.now();
+        let view = state.membership.view();
+        let members = view.members().map(|member| {
+            let in_state_for = now.saturating_sub(member.since);
+            MemberSnapshot::new(&member.fact, in_state_for)
+        });
+        FleetSnapshot::new(state.membership.shown(), view.digest(), members.collect())
+    }
+
+    /// The address of a gateway that counts as a member.
+    pub fn address(&self, member: MemberId) -> Option<SocketAddr> {
+        let state = self.lock();
+        let member = state.membership.view().get(member)?;
+        member.fact.state.counts().then_some(member.fact.address)
+    }
+
+    /// Completes when a later incarnation of this gateway's id has appeared.
+    pub fn superseded(&self) -> impl Future<Output = ()> + Send + 'static {
+        let superseded = self.superseded.1.clone();
+        async move {
+            let _ = superseded.recv().await; // nothing is ever sent, the channel is only closed
+        }
+    }
+
+    /// Runs the protocol's timers for as long as the instance lives.
+    pub async fn run(self: Arc<Self>) {
+        loop {
+            let next_deadline = {
+                let mut state = self.lock();
+                let now = self.runtime.now();
+                if state.membership.wake() <= now {
+                    state.membership.tick(now);
+                }
+                state.membership.wake()
+            };
+            self.carry_out().await;
+            let sleep = self.runtime.sleep_until(next_deadline);
+            let woken = async {
+                let _ = self.wake.1.recv().await; // cannot be closed: `self` holds a sender
+            };
+            future::or(sleep, woken).await;
+        }
+    }
+
+    /// Handles a message from another member or a visitor.
+    pub async fn receive(&self, from: MemberId, source: SocketAddr, message: &[u8]) {
+        let handled = self.lock().membership.hear(self.runtime.now(), from, source, message);
+        match handled {
+            Ok(()) => add(&self.telemetry.view_in),
+            Err(_) => add(&self.telemetry.peer_dropped),
+        }
+        self.carry_out().await;
+        let _ = self.wake.0.try_send(()); // full: it is about to wake
+    }
+
+    /// Announces that this instance leaves the fleet.
+    pub async fn leave(&self) {
+        self.lock().membership.leave(self.runtime.now());
+        self.carry_out().await;
+    }
+
+    /// Sends the pending messages, logs the pending changes, and reports reachability to the driver after all of them.
+    async fn carry_out(&self) {
+        let mut reachability = Vec::new();
+        loop {
+            let next_datagram = {
+                let mut state = self.lock();
+                let State { membership, sealer } = &mut *state;
+                while let Some(change) = membership.change() {
+                    self.log(membership, &change);
+                    reachability.extend(reachability_event(membership, &change));
+                }
+                membership.send().map(|Outgoing { to, address, bytes }| (sealer.seal(to, &bytes), address))
+            };
+            let Some((datagram, address)) = next_datagram else { break };
+            add(&self.telemetry.view_out);
+            // An error counts as a lost datagram, which the protocol tolerates.
+            let _ = self.socket.send(&datagram, address).await;
+        }
+        for event in reachability {
+            let _ = self.driver.send(event).await; // closed: the instance has stopped
+        }
+    }
+
+    /// One log line for each change. The fault drills read these lines: their fields and the first word of their messages
+    /// are an interface.
+    fn log(&self, membership: &Membership, change: &Change) {
+        let me = membership.number();
+        let at = self.runtime.now();
+        let view = membership.view();
+        let number = view.number();
+        let counting = view.counting();
+        let digest = format!("{:016x}", view.digest());
+        match change {
+            Change::Member(fact) => {
+                tracing::info!(
+                    target: "chalkgap::fleet",
+                    me, at, of = fact.number, state = state_name(fact.state), turn = fact.turn, start = fact.start,
+                    by = fact.by, number, counting, digest, "member"
+                );
+            }
+            Change::Standing(standing) => {
+                let standing = standing_name(*standing as u8);
+                let of = membership.basis();
+                tracing::warn!(target: "chalkgap::fleet", me, at, standing, counting, of, number, digest, "standing");
+            }
+            Change::Superseded => {
+                tracing::error!(
+                    target: "chalkgap::fleet", me, at, "superseded: a later start has this id; this process must stop"
+                );
+                self.superseded.0.close();
+            }
+        }
+    }
+}
+
+/// What a change means for the reachability of another gateway.
+fn reachability_event(membership: &Membership, change: &Change) -> Option<DriverEvent> {
+    let Change::Member(fact) = change else { return None };
+    if fact.number == membership.number() {
+        return None;
+    }
+    Some(DriverEvent::PeerReachability { peer: fact.number, reachable: fact.state.counts() })
+}
--- a/crates/gateway/src/instance.rs
+++ b/crates/gateway/src/instance.rs
@@ -1,16 +1,16 @@
 //! An instance: its parts put together, and the handle to it.
 
 use crate::connection_gate::{ConnectionGate, ConnectionGateConfig};
+use crate::discovery;
 use crate::driver::{Driver, DriverLimits};
 use crate::error::StartError;
-use crate::fleet::{Fleet, ShownView};
+use crate::fleet::{FleetSnapshot, MembershipParams, MembershipService};
 use crate::front::{self, grpc::Grpc, mqtt::Mqtt, Acceptor, FrontendContext};
 use crate::ledger::Desk;
 use crate::messages::DriverEvent;
-use crate::nodes::{EndpointIds, NodeList};
-use crate::peers::{Channel, Key, Opened, Opener, Sealer, MOST_DATAGRAM};
+use crate::node_list::{EndpointIds, NodeList};
+use crate::peers::{Channel, Key, Opened, Opener, ReceiveRates, Sealer, MAX_DATAGRAM};
 use crate::settings::{Compiled, ListSource, Settings, SettingsError};
-use crate::sources;
 use crate::telemetry::{add, Counts, Telemetry};
 use crate::upstream::Connections;
 use async_channel::{Receiver, Sender};
@@ -41,7 +41,7 @@
     open: Arc<AtomicUsize>,
     gate: Arc<ConnectionGate>,
     desk: Option<Arc<Desk>>,
-    fleet: Option<Arc<Fleet>>,
+    fleet: Option<Arc<MembershipService>>,
     sessions: Option<Mqtt>,
     drain: Option<Sender<()>>,
     kill: Option<Sender<()>>,
@@ -119,10 +119,20 @@
                 complaints: vec!["settings.fleet.peers.key: expected 64 hexadecimal digits".into()],
             };
             let key = Key::parse(&p.key).ok_or_else(complaint)?;
-            let numbers = (fleet.me, fleet.ingresses);
-            let view = Fleet::new(&runtime, &socket, p, key.clone(), numbers, born, (&telemetry, &driver));
-            let sealer = Sealer::new(Channel::Module, key.clone(), fleet.me, born);
-            let opener = Opener::new(key, fleet.me, fleet.ingresses, [p.per_second, Fleet::intake(p)]);
+            let view = MembershipService::new(MembershipParams {
+                runtime: &runtime,
+                socket: &socket,
+                peers: p,
+                key: key.clone(),
+                self_id: fleet.me,
+                gateway_count: fleet.ingresses,
+                incarnation: born,
+                telemetry: &telemetry,
+                driver: &driver,
+            });
+            let sealer = Sealer::new(Channel::Gossip, key.clone(), fleet.me, born);
+            let rates = ReceiveRates { gossip: p.per_second, membership: MembershipService::receive_rate(p) };
+            let opener = Opener::new(key, fleet.me, fleet.ingresses, rates);
             let whereabouts = match &view {
                 Some(view) => Whereabouts::Found(view.clone()),
                 None => Whereabouts::Fixed(p.addresses.clone()),
@@ -159,12 +169,12 @@
         let nodes = &settings.settings.nodes;
         let mut keep = None;
         if let Some(path) = &nodes.cache {
-            if let Some(list) = sources::cached(&runtime, path).await {
+            if let Some(list) = discovery::cache::load(&runtime, path).await {
                 // The channel is new and empty.
                 let _ = driver.try_send(DriverEvent::NodeList { list: Box::new(list), cached: true });
             }
             let (sender, lists) = async_channel::bounded(16);
-            start(Box::pin(sources::keep(runtime.clone(), path.clone(), lists)));
+            start(Box::pin(discovery::cache::store_lists(runtime.clone(), path.clone(), lists)));
             keep = Some(sender);
         }
         start(Box::pin(main.with_list_cache(keep).run()));
@@ -173,12 +183,18 @@
                 let every = every_ms * 1000;
                 let telemetry = telemetry.clone();
                 let driver = driver.clone();
-                start(Box::pin(sources::watch_file(runtime.clone(), telemetry, path.clone(), every, driver)));
+                start(Box::pin(discovery::file::watch(
+                    runtime.clone(),
+                    telemetry,
+                    path.clone(),
+                    every,
+                    driver,
+                )));
             }
             ListSource::Roster { address } => {
                 let (telemetry, driver, alive) = (telemetry.clone(), driver.clone(), killed.clone());
                 let task =
-                    sources::watch_roster(runtime.clone(), telemetry, fleet.me, *address, driver, alive);
+                    discovery::service::watch(runtime.clone(), telemetry, fleet.me, *address, driver, alive);
                 start(Box::pin(task));
             }
             ListSource::Handle => {}
@@ -220,8 +236,8 @@
     }
 
     /// Who is there, as of now; none where the settings have no view.
-    pub fn fleet(&self) -> Option<ShownView> {
-        self.fleet.as_ref().map(|f| f.shown())
+    pub fn fleet(&self) -> Option<FleetSnapshot> {
+        self.fleet.as_ref().map(|f| f.snapshot())
     }
 
     /// Ends when a later start of this one's number is in the fleet: this one has to go. Never, where there is no view.
@@ -288,7 +304,7 @@
     /// As settings say, by number.
     Fixed(Vec<SocketAddr>),
     /// As the view has it.
-    Found(Arc<Fleet>),
+    Found(Arc<MembershipService>),
 }
 
 impl Whereabouts {
@@ -317,9 +333,9 @@
     runtime: Shared,
     socket: Arc<dyn Datagrams>,
     mut opener: Opener,
-    (telemetry, driver, view): (Arc<Telemetry>, Sender<DriverEvent>, Option<Arc<Fleet>>),
+    (telemetry, driver, view): (Arc<Telemetry>, Sender<DriverEvent>, Option<Arc<MembershipService>>),
 ) {
-    let mut buffer = [0; MOST_DATAGRAM + 1];
+    let mut buffer = [0; MAX_DATAGRAM + 1];
     loop {
         let (n, source) = match socket.receive(&mut buffer).await {
             Ok(got) => got,
@@ -330,13 +346,13 @@
             }
         };
         match (opener.open(runtime.now(), &buffer[..n]), &view) {
-            (Ok(Opened { channel: Channel::Module, from, message }), _) => {
+            (Ok(Opened { channel: Channel::Gossip, from, message }), _) => {
                 let input = DriverEvent::Gossip { from, bytes: message.to_vec() };
                 if driver.send(input).await.is_err() {
                     return;
                 }
             }
-            (Ok(o), Some(view)) => view.hear(o.from, source, o.message).await,
+            (Ok(o), Some(view)) => view.receive(o.from, source, o.message).await,
             (Ok(_), None) | (Err(_), _) => add(&telemetry.peer_dropped),
         }
     }
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -7,11 +7,12 @@
 //! - [`frontend`]: the driver, the gate and the traits of ways in and out, for other protocols' packages
 //! - [`fleet`]: who is there, as any ingress shows it
 //! - [`settings`]: what an instance is told, as a script or in place
-//! - [`nodes`]: the list of nodes
+//! - [`node_list`]: the list of nodes
 //! - [`peers`]: authenticated datagrams between ingresses
 //! - [`telemetry`]: what is counted
 
 mod connection_gate;
+mod discovery;
 mod driver;
 mod error;
 pub mod fleet;
@@ -20,10 +21,10 @@
 mod instance;
 mod ledger;
 mod messages;
-pub mod nodes;
+pub mod node_list;
 pub mod peers;
 pub mod settings;
-mod sources;
+
 pub mod telemetry;
 mod upstream;
 
@@ -36,7 +37,7 @@
     pub use crate::messages::{
         Answer, AttemptResult, DriverEvent, OutboundAttempt, PendingRequest, Response, Upstream,
     };
-    pub use crate::peers::Intake;
+    pub use crate::peers::TokenBucket;
     pub use crate::settings::Customer;
 }
 
--- a/crates/gateway/src/messages.rs
+++ b/crates/gateway/src/messages.rs
@@ -1,7 +1,7 @@
 //! The messages between the driver and its surroundings: frontends, upstream connections, discovery, peers and the
 //! ledger. They stand apart from all of these, so that none has to depend on another.
 
-use crate::nodes::NodeList;
+use crate::node_list::NodeList;
 use crate::settings::Customer;
 use async_channel::Sender;
 use bytes::Bytes;
--- /dev/null
+++ b/crates/gateway/src/peers/opener.rs
@@ -0,0 +1,186 @@
+//! Reading of datagrams: authentication, replay protection, rate limits.
+
+use super::token_bucket::TokenBucket;
+use super::{Channel, Key, HASH_BYTES, HEADER_BYTES, MAX_DATAGRAM};
+use chalkgap_membership::{ANYONE, VISITOR};
+use std::collections::HashMap;
+
+/// How far a datagram's number may be behind the highest of its sender.
+const REPLAY_WINDOW: u64 = 64;
+
+/// Why a datagram is dropped.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+#[allow(missing_docs)]
+pub enum OpenError {
+    #[error("malformed")]
+    Malformed,
+    #[error("not by a holder of the key, or changed on the way")]
+    Forged,
+    #[error("for another gateway, or not from a gateway of the fleet")]
+    NotAddressed,
+    #[error("from an earlier incarnation of its sender")]
+    StaleIncarnation,
+    #[error("a replay, or too far behind")]
+    Replayed,
+    #[error("over the rate limit")]
+    RateLimited,
+}
+
+/// A datagram that was accepted.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct Opened<'d> {
+    /// What it is for.
+    pub channel: Channel,
+    /// The id of its sender.
+    pub from: u16,
+    /// The message.
+    pub message: &'d [u8],
+}
+
+/// Most messages accepted in a second, by channel.
+#[derive(Clone, Copy, Debug)]
+pub struct ReceiveRates {
+    /// On [`Channel::Gossip`].
+    pub gossip: f64,
+    /// On [`Channel::Membership`].
+    pub membership: f64,
+}
+
+/// Reads datagrams.
+pub struct Opener {
+    key: Key,
+    self_id: u16,
+    gateway_count: u16,
+    replay_windows: HashMap<(Channel, u16), ReplayWindow>,
+    gossip_limit: TokenBucket,
+    membership_limit: TokenBucket,
+}
+
+/// The fields of a datagram before its message.
+struct Header {
+    channel: Channel,
+    to: u16,
+    from: u16,
+    incarnation: u64,
+    number: u64,
+}
+
+impl Header {
+    /// `datagram` is at least as long as a header.
+    fn parse(datagram: &[u8]) -> Option<Header> {
+        let channel = match datagram[0] {
+            1 => Channel::Gossip,
+            2 => Channel::Membership,
+            _ => return None,
+        };
+        let short = |at: usize| u16::from_be_bytes([datagram[at], datagram[at + 1]]);
+        let long = |at: usize| datagram[at..at + 8].iter().fold(0u64, |n, byte| n << 8 | u64::from(*byte));
+        Some(Header { channel, to: short(1), from: short(3), incarnation: long(5), number: long(13) })
+    }
+}
+
+impl Opener {
+    /// An opener for gateway `self_id` of a fleet of `gateway_count`.
+    pub fn new(key: Key, self_id: u16, gateway_count: u16, rates: ReceiveRates) -> Self {
+        Opener {
+            key,
+            self_id,
+            gateway_count,
+            replay_windows: HashMap::new(),
+            gossip_limit: TokenBucket::new(rates.gossip),
+            membership_limit: TokenBucket::new(rates.membership),
+        }
+    }
+
+    /// The message in a datagram that arrived at `now` (microseconds).
+    ///
+    /// # Errors
+    /// See [`OpenError`].
+    pub fn open<'d>(&mut self, now: u64, datagram: &'d [u8]) -> Result<Opened<'d>, OpenError> {
+        if datagram.len() < HEADER_BYTES + HASH_BYTES || datagram.len() > MAX_DATAGRAM {
+            return Err(OpenError::Malformed);
+        }
+        let header = Header::parse(datagram).ok_or(OpenError::Malformed)?;
+        let body = self.authenticate(datagram)?;
+        if !self.is_addressed(&header) {
+            return Err(OpenError::NotAddressed);
+        }
+        let opened = Opened { channel: header.channel, from: header.from, message: &body[HEADER_BYTES..] };
+        let limit = match header.channel {
+            Channel::Gossip => &mut self.gossip_limit,
+            Channel::Membership => &mut self.membership_limit,
+        };
+        let window = self.replay_windows.entry((header.channel, header.from));
+        let window = window.or_insert_with(|| ReplayWindow::new(header.incarnation));
+        if header.incarnation < window.incarnation || header.from == VISITOR {
+            if header.channel == Channel::Gossip {
+                return Err(OpenError::StaleIncarnation);
+            }
+            // Membership informs an earlier incarnation, and answers a visitor. Neither changes any state here, so replays are
+            // harmless, and the rate limit bounds their cost.
+        } else if !window.accept(header.incarnation, header.number) {
+            return Err(OpenError::Replayed);
+        }
+        // Checked last: datagrams that are not a peer's messages do not use up what peers may send.
+        if !limit.take(now) {
+            return Err(OpenError::RateLimited);
+        }
+        Ok(opened)
+    }
+
+    /// Checks the hash and returns what it covers.
+    fn authenticate<'d>(&self, datagram: &'d [u8]) -> Result<&'d [u8], OpenError> {
+        let (body, received) = datagram.split_at(datagram.len() - HASH_BYTES);
+        let mut received_hash = [0; HASH_BYTES];
+        received_hash.copy_from_slice(received);
+        // `blake3::Hash` compares in constant time.
+        if blake3::keyed_hash(self.key.bytes(), body) != blake3::Hash::from_bytes(received_hash) {
+            return Err(OpenError::Forged);
+        }
+        Ok(body)
+    }
+
+    /// Whether receiver and sender are allowed on the channel. On the membership channel, a sender may have this gateway's own
+    /// id: two processes with one id have to find out.
+    fn is_addressed(&self, header: &Header) -> bool {
+        let membership = header.channel == Channel::Membership;
+        let to_self = header.to == self.self_id || membership && header.to == ANYONE;
+        let from_member = header.from < self.gateway_count && (header.from != self.self_id || membership);
+        to_self && (from_member || membership && header.from == VISITOR)
+    }
+}
+
+/// The datagrams of one sender that were accepted.
+struct ReplayWindow {
+    incarnation: u64,
+    highest: u64,
+    /// Bit n: the datagram with the number `highest` - n was accepted.
+    accepted: u64,
+}
+
+impl ReplayWindow {
+    fn new(incarnation: u64) -> Self {
+        ReplayWindow { incarnation, highest: 0, accepted: 0 }
+    }
+
+    /// Marks a datagram as accepted. Returns false if it was accepted before or is too old to tell.
+    ///
+    /// `incarnation` is the window's own or a later one, which starts a new window.
+    fn accept(&mut self, incarnation: u64, number: u64) -> bool {
+        if incarnation > self.incarnation {
+            *self = ReplayWindow::new(incarnation);
+        }
+        if number > self.highest {
+            let advance = number - self.highest;
+            self.accepted = if advance < REPLAY_WINDOW { self.accepted << advance | 1 } else { 1 };
+            self.highest = number;
+            return true;
+        }
+        let behind = self.highest - number;
+        if number == 0 || behind >= REPLAY_WINDOW || self.accepted >> behind & 1 == 1 {
+            return false;
+        }
+        self.accepted |= 1 << behind;
+        true
+    }
+}
--- a/crates/gateway/src/settings/fleet.rs
+++ b/crates/gateway/src/settings/fleet.rs
@@ -25,7 +25,7 @@
     #[serde(default)]
     #[garde(dive)]
     pub peers: Option<Peers>,
-    /// Longest interval between two timer events, in microseconds; the timer resolution is a fifth of it.
+    /// Time resolution of the decisions, in microseconds: timed work is done at least every five ticks.
     #[serde(default = "default_tick_us")]
     #[garde(range(min = 200, max = 50_000))]
     pub tick_us: u64,
--- a/crates/gateway/tests/common/mod.rs
+++ b/crates/gateway/tests/common/mod.rs
@@ -1,7 +1,7 @@
 //! A small fleet on loopback for tests: stand-in nodes, ingresses, clients.
 #![allow(dead_code)] // each test file uses its part
 
-use chalkgap::nodes::{Node as Line, NodeList, State};
+use chalkgap::node_list::{Node as Line, NodeList, State};
 use chalkgap::runtime::{system::System, Shared};
 use chalkgap::settings::{self, Settings};
 use chalkgap::Instance;
--- a/crates/gateway/tests/fleet.rs
+++ b/crates/gateway/tests/fleet.rs
@@ -3,7 +3,7 @@
 
 mod common;
 
-use chalkgap::fleet::ShownView;
+use chalkgap::fleet::FleetSnapshot;
 use chalkgap::runtime::simulated_runtime::{address, Cut, LinkFaults, Power, World, USUAL};
 use chalkgap::runtime::{Micros, Runtime};
 use chalkgap::settings::{self, Peers, Settings};
@@ -59,12 +59,12 @@
         }
     }
 
-    fn views(&self) -> Vec<ShownView> {
+    fn views(&self) -> Vec<FleetSnapshot> {
         self.here.values().map(|i| i.0.fleet().expect("it has a view")).collect()
     }
 
     /// How long until something is so of all views.
-    async fn until(&self, most: Micros, what: impl Fn(&[ShownView]) -> bool) -> Option<Micros> {
+    async fn until(&self, most: Micros, what: impl Fn(&[FleetSnapshot]) -> bool) -> Option<Micros> {
         let begun = self.clock.now();
         while self.clock.now() < begun + most {
             if what(&self.views()) {
@@ -83,8 +83,10 @@
     }
 }
 
-fn agreed(views: &[ShownView], counting: u16) -> bool {
-    views.iter().all(|v| v.counting == counting && v.digest == views[0].digest && v.number == views[0].number)
+fn agreed(views: &[FleetSnapshot], member_count: u16) -> bool {
+    views.iter().all(|v| {
+        v.member_count == member_count && v.digest == views[0].digest && v.version == views[0].version
+    })
 }
 
 /// A fleet that starts at once, loses one to a kill and has it back, is cut in halves, and meets again.
@@ -95,18 +97,18 @@
     let ended = world.run(async move {
         let mut fleet = Fleet::start(inside, count).await;
         let met = fleet.until(60 * SECOND, |v| agreed(v, count)).await.expect("all meet");
-        let late = fleet.views()[0].late;
+        let late = fleet.views()[0].max_detection_time;
         let begun = fleet.clock.now();
         fleet.kill(count / 2);
-        let known = fleet.until(late, |v| v.iter().all(|v| v.counting == count - 1)).await;
+        let known = fleet.until(late, |v| v.iter().all(|v| v.member_count == count - 1)).await;
         let known = known.unwrap_or_else(|| panic!("not within {late}"));
         fleet.up(count / 2).await;
         let back = fleet.until(30 * SECOND, |v| agreed(v, count)).await.expect("it is back");
         let silent = LinkFaults { cut: Some(Cut::Silent), ..USUAL };
         fleet.cut(Some(silent), |a, b| (a < count / 2) != (b < count / 2));
         let most = 2 * late + u64::from(count) * SECOND / 8;
-        let apart = fleet.until(most, |v| v.iter().all(|v| v.standing == "cut off")).await.expect("all know");
-        fleet.until(most, |v| v.iter().all(|v| v.counting == count / 2)).await.expect("each has its half");
+        let apart = fleet.until(most, |v| v.iter().all(|v| v.partition_status == "cut off")).await.expect("all know");
+        fleet.until(most, |v| v.iter().all(|v| v.member_count == count / 2)).await.expect("each has its half");
         fleet.cut(None, |_, _| true);
         let healed = fleet.until(60 * SECOND, |v| agreed(v, count)).await.expect("they meet again");
         let seconds = |t: Micros| t as f64 / 1e6;
--- a/crates/gateway/tests/interop.rs
+++ b/crates/gateway/tests/interop.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use bytes::Bytes;
-use chalkgap::nodes::NodeList;
+use chalkgap::node_list::NodeList;
 use chalkgap::runtime::system::System;
 use chalkgap::settings::Settings;
 use chalkgap::Instance;
--- a/crates/gateway/tests/recorded_settings.rs
+++ b/crates/gateway/tests/recorded_settings.rs
@@ -1,6 +1,6 @@
 //! The settings and the files of an instance, as recorded: the schema, what is taken and every complaint.
 
-use chalkgap::nodes::NodeList;
+use chalkgap::node_list::NodeList;
 use chalkgap::settings::{self, Compiled};
 use serde_json::{json, Value};
 use std::fmt::Write as _;
--- a/crates/platform/src/peers.rs
+++ b/crates/platform/src/peers.rs
@@ -3,7 +3,7 @@
 
 use crate::request::Work;
 use async_channel::{Receiver, Sender};
-use chalkgap::frontend::{DriverEvent, Intake};
+use chalkgap::frontend::{DriverEvent, TokenBucket};
 use chalkgap::telemetry::{add, Telemetry};
 use chalkgap_runtime::{Datagrams, Shared};
 use std::collections::HashMap;
@@ -33,7 +33,7 @@
     driver: Sender<DriverEvent<Work>>,
 ) {
     let numbers: HashMap<SocketAddr, u16> = peers.into_iter().zip(0u16..).collect();
-    let mut intake = Intake::new(per_second);
+    let mut rate_limit = TokenBucket::new(per_second);
     let mut buffer = [0; MOST + 1];
     loop {
         let (n, from) = match socket.receive(&mut buffer).await {
@@ -46,7 +46,7 @@
         };
         // Strangers first: they do not use up what peers may send.
         let sender = numbers.get(&from).copied().filter(|_| n <= MOST);
-        let Some(from) = sender.filter(|_| intake.take(runtime.now())) else {
+        let Some(from) = sender.filter(|_| rate_limit.take(runtime.now())) else {
             add(&telemetry.peer_dropped);
             continue;
         };
