--- a/crates/platform/src/gossip.rs
+++ b/crates/platform/src/gossip.rs
@@ -3,7 +3,7 @@
 
 use crate::request::ForwardedCommand;
 use async_channel::{Receiver, Sender};
-use chalkgap::frontend::{DriverEvent, Intake};
+use chalkgap::frontend::{DriverEvent, TokenBucket};
 use chalkgap::telemetry::{add, Telemetry};
 use chalkgap_runtime::{Datagrams, Micros, Shared};
 use std::collections::HashMap;
@@ -39,7 +39,7 @@
     driver: Sender<DriverEvent<ForwardedCommand>>,
 ) {
     let peers_by_address: HashMap<SocketAddr, u16> = peers.into_iter().zip(0u16..).collect();
-    let mut rate_limit = Intake::new(max_per_second);
+    let mut rate_limit = TokenBucket::new(max_per_second);
     // One byte more, so that a longer datagram is recognised.
     let mut buffer = [0; MAX_DATAGRAM_BYTES + 1];
     loop {
