--- /dev/null
+++ b/crates/gateway/src/ledger/export.rs
@@ -0,0 +1,137 @@
+//! Exports batches to a consumer: a directory of files, or a service over gRPC.
+
+use super::{lock, LedgerHandle};
+use crate::settings::{Export, ExportTo};
+use crate::telemetry::add;
+use chalkgap_ledger::directory_sink::{self, MAX_BATCH_BYTES};
+use chalkgap_ledger::entry::{Batch, EntryBody};
+use chalkgap_ledger::export::{Config, ConsumerReply, ExportBlocked, ExportStep, Exporter};
+use chalkgap_runtime::Micros;
+use chalkgap_transport::unary;
+use chalkgap_wire::billing::{Hand, Handed, HAND};
+use chalkgap_wire::grpc;
+use prost::Message;
+use std::net::SocketAddr;
+use std::sync::Arc;
+
+/// Lines of a batch.
+const MAX_LINES: usize = 5000;
+/// Periods whose single requests stay in memory after they were exported, for ends that come late.
+const KEPT_PERIODS: u64 = 2;
+/// Checks for work within one check interval of a stream, so that none is late by much.
+const POLLS_PER_INTERVAL: Micros = 4;
+/// The shortest time between two checks for work.
+const MIN_POLL_MICROS: Micros = 1_000;
+
+pub(super) async fn run(ledger: Arc<LedgerHandle>, settings: Export) {
+    let poll_micros = settings.every_ms * 1000 / POLLS_PER_INTERVAL + MIN_POLL_MICROS;
+    let mut task = ExportTask::new(ledger.clone(), settings);
+    loop {
+        let written = match task.next_step() {
+            None => {
+                task.log_blocked();
+                task.forget_exported();
+                ledger.runtime.sleep_until(ledger.runtime.now() + poll_micros).await;
+                continue;
+            }
+            Some(ExportStep::Write(batch)) => vec![EntryBody::BatchPrepared(batch)],
+            Some(ExportStep::Send(batch)) => task.send(&batch).await,
+        };
+        if !written.is_empty() && !ledger.append_durably(written).await {
+            return; // the disk has failed
+        }
+    }
+}
+
+struct ExportTask {
+    ledger: Arc<LedgerHandle>,
+    settings: Export,
+    exporter: Exporter,
+    /// Blocked streams as they were last logged.
+    logged: Vec<(String, ExportBlocked)>,
+    /// Single requests of periods before this one have been dropped.
+    dropped_before: u64,
+}
+
+impl ExportTask {
+    fn new(ledger: Arc<LedgerHandle>, settings: Export) -> Self {
+        let config = Config {
+            final_after: settings.after_ms * 1000,
+            check_interval: settings.every_ms * 1000,
+            takeover_delay: settings.takeover_ms * 1000,
+            max_lines: MAX_LINES,
+        };
+        let ingresses = match &ledger.settings.group {
+            Some(group) => group.addresses.keys().copied().collect(),
+            None => vec![ledger.ingress],
+        };
+        let exporter = Exporter::new(ledger.ingress, ingresses, config);
+        ExportTask { ledger, settings, exporter, logged: Vec::new(), dropped_before: 0 }
+    }
+
+    fn next_step(&mut self) -> Option<ExportStep> {
+        let totals = lock(&self.ledger.totals);
+        self.exporter.next_step(self.ledger.runtime.now(), &totals)
+    }
+
+    /// Logs blocked streams when they change.
+    fn log_blocked(&mut self) {
+        let blocked = self.exporter.blocked().map(|(stream, reason)| (stream, reason.clone()));
+        let blocked: Vec<(String, ExportBlocked)> = blocked.collect();
+        if blocked == self.logged {
+            return;
+        }
+        for (stream, reason) in &blocked {
+            tracing::warn!(stream, %reason, "ledger: export blocked");
+        }
+        self.logged = blocked;
+    }
+
+    /// Frees what is no longer needed in memory once it is exported.
+    fn forget_exported(&mut self) {
+        let mut totals = lock(&self.ledger.totals);
+        totals.forget_exported();
+        let final_until = self.exporter.final_until(self.ledger.runtime.now(), &totals);
+        let Some(before) = final_until.and_then(|period| period.checked_sub(KEPT_PERIODS)) else { return };
+        if before > self.dropped_before && totals.all_exported_before(before) {
+            totals.drop_settled_before(before);
+            self.dropped_before = before;
+        }
+    }
+
+    /// Sends a batch to the consumer; returns the entries to write for its reply.
+    async fn send(&mut self, batch: &Batch) -> Vec<EntryBody> {
+        let reply = match &self.settings.to {
+            ExportTo::Folder(directory) => {
+                directory_sink::deliver(&self.ledger.runtime, directory, batch).await
+            }
+            ExportTo::Grpc(address) => self.call_consumer(*address, batch).await,
+        };
+        match &reply {
+            ConsumerReply::Stored => add(&self.ledger.telemetry.ledger_exported),
+            _ => add(&self.ledger.telemetry.ledger_export_again),
+        }
+        self.exporter.replied(self.ledger.runtime.now(), batch, reply)
+    }
+
+    async fn call_consumer(&self, address: SocketAddr, batch: &Batch) -> ConsumerReply {
+        let runtime = &self.ledger.runtime;
+        let until = runtime.now() + self.settings.patience_ms * 1000;
+        let message =
+            Hand { stream: batch.stream.clone(), number: batch.number, batch: batch.encode_to_vec().into() };
+        let message = grpc::frame(&message);
+        let response = unary::call(runtime, address, HAND, message, MAX_BATCH_BYTES as usize, until).await;
+        let handed = response.ok().and_then(|message| Handed::decode(message).ok());
+        handed.map_or(ConsumerReply::None, |handed| reply_of(batch, &handed))
+    }
+}
+
+fn reply_of(batch: &Batch, handed: &Handed) -> ConsumerReply {
+    if handed.batch.is_empty() {
+        return ConsumerReply::Gap { last: handed.last };
+    }
+    match Batch::decode(handed.batch.clone()) {
+        Ok(stored) => ConsumerReply::of_stored(batch, stored),
+        Err(_) => ConsumerReply::None,
+    }
+}
--- /dev/null
+++ b/crates/gateway/src/ledger/usage_lookup.rs
@@ -0,0 +1,68 @@
+//! Asks nodes about requests whose end was not seen.
+
+use super::{lock, LedgerHandle};
+use crate::telemetry::add;
+use async_channel::Receiver;
+use chalkgap_ledger::recorder::{LookupRequest, RequestStatus};
+use chalkgap_runtime::Micros;
+use chalkgap_transport::{unary, while_alive};
+use chalkgap_wire::grpc;
+use chalkgap_wire::truth::{Answer, Fate, Question, ASK, MOST};
+use prost::Message;
+use std::net::SocketAddr;
+use std::sync::Arc;
+
+/// How often unsettled requests are checked.
+const CHECK_MICROS: Micros = 100_000;
+/// Nodes that are asked at once: each call takes a descriptor for a moment.
+const MAX_NODES: usize = 8;
+/// How long a node may take to answer.
+const CALL_TIMEOUT_MICROS: Micros = 2_000_000;
+/// Bytes of a node's answer.
+const MAX_ANSWER_BYTES: usize = 64 << 10;
+
+/// Asks regularly; calls in flight are cancelled when `alive` is closed.
+pub(super) async fn run(ledger: Arc<LedgerHandle>, alive: Receiver<()>) {
+    loop {
+        ledger.runtime.sleep_until(ledger.runtime.now() + CHECK_MICROS).await;
+        let lookups = lock(&ledger.recorder).lookups_due(ledger.runtime.now(), MOST, MAX_NODES);
+        let mut calls = Vec::new();
+        for (node, requests) in lookups {
+            let call = ask_node(ledger.clone(), node, requests);
+            calls.push(ledger.runtime.spawn(Box::pin(while_alive(alive.clone(), call))));
+        }
+        for call in calls {
+            call.await;
+        }
+    }
+}
+
+async fn ask_node(ledger: Arc<LedgerHandle>, node: String, requests: Vec<LookupRequest>) {
+    add(&ledger.telemetry.ledger_asked);
+    let Ok(address) = node.parse::<SocketAddr>() else { return };
+    let question = Question { requests: requests.iter().map(|lookup| lookup.request.clone()).collect() };
+    let question = grpc::frame(&question);
+    let until = ledger.runtime.now() + CALL_TIMEOUT_MICROS;
+    let answer = unary::call(&ledger.runtime, address, ASK, question, MAX_ANSWER_BYTES, until).await;
+    let answer = answer.ok().and_then(|message| Answer::decode(message).ok());
+    let Some(answer) = answer.filter(|answer| answer.fates.len() == requests.len()) else {
+        return add(&ledger.telemetry.ledger_unanswered);
+    };
+    let now = ledger.runtime.now();
+    {
+        let mut recorder = lock(&ledger.recorder);
+        for (lookup, fate) in requests.iter().zip(&answer.fates) {
+            recorder.lookup_answered(now, lookup.id, &node, status_of(*fate));
+        }
+    }
+    ledger.wake_writer();
+}
+
+fn status_of(fate: i32) -> RequestStatus {
+    match Fate::try_from(fate) {
+        Ok(Fate::Never) => RequestStatus::NeverRan,
+        Ok(Fate::Running) => RequestStatus::Running,
+        Ok(Fate::Ran) => RequestStatus::Ran,
+        Ok(Fate::Unknown) | Err(_) => RequestStatus::Unknown,
+    }
+}
--- a/crates/ledger/benches/store.rs
+++ b/crates/ledger/benches/store.rs
@@ -3,8 +3,8 @@
 //!
 //! `cargo bench -p chalkgap-ledger --bench store`
 
-use chalkgap_ledger::entry::{Open, Settled};
-use chalkgap_ledger::{Book, Entry, Id, Periods, Store, What};
+use chalkgap_ledger::entry::{RequestOpened, RequestSettled};
+use chalkgap_ledger::{Entry, EntryBody, EntryId, Periods, Store, UsageTotals};
 use chalkgap_runtime::system::System;
 use redb::{Database, ReadableDatabase, ReadableTable, TableDefinition};
 use std::path::Path;
@@ -13,9 +13,9 @@
 const TABLE: TableDefinition<(u16, u64, u64), &[u8]> = TableDefinition::new("entries");
 
 fn entry(n: u64) -> Entry {
-    let id = Id { ingress: 3, incarnation: 1_790_000_000_000_000, number: n };
-    let what = if n % 2 == 1 {
-        What::Open(Open {
+    let id = EntryId { ingress: 3, incarnation: 1_790_000_000_000_000, number: n };
+    let body = if n % 2 == 1 {
+        EntryBody::RequestOpened(RequestOpened {
             account: format!("account-{}", n % 5000),
             plan: "enterprise".into(),
             class: "report-upload".into(),
@@ -24,9 +24,9 @@
             node: "127.0.0.1:47001".into(),
         })
     } else {
-        What::Settled(Settled { open: n - 1, units: 2, ..Settled::default() })
+        EntryBody::RequestSettled(RequestSettled { open: n - 1, units: 2, ..RequestSettled::default() })
     };
-    Entry { id, at: 1_790_000_000_000_000 + n * 250, what }
+    Entry { id, at: 1_790_000_000_000_000 + n * 250, body }
 }
 
 fn size(path: &Path) -> u64 {
@@ -49,8 +49,8 @@
         let spent = begun.elapsed().as_secs_f64();
         drop(store);
         let begun = Instant::now();
-        let mut book = Book::new(Periods::Every(3_600_000_000));
-        let take = |e: Entry| assert_eq!(book.take(&e), chalkgap_ledger::Taken::New);
+        let mut totals = UsageTotals::new(Periods::Every(3_600_000_000));
+        let take = |e: Entry| assert_eq!(totals.add(&e), chalkgap_ledger::AddOutcome::Added);
         Store::open(system.clone(), folder, 8 << 20, take).await.unwrap();
         row("own log", total, group, spent, times, size(folder), begun.elapsed().as_secs_f64());
     });
@@ -79,9 +79,9 @@
     let db = Database::open(folder.join("ledger.redb")).unwrap();
     let read = db.begin_read().unwrap();
     let table = read.open_table(TABLE).unwrap();
-    let mut book = Book::new(Periods::Every(3_600_000_000));
+    let mut totals = UsageTotals::new(Periods::Every(3_600_000_000));
     for row in table.iter().unwrap() {
-        book.take(&Entry::decode(row.unwrap().1.value()).unwrap());
+        totals.add(&Entry::decode(row.unwrap().1.value()).unwrap());
     }
     row("redb", total, group, spent, times, size(folder), begun.elapsed().as_secs_f64());
 }
--- a/crates/ledger/src/export.rs
+++ b/crates/ledger/src/export.rs
@@ -1,202 +1,262 @@
-//! What is exported, by whom and when. Free of I/O and clock.
+//! Decides which batches an ingress exports, and when. Free of I/O and clock.
 //!
-//! Accounts are dealt out to streams, one for each ingress of a group. A stream is a sequence of numbered batches at the
-//! consumer, which takes the batch of a number once and gives back the one that it has to whoever brings another. So two
-//! exporters of one stream cannot both be believed, whether or not they hear each other: each batch says what is to be
-//! added after all before it, and only one of them becomes the next. The home of a stream exports it; the others wait
-//! and step in one after the other only where it does not.
-
-use crate::book::{Book, Place};
-use crate::entry::{Acknowledged, Batch, Range, What};
+//! Accounts are distributed over streams, one for each ingress of a group. A stream is a sequence of numbered batches at
+//! the consumer, which stores the first batch that it gets of a number and returns that one to whoever sends another. So
+//! two exporters of one stream cannot both believe to have delivered, whether or not they hear each other: each batch
+//! holds the change since all before it, and only one of them becomes the next. A stream's home ingress exports it; the
+//! others take over one after the other only when nothing moves.
+
+use crate::entry::{Batch, BatchAcknowledged, EntryBody, Line, Range};
+use crate::usage_totals::{StreamPosition, UsageTotals};
 use crate::Micros;
 use std::collections::BTreeMap;
 
-/// What is allowed.
+/// Intervals and limits of an [`Exporter`].
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Rules {
-    /// How long after its end a period is final even if some ingress has not said that it is complete.
-    pub after: Micros,
-    /// How often a stream is looked at.
-    pub every: Micros,
-    /// How long what is due stays untouched before the next ingress steps in.
-    pub takeover: Micros,
+pub struct Config {
+    /// How long after its end a period is final although some ingress has not closed it, or not all entries are here.
+    pub final_after: Micros,
+    /// How often a stream is checked.
+    pub check_interval: Micros,
+    /// How long the same work stays undone before the next ingress takes over.
+    pub takeover_delay: Micros,
     /// Lines of a batch.
-    pub lines: usize,
+    pub max_lines: usize,
 }
 
-/// The consumer's word on a batch.
+/// The consumer's reply to a batch.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Word {
+pub enum ConsumerReply {
     /// It has this very batch.
-    Taken,
-    /// It has another one of this number.
-    Other(Batch),
-    /// It lacks some before it; its last is this one.
-    Ahead(u64),
-    /// No word: nobody knows whether it has it.
+    Stored,
+    /// It has another batch of this number.
+    StoredOther(Batch),
+    /// It lacks batches before this one.
+    Gap {
+        /// The last one that it has; 0 for none.
+        last: u64,
+    },
+    /// No reply: whether it has the batch is not known.
     None,
 }
 
-/// What is to be done for a stream.
+impl ConsumerReply {
+    /// The reply of a consumer that returns which batch it has under the number of the one that was sent.
+    pub fn of_stored(sent: &Batch, stored: Batch) -> ConsumerReply {
+        if stored == *sent {
+            ConsumerReply::Stored
+        } else {
+            ConsumerReply::StoredOther(stored)
+        }
+    }
+}
+
+/// What is to be done next for a stream.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Step {
-    /// To be written, durable before the next step.
+pub enum ExportStep {
+    /// Write the batch to the ledger; it must be durable before the next step.
     Write(Batch),
-    /// To be handed to the consumer: it is durable here.
-    Hand(Batch),
+    /// Send the batch, which is durable, to the consumer.
+    Send(Batch),
 }
 
-/// Why nothing is exported of a stream though something is due.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Stuck {
-    /// Batches were added up from entries that are not here.
-    Lacks(Vec<Range>),
-    /// The consumer does not have what it had acknowledged: its last batch, and the one that was to come.
+/// Why nothing is exported of a stream although something is due.
+///
+/// The texts are those that the command line has always printed.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum ExportBlocked {
+    /// Earlier batches were computed from entries that are missing here.
+    #[error("Lacks({0:?})")]
+    MissingEntries(Vec<Range>),
+    /// The consumer does not have batches that it had acknowledged.
+    #[error("ConsumerLost {{ last: {last}, next: {next} }}")]
     ConsumerLost {
-        /// Its last.
+        /// The last batch that it has.
         last: u64,
-        /// The next one here.
+        /// The next batch here.
         next: u64,
     },
 }
 
+/// What is to be done for a stream, to see whether anything moves.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+struct Work {
+    acknowledged: u64,
+    has_pending: bool,
+}
+
+#[derive(Clone, Copy, Debug)]
+struct UndoneWork {
+    work: Work,
+    since: Micros,
+}
+
 #[derive(Default)]
-struct State {
-    next: Micros,
-    /// Since when the same has been to do, and what: batches done, whether one is pending.
-    same: Option<((u64, bool), Micros)>,
-    stuck: Option<Stuck>,
+struct StreamState {
+    next_check_at: Micros,
+    undone: Option<UndoneWork>,
+    blocked: Option<ExportBlocked>,
 }
 
 /// Decides exports for one ingress.
 pub struct Exporter {
-    me: u16,
+    ingress: u16,
     group: Vec<u16>,
-    rules: Rules,
-    states: BTreeMap<usize, State>,
+    config: Config,
+    /// By shard, the stream's position in the group.
+    states: BTreeMap<usize, StreamState>,
 }
 
-/// The stream that an account's use is exported in, as an index into the group.
-pub fn shard(account: &str, group: usize) -> usize {
+/// The shard of an account: a hash of it, modulo the number of shards.
+pub fn shard_of(account: &str, shards: usize) -> usize {
     let hash = blake3::hash(account.as_bytes());
-    let mut word = [0; 8];
-    word.copy_from_slice(&hash.as_bytes()[..8]);
-    (u64::from_le_bytes(word) % group.max(1) as u64) as usize
+    let mut prefix = [0; 8];
+    prefix.copy_from_slice(&hash.as_bytes()[..8]);
+    (u64::from_le_bytes(prefix) % shards.max(1) as u64) as usize
 }
 
 impl Exporter {
-    /// For ingress `me` of a group; all of it have the same list.
-    pub fn new(me: u16, mut group: Vec<u16>, rules: Rules) -> Self {
+    /// For one ingress of a group; all of the group have the same list.
+    pub fn new(ingress: u16, mut group: Vec<u16>, config: Config) -> Self {
         group.sort_unstable();
         group.dedup();
-        Exporter { me, group, rules, states: BTreeMap::new() }
+        Exporter { ingress, group, config, states: BTreeMap::new() }
     }
 
-    /// A stream's name: the group's ingresses and the place in it.
-    pub fn stream(&self, shard: usize) -> String {
-        let list: Vec<String> = self.group.iter().map(u16::to_string).collect();
-        format!("{}.{shard}", list.join("-"))
+    /// The name of a shard's stream: the ingresses of the group, and the shard.
+    pub fn stream_name(&self, shard: usize) -> String {
+        let ingresses: Vec<String> = self.group.iter().map(u16::to_string).collect();
+        format!("{}.{shard}", ingresses.join("-"))
     }
 
-    /// Up to which period all is final.
-    pub fn until(&self, now: Micros, book: &Book) -> Option<u64> {
-        let complete = self.group.iter().map(|n| book.complete(*n)).min().flatten();
-        // Complete, and nothing open in it.
-        let complete = complete.and_then(|p| match book.first_open() {
-            Some(open) => p.min(open.checked_sub(1)?).into(),
-            None => Some(p),
+    /// The latest period such that it and all before it are final.
+    pub fn final_until(&self, now: Micros, totals: &UsageTotals) -> Option<u64> {
+        let complete = self.group.iter().map(|ingress| totals.last_complete_period(*ingress));
+        let complete = complete.min().flatten();
+        let settled = complete.and_then(|period| match totals.first_open_period() {
+            Some(open) => open.checked_sub(1).map(|last_settled| period.min(last_settled)),
+            None => Some(period),
         });
-        let timed = now.checked_sub(self.rules.after).and_then(|t| book.periods().of(t).checked_sub(1));
-        complete.max(timed)
+        let past = now.checked_sub(self.config.final_after);
+        let timed_out = past.and_then(|past| totals.periods().of(past).checked_sub(1));
+        settled.max(timed_out)
     }
 
-    /// What is to be done now; none: nothing, or not yet. A stream's step is to be followed by [`Exporter::handed`]
-    /// or by the entry in the book before it is asked about again.
-    pub fn next(&mut self, now: Micros, book: &Book) -> Option<Step> {
-        (0..self.group.len()).find_map(|shard| self.step(now, shard, book))
+    /// What is to be done now; `None` if nothing, or not yet. Before the next call, [`ExportStep::Write`] must have been
+    /// added to the totals, or [`ExportStep::Send`] followed by [`Exporter::replied`].
+    pub fn next_step(&mut self, now: Micros, totals: &UsageTotals) -> Option<ExportStep> {
+        (0..self.group.len()).find_map(|shard| self.next_step_of(shard, now, totals))
     }
 
-    fn step(&mut self, now: Micros, shard: usize, book: &Book) -> Option<Step> {
-        let stream = self.stream(shard);
-        if self.states.get(&shard).is_some_and(|s| s.next > now) {
+    fn next_step_of(&mut self, shard: usize, now: Micros, totals: &UsageTotals) -> Option<ExportStep> {
+        if self.states.get(&shard).is_some_and(|state| state.next_check_at > now) {
             return None;
         }
-        let Place { done, pending, lacks, until: told } = book.place(&stream);
-        let until = self.until(now, book);
-        let (count, most) = (self.group.len(), self.rules.lines);
-        let mine = |account: &str| self::shard(account, count) == shard;
-        let mut lines = until.map(|u| book.due(u, mine, most)).unwrap_or_default();
-        let (rules, rank) = (self.rules, self.rank(shard));
+        let stream = self.stream_name(shard);
+        let position = totals.stream_position(&stream);
+        let until = self.final_until(now, totals);
+        let lines = self.lines_due(shard, until, totals);
+        let takeover_delay = self.config.takeover_delay.saturating_mul(self.distance_from_home(shard));
         let state = self.states.entry(shard).or_default();
-        state.next = now + rules.every;
-        if pending.is_none() && lines.is_empty() {
-            (state.same, state.stuck) = (None, None);
+        state.next_check_at = now + self.config.check_interval;
+        if position.pending.is_none() && lines.is_empty() {
+            state.undone = None;
+            state.blocked = None;
             return None;
         }
-        let what = (done, pending.is_some());
-        let since = state.same.filter(|s| s.0 == what).map_or(now, |s| s.1);
-        state.same = Some((what, since));
-        // The home at once; the one after it when nothing has moved for a while, and so on.
-        if now < since + rules.takeover.saturating_mul(rank) {
+        let undone_since = state.undone_since(&position, now);
+        if now < undone_since + takeover_delay {
             return None;
         }
-        if let Some(batch) = pending {
-            return Some(Step::Hand(batch));
+        if let Some(batch) = position.pending {
+            return Some(ExportStep::Send(batch));
         }
-        if !lacks.is_empty() {
-            state.stuck = Some(Stuck::Lacks(lacks));
+        if !position.missing.is_empty() {
+            state.blocked = Some(ExportBlocked::MissingEntries(position.missing));
             return None;
         }
-        state.stuck = None;
-        let (open, until) = (book.periods().of(now), until.unwrap_or(0));
-        for line in &mut lines {
-            // A period that was told before is told no more: what came later is billed in the present one.
-            if told.is_some_and(|t| line.period <= t) {
-                line.billed = open;
-            }
-        }
-        let basis = book.ranges();
-        // At once again: written, it is to be handed over.
-        state.next = now;
-        Some(Step::Write(Batch { stream, number: done + 1, lines, basis, until }))
+        state.blocked = None;
+        // Checked again at once: when it is written it is to be sent.
+        state.next_check_at = now;
+        Some(ExportStep::Write(Batch {
+            stream,
+            number: position.acknowledged + 1,
+            lines: billed_in(lines, totals.periods().of(now), position.covered_until),
+            basis: totals.ranges(),
+            until: until.unwrap_or(0),
+        }))
+    }
+
+    fn lines_due(&self, shard: usize, until: Option<u64>, totals: &UsageTotals) -> Vec<Line> {
+        let Some(until) = until else { return Vec::new() };
+        let shards = self.group.len();
+        totals.unexported_lines(until, |account| shard_of(account, shards) == shard, self.config.max_lines)
     }
 
-    /// How far this ingress is from a stream's home.
-    fn rank(&self, shard: usize) -> u64 {
-        let n = self.group.len().max(1);
-        let at = self.group.iter().position(|g| *g == self.me).unwrap_or(0);
-        ((at + n - shard) % n) as u64
+    /// How many ingresses take over a stream before this one; 0 at its home.
+    fn distance_from_home(&self, shard: usize) -> u64 {
+        let shards = self.group.len().max(1);
+        let own_position = self.group.iter().position(|ingress| *ingress == self.ingress).unwrap_or(0);
+        ((own_position + shards - shard) % shards) as u64
     }
 
-    /// The consumer's word on a batch: what is to be written for it.
-    pub fn handed(&mut self, now: Micros, batch: &Batch, word: Word) -> Vec<What> {
-        let shard = (0..self.group.len()).find(|n| self.stream(*n) == batch.stream).unwrap_or(0);
-        let (every, state) = (self.rules.every, self.states.entry(shard).or_default());
-        let acknowledged = |b: &Batch| {
-            let (stream, number, digest) = (b.stream.clone(), b.number, b.digest().to_vec());
-            What::Acknowledged(Acknowledged { stream, number, digest })
-        };
-        state.next = now;
-        state.stuck = None;
-        match word {
-            Word::Taken => vec![acknowledged(batch)],
-            Word::Other(other) if other.stream == batch.stream && other.number == batch.number => {
-                vec![acknowledged(&other), What::Exported(other)]
+    /// The consumer has replied to a batch. Returns the entries to write, in their order.
+    pub fn replied(&mut self, now: Micros, batch: &Batch, reply: ConsumerReply) -> Vec<EntryBody> {
+        let shards = 0..self.group.len();
+        let shard = shards.into_iter().find(|shard| self.stream_name(*shard) == batch.stream);
+        let state = self.states.entry(shard.unwrap_or(0)).or_default();
+        state.next_check_at = now;
+        state.blocked = None;
+        match reply {
+            ConsumerReply::Stored => vec![acknowledgement(batch)],
+            ConsumerReply::StoredOther(other)
+                if other.stream == batch.stream && other.number == batch.number =>
+            {
+                vec![acknowledgement(&other), EntryBody::BatchPrepared(other)]
             }
-            Word::Ahead(last) => {
-                state.next = now + every;
-                state.stuck = Some(Stuck::ConsumerLost { last, next: batch.number });
+            ConsumerReply::Gap { last } => {
+                state.next_check_at = now + self.config.check_interval;
+                state.blocked = Some(ExportBlocked::ConsumerLost { last, next: batch.number });
                 Vec::new()
             }
-            Word::Other(_) | Word::None => {
-                state.next = now + every;
+            ConsumerReply::StoredOther(_) | ConsumerReply::None => {
+                state.next_check_at = now + self.config.check_interval;
                 Vec::new()
             }
         }
     }
 
-    /// Streams that cannot go on, and why.
-    pub fn stuck(&self) -> impl Iterator<Item = (String, &Stuck)> {
-        self.states.iter().filter_map(|(n, s)| Some((self.stream(*n), s.stuck.as_ref()?)))
+    /// Streams that are blocked, and why.
+    pub fn blocked(&self) -> impl Iterator<Item = (String, &ExportBlocked)> {
+        let states = self.states.iter();
+        states.filter_map(|(shard, state)| Some((self.stream_name(*shard), state.blocked.as_ref()?)))
+    }
+}
+
+impl StreamState {
+    /// Since when the work at a position has been undone.
+    fn undone_since(&mut self, position: &StreamPosition, now: Micros) -> Micros {
+        let work = Work { acknowledged: position.acknowledged, has_pending: position.pending.is_some() };
+        let since = self.undone.filter(|undone| undone.work == work).map_or(now, |undone| undone.since);
+        self.undone = Some(UndoneWork { work, since });
+        since
+    }
+}
+
+fn acknowledgement(batch: &Batch) -> EntryBody {
+    EntryBody::BatchAcknowledged(BatchAcknowledged {
+        stream: batch.stream.clone(),
+        number: batch.number,
+        digest: batch.digest().to_vec(),
+    })
+}
+
+/// Bills lines of periods that earlier batches have covered in the present period.
+fn billed_in(mut lines: Vec<Line>, present: u64, covered_until: Option<u64>) -> Vec<Line> {
+    for line in &mut lines {
+        if covered_until.is_some_and(|covered| line.period <= covered) {
+            line.billed = present;
+        }
     }
+    lines
 }
--- a/crates/ledger/src/lib.rs
+++ b/crates/ledger/src/lib.rs
@@ -1,36 +1,39 @@
-//! The billing ledger: its core is free of I/O and clock, its store writes by the runtime's file trait.
+//! The billing ledger. Its logic is free of I/O and clock; its store writes through the runtime's file trait.
 //!
-//! Nothing is edited: use is an entry, a correction is another one. Each entry has an [`Id`] that any copy of it shares,
-//! so that a union of copies counts once.
+//! Entries are never edited: use is an entry, a correction is another one. All copies of an entry share its [`EntryId`],
+//! so that a union of copies counts each entry once.
 //!
-//! - [`entry`]: what an entry says
-//! - [`period`]: how time is cut
-//! - [`segment`]: entries as bytes of a log, chained, so that a torn end is told from a change in the middle
-//! - [`store`]: segments on a disk, with group commit and recovery
-//! - [`book`]: adds entries up, in any order and any number of copies
-//! - [`clerk`]: what an ingress writes, promises, presumes and closes
-//! - [`reconcile`]: how an ingress gets what others have
+//! - [`entry`]: what entries record, and how they are encoded
+//! - [`period`]: how time is cut into billing periods
+//! - [`segment`]: the format of the log: chained records, so that a torn end differs from a change in the middle
+//! - [`store`]: segments and snapshots on a disk, with group commit, recovery and compaction
+//! - [`usage_totals`]: adds entries up, in any order and any number of copies
+//! - [`recorder`]: what an ingress records of its requests, and which nodes it asks about those whose end it did not see
+//! - [`reconcile`]: how an ingress gets entries that others have
 //! - [`export`]: what is exported, by whom, exactly once
-//! - [`folder`]: a folder of files as its consumer
+//! - [`directory_sink`]: a directory of files as the consumer of exports
+//! - [`sequence_ranges`]: sets of sequence numbers
+//! - [`damage`]: what can be wrong with a stored file
 
-pub mod book;
-pub mod clerk;
+pub mod damage;
+pub mod directory_sink;
 pub mod entry;
 pub mod export;
-pub mod folder;
 pub mod period;
 pub mod reconcile;
+pub mod recorder;
 pub mod segment;
-pub mod spans;
+pub mod sequence_ranges;
 pub mod store;
+pub mod usage_totals;
 
-pub use book::{Book, Sum, Taken};
-pub use clerk::{Clerk, Recovery};
-pub use entry::{Entry, Id, What};
+pub use entry::{Entry, EntryBody, EntryId, IncarnationId};
 pub use period::Periods;
-pub use segment::{scan, Ending, Scan, Writer};
-pub use spans::Span;
+pub use recorder::{Recorder, Recovery};
+pub use segment::{scan, Scan, SegmentEnd, SegmentWriter};
+pub use sequence_ranges::{SequenceRange, SequenceRanges};
 pub use store::{Store, StoreError};
+pub use usage_totals::{AddOutcome, Sum, UsageTotals};
 
 /// A time in microseconds since 1970 (UTC).
 pub type Micros = u64;
--- a/crates/ledger/src/reconcile.rs
+++ b/crates/ledger/src/reconcile.rs
@@ -1,156 +1,190 @@
-//! How an ingress gets what others have and it lacks: it asks each what it has, then fetches what is missing, in parts
-//! and at a bounded rate. Free of I/O and clock. Nothing is pushed: who asks decides how much comes.
+//! Anti-entropy with one other ingress: asks which entries it has, then fetches those that are missing here, in parts
+//! and at a bounded rate. Free of I/O and clock. Nothing is pushed: the one who fetches decides how much comes.
 
-use crate::book::Book;
-use crate::entry::{Entry, Id, Range};
-use crate::spans::{self, Span};
+use crate::entry::{Entry, EntryId, IncarnationId, Range};
+use crate::sequence_ranges::SequenceRanges;
+use crate::usage_totals::UsageTotals;
 use crate::Micros;
 use std::collections::BTreeMap;
 
-/// What is allowed.
+/// Intervals and limits of a [`Reconciler`].
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Rules {
-    /// How often another is asked what it has.
-    pub every: Micros,
-    /// Entries fetched a second, from one other.
-    pub per_second: f64,
-    /// Entries fetched at once.
-    pub part: u64,
-    /// Ranges that another may tell of: more are no honest fleet's.
-    pub ranges: usize,
+pub struct Config {
+    /// How often the peer is asked which entries it has.
+    pub list_interval: Micros,
+    /// Entries a second that are fetched from the peer.
+    pub max_entries_per_second: f64,
+    /// Entries of one fetch.
+    pub max_entries_per_fetch: u64,
+    /// Ranges that the peer may list; more is an error.
+    pub max_ranges: usize,
 }
 
-/// What is to be asked of the other.
+/// How long to wait for more allowance while entries are missing.
+const FETCH_RETRY_MICROS: Micros = 100_000;
+/// Fetches a second while many entries are missing: more and smaller ones are not worth their calls.
+const MAX_FETCHES_PER_SECOND: f64 = 10.0;
+
+/// A request to the peer.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Ask {
-    /// What it has.
-    Have,
+pub enum PeerRequest {
+    /// Which entries it has.
+    List,
     /// These entries.
     Fetch(Vec<Range>),
 }
 
-/// Why another's word is not taken.
+/// What a [`Reconciler`] does next.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub enum NextAction {
+    /// Send a request.
+    Send(PeerRequest),
+    /// Nothing before this time.
+    WaitUntil(Micros),
+}
+
+/// Why a peer's answer is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Refused {
-    /// It tells of more ranges than are allowed.
+pub enum PeerError {
+    /// It lists more ranges than are allowed.
     #[error("it tells of {0} ranges")]
-    Ranges(usize),
-    /// A range is no range.
+    TooManyRanges(usize),
+    /// A range (its first and last number, its ingress) is invalid.
     #[error("a range from {0} to {1} of ingress {2}")]
-    Range(u64, u64, u32),
-    /// An entry came that was not asked for.
+    InvalidRange(u64, u64, u32),
+    /// An entry came that was not requested.
     #[error("entry {} of ingress {} came unasked", .0.number, .0.ingress)]
-    Unasked(Id),
-    /// It says to have entries of this very incarnation that were never written here.
+    Unrequested(EntryId),
+    /// It lists an entry (its number) of this very incarnation that was never written here (the last number that was).
     #[error("it has entry {0} of this start, and only {1} were written")]
-    Mine(u64, u64),
+    NeverWritten(u64, u64),
 }
 
 /// Reconciles with one other ingress.
 pub struct Reconciler {
-    me: (u16, u64),
-    rules: Rules,
-    theirs: BTreeMap<(u16, u64), Vec<Span>>,
-    next: Micros,
+    own: IncarnationId,
+    config: Config,
+    /// What the peer has, by its last list.
+    listed: BTreeMap<IncarnationId, SequenceRanges>,
+    next_list_at: Micros,
+    /// Entries that may be fetched now.
     allowance: f64,
-    at: Micros,
-    asked: Vec<Range>,
-    fetched: u64,
+    allowance_at: Micros,
+    requested: Vec<Range>,
 }
 
 impl Reconciler {
-    /// For ingress and incarnation `me`.
-    pub fn new(me: (u16, u64), rules: Rules) -> Self {
-        let (theirs, asked) = (BTreeMap::new(), Vec::new());
-        Reconciler { me, rules, theirs, next: 0, allowance: 0.0, at: 0, asked, fetched: 0 }
+    /// For the incarnation `own` of this ingress.
+    pub fn new(own: IncarnationId, config: Config) -> Self {
+        Reconciler {
+            own,
+            config,
+            listed: BTreeMap::new(),
+            next_list_at: 0,
+            allowance: 0.0,
+            allowance_at: 0,
+            requested: Vec::new(),
+        }
     }
 
-    /// What to ask now, or when to look again.
-    ///
-    /// # Errors
-    /// The time to look again at.
-    pub fn ask(&mut self, now: Micros, book: &Book) -> Result<Ask, Micros> {
-        let span = now.saturating_sub(self.at) as f64 / 1e6;
-        (self.at, self.allowance) =
-            (now, (self.allowance + span * self.rules.per_second).min(self.rules.per_second.max(1.0)));
-        let mut left = self.rules.part.min(self.allowance as u64);
-        let (mut list, mut lacking) = (Vec::new(), false);
-        for ((ingress, incarnation), spans) in self.theirs.iter().filter(|t| *t.0 != self.me) {
-            let lacks = book.lacks(*ingress, *incarnation, spans, left.max(1));
-            lacking |= !lacks.is_empty();
-            for (from, to) in lacks {
-                if left > 0 {
-                    left -= (to - from + 1).min(left);
-                    list.push(Range { ingress: (*ingress).into(), incarnation: *incarnation, from, to });
-                }
-            }
+    /// What to do now.
+    pub fn next_action(&mut self, now: Micros, totals: &UsageTotals) -> NextAction {
+        self.refill(now);
+        let (missing, any_missing) = self.missing_in(totals);
+        if any_missing && self.allowance >= self.min_fetch() {
+            self.requested.clone_from(&missing);
+            return NextAction::Send(PeerRequest::Fetch(missing));
         }
-        // Few at a time are not worth a call of their own: the allowance is saved up for a tenth of a second.
-        let worth = (self.rules.part as f64).min(self.rules.per_second / 10.0).max(1.0);
-        if lacking && self.allowance >= worth {
-            self.asked.clone_from(&list);
-            return Ok(Ask::Fetch(list));
+        if now >= self.next_list_at {
+            self.next_list_at = now + self.config.list_interval;
+            return NextAction::Send(PeerRequest::List);
         }
-        if now >= self.next {
-            self.next = now + self.rules.every;
-            return Ok(Ask::Have);
+        NextAction::WaitUntil(match any_missing {
+            true => self.next_list_at.min(now + FETCH_RETRY_MICROS),
+            false => self.next_list_at,
+        })
+    }
+
+    fn refill(&mut self, now: Micros) {
+        let elapsed_seconds = now.saturating_sub(self.allowance_at) as f64 / 1e6;
+        let rate = self.config.max_entries_per_second;
+        self.allowance_at = now;
+        self.allowance = (self.allowance + elapsed_seconds * rate).min(rate.max(1.0));
+    }
+
+    /// The smallest allowance that is used for a fetch.
+    fn min_fetch(&self) -> f64 {
+        let worthwhile = self.config.max_entries_per_second / MAX_FETCHES_PER_SECOND;
+        (self.config.max_entries_per_fetch as f64).min(worthwhile).max(1.0)
+    }
+
+    /// Ranges to fetch, as far as limit and allowance permit, and whether anything is missing at all.
+    fn missing_in(&self, totals: &UsageTotals) -> (Vec<Range>, bool) {
+        let mut remaining = self.config.max_entries_per_fetch.min(self.allowance as u64);
+        let mut ranges = Vec::new();
+        let mut any_missing = false;
+        for (id, listed) in self.listed.iter().filter(|(id, _)| **id != self.own) {
+            let missing = totals.missing_from(*id, listed.as_slice(), remaining.max(1));
+            any_missing |= !missing.is_empty();
+            for numbers in missing {
+                if remaining > 0 {
+                    remaining -= numbers.count().min(remaining);
+                    ranges.push(Range::new(*id, numbers));
+                }
+            }
         }
-        Err(if lacking { self.next.min(now + 100_000) } else { self.next })
+        (ranges, any_missing)
     }
 
-    /// What the other says to have; `written`: how many entries of this incarnation there are.
+    /// The peer has listed which entries it has. `last_written` is the last number of this incarnation.
     ///
     /// # Errors
-    /// See [`Refused`]; nothing of it is taken then.
-    pub fn have(&mut self, ranges: &[Range], written: u64) -> Result<(), Refused> {
-        if ranges.len() > self.rules.ranges {
-            return Err(Refused::Ranges(ranges.len()));
+    /// See [`PeerError`]; nothing of the list is used then.
+    pub fn listed(&mut self, ranges: &[Range], last_written: u64) -> Result<(), PeerError> {
+        if ranges.len() > self.config.max_ranges {
+            return Err(PeerError::TooManyRanges(ranges.len()));
         }
-        let mut theirs: BTreeMap<(u16, u64), Vec<Span>> = BTreeMap::new();
-        for r in ranges {
-            let ingress = u16::try_from(r.ingress);
-            let (Ok(ingress), true) = (ingress, r.from > 0 && r.from <= r.to && r.to < u64::MAX) else {
-                return Err(Refused::Range(r.from, r.to, r.ingress));
-            };
-            if (ingress, r.incarnation) == self.me && r.to > written {
-                return Err(Refused::Mine(r.to, written));
+        let mut listed: BTreeMap<IncarnationId, SequenceRanges> = BTreeMap::new();
+        for range in ranges {
+            let id = check_range(range)?;
+            if id == self.own && range.to > last_written {
+                return Err(PeerError::NeverWritten(range.to, last_written));
             }
-            spans::add_span(theirs.entry((ingress, r.incarnation)).or_default(), (r.from, r.to));
+            listed.entry(id).or_default().insert_range(range.numbers());
         }
-        self.theirs = theirs;
+        self.listed = listed;
         Ok(())
     }
 
-    /// Entries that came for what was asked. Those that it does not have after all are asked for again later.
+    /// The peer has returned entries for the last fetch. Those that it left out are fetched again later.
     ///
     /// # Errors
-    /// See [`Refused`]; none of them is taken then.
-    pub fn fetched(&mut self, entries: &[Entry]) -> Result<(), Refused> {
-        for e in entries {
-            let asked = |r: &Range| {
-                (r.ingress, r.incarnation) == (e.id.ingress.into(), e.id.incarnation)
-                    && (r.from..=r.to).contains(&e.id.number)
-            };
-            if !self.asked.iter().any(asked) {
-                return Err(Refused::Unasked(e.id));
+    /// See [`PeerError`]; none of the entries may be used then.
+    pub fn fetched(&mut self, entries: &[Entry]) -> Result<(), PeerError> {
+        for entry in entries {
+            if !self.requested.iter().any(|range| range.contains(entry.id)) {
+                return Err(PeerError::Unrequested(entry.id));
             }
         }
         self.allowance -= entries.len() as f64;
-        self.fetched += entries.len() as u64;
         if entries.is_empty() {
-            self.theirs.clear(); // it said to have what it does not give: asked anew at the next round
+            self.listed.clear(); // it does not give what it has listed: ask for a new list first
         }
         Ok(())
     }
 
-    /// The other did not answer, or not well: left alone until the next round.
+    /// The peer did not answer, or its answer was rejected: it is left alone until the next list.
     pub fn failed(&mut self, now: Micros) {
-        self.theirs.clear();
-        self.next = now + self.rules.every;
+        self.listed.clear();
+        self.next_list_at = now + self.config.list_interval;
     }
+}
 
-    /// Entries that came so far.
-    pub fn count(&self) -> u64 {
-        self.fetched
+fn check_range(range: &Range) -> Result<IncarnationId, PeerError> {
+    let invalid = PeerError::InvalidRange(range.from, range.to, range.ingress);
+    let ingress = u16::try_from(range.ingress).map_err(|_| invalid)?;
+    if range.from == 0 || range.from > range.to || range.to == u64::MAX {
+        return Err(invalid);
     }
+    Ok(IncarnationId { ingress, incarnation: range.incarnation })
 }
--- a/crates/ledger/src/segment.rs
+++ b/crates/ledger/src/segment.rs
@@ -1,196 +1,229 @@
-//! Entries as bytes of a log. A segment is a head (magic, version, a number, the chain's value where it begins) and
-//! records: length (4 bytes, big-endian), chain value (16 bytes), payload. The chain value of a record is the hash
-//! (BLAKE3, cut to 16 bytes) of the one before and the payload: a record that is missing, moved or changed breaks it.
+//! The format of a segment of the log: a header (magic, version, number, the chain value that it starts from) and records
+//! (length, 4 bytes, big-endian; chain value, 16 bytes; payload, an encoded entry). The chain value of a record is the
+//! hash (BLAKE3, cut to 16 bytes) of the one before it and the payload: a record that is missing, moved or changed
+//! breaks the chain.
 //!
-//! A segment that breaks off inside its last record was torn by a crash: that record was never acknowledged and is cut.
-//! A record that is whole and does not fit the chain is damage; what follows it cannot be trusted, and nothing is cut.
+//! A segment that ends inside its last record was torn by a crash: that record was never acknowledged and is cut off.
+//! A complete record that does not match the chain is damage; what follows it cannot be trusted, and nothing is cut.
 
+use crate::damage::Damage;
 use crate::entry::{Entry, EntryError};
 
 const MAGIC: &[u8; 8] = b"chalkled";
 const VERSION: u8 = 1;
-const CHAIN: usize = 16;
-const HEAD: usize = 8 + 1 + 8 + CHAIN;
-const RECORD: usize = 4 + CHAIN;
-/// Bytes of an entry: names in it are bounded by the front, and this by the reader.
-pub const MOST_ENTRY: usize = 64 << 10;
+const CHAIN_BYTES: usize = 16;
+const VERSION_OFFSET: usize = MAGIC.len();
+pub(crate) const NUMBER_OFFSET: usize = VERSION_OFFSET + 1;
+const CHAIN_OFFSET: usize = NUMBER_OFFSET + 8;
+const HEADER_BYTES: usize = CHAIN_OFFSET + CHAIN_BYTES;
+const LENGTH_BYTES: usize = 4;
+const RECORD_HEADER_BYTES: usize = LENGTH_BYTES + CHAIN_BYTES;
+/// Bytes of an encoded entry. The frontends limit the names in it, and this limits what a reader allocates.
+pub const MAX_ENTRY_BYTES: usize = 64 << 10;
 
-/// The chain's value before the first segment.
-pub const BEGINNING: [u8; CHAIN] = [0; CHAIN];
+/// The hash over all records up to some point of the log.
+pub type ChainValue = [u8; CHAIN_BYTES];
 
-fn next(chain: &[u8; CHAIN], payload: &[u8]) -> [u8; CHAIN] {
+/// The chain value before the first segment.
+pub const INITIAL_CHAIN: ChainValue = [0; CHAIN_BYTES];
+
+fn next_chain_value(chain: &ChainValue, payload: &[u8]) -> ChainValue {
     let mut hasher = blake3::Hasher::new();
     hasher.update(chain);
     hasher.update(payload);
-    let mut value = [0; CHAIN];
-    value.copy_from_slice(&hasher.finalize().as_bytes()[..CHAIN]);
+    let mut value = [0; CHAIN_BYTES];
+    value.copy_from_slice(&hasher.finalize().as_bytes()[..CHAIN_BYTES]);
     value
 }
 
-/// Writes a segment.
-pub struct Writer {
-    chain: [u8; CHAIN],
-    out: Vec<u8>,
+/// Encodes a segment.
+pub struct SegmentWriter {
+    chain: ChainValue,
+    bytes: Vec<u8>,
 }
 
-impl Writer {
-    /// A new segment with this number, that goes on where the chain is.
-    pub fn new(number: u64, chain: [u8; CHAIN]) -> Self {
-        let mut out = MAGIC.to_vec();
-        out.push(VERSION);
-        out.extend_from_slice(&number.to_be_bytes());
-        out.extend_from_slice(&chain);
-        Writer { chain, out }
+impl SegmentWriter {
+    /// Begins a new segment with this number that continues the chain.
+    pub fn new(number: u64, chain: ChainValue) -> Self {
+        let mut bytes = MAGIC.to_vec();
+        bytes.push(VERSION);
+        bytes.extend_from_slice(&number.to_be_bytes());
+        bytes.extend_from_slice(&chain);
+        SegmentWriter { chain, bytes }
     }
 
-    /// Goes on in a segment that was scanned and cut to its good length.
-    pub fn resume(chain: [u8; CHAIN]) -> Self {
-        Writer { chain, out: Vec::new() }
+    /// Continues a segment that was scanned and cut to its valid bytes.
+    pub fn resume(chain: ChainValue) -> Self {
+        SegmentWriter { chain, bytes: Vec::new() }
     }
 
     /// Appends an entry.
     ///
     /// # Errors
-    /// It is longer than any reader takes.
+    /// The entry is longer than [`MAX_ENTRY_BYTES`].
     pub fn append(&mut self, entry: &Entry) -> Result<(), EntryError> {
         let payload = entry.encode();
-        if payload.len() > MOST_ENTRY {
-            return Err(EntryError::Value("length", payload.len() as u64, "at most 65,536 bytes"));
-        }
-        self.chain = next(&self.chain, &payload);
-        self.out.extend_from_slice(&(payload.len() as u32).to_be_bytes());
-        self.out.extend_from_slice(&self.chain);
-        self.out.extend_from_slice(&payload);
+        check_length(&payload)?;
+        self.chain = next_chain_value(&self.chain, &payload);
+        self.bytes.extend_from_slice(&(payload.len() as u32).to_be_bytes());
+        self.bytes.extend_from_slice(&self.chain);
+        self.bytes.extend_from_slice(&payload);
         Ok(())
     }
 
-    /// The bytes since the last time: to be written and synced as one group.
-    pub fn take(&mut self) -> Vec<u8> {
-        std::mem::take(&mut self.out)
+    /// The bytes since the last call, to be written and synced as one group.
+    pub fn take_bytes(&mut self) -> Vec<u8> {
+        std::mem::take(&mut self.bytes)
     }
 
-    /// Where the chain is.
-    pub fn chain(&self) -> [u8; CHAIN] {
+    /// The chain value after the last entry.
+    pub fn chain(&self) -> ChainValue {
         self.chain
     }
 }
 
+/// Checks the length of an encoded entry.
+pub(crate) fn check_length(payload: &[u8]) -> Result<(), EntryError> {
+    if payload.len() > MAX_ENTRY_BYTES {
+        return Err(EntryError::Value("length", payload.len() as u64, "at most 65,536 bytes"));
+    }
+    Ok(())
+}
+
 /// How a segment ends.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Ending {
-    /// After a whole record.
-    Whole,
-    /// Inside a record, or inside the head: a crash tore it. What is before is good.
+pub enum SegmentEnd {
+    /// After a complete record.
+    Complete,
+    /// Inside a record, or inside the header: a crash tore it. What is before is valid.
     Torn,
-    /// At this byte something is wrong that no crash does.
+    /// Something is wrong that no crash explains.
     Damaged {
-        /// The first byte of the record, or of the head.
+        /// The first byte of the record, or of the field of the header.
         at: usize,
-        /// What was found and expected.
-        what: String,
+        /// What is wrong.
+        what: Damage,
     },
 }
 
-/// What a segment holds.
+/// What was read of a segment.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Scan {
-    /// Its number; none where even the head is not whole.
+    /// The segment's number; `None` where even the header is torn or damaged.
     pub number: Option<u64>,
-    /// The good entries, in order.
+    /// The valid entries, in order.
     pub entries: Vec<Entry>,
-    /// Bytes up to the end of the last good record.
-    pub good: usize,
-    /// Where the chain is there.
-    pub chain: [u8; CHAIN],
-    /// How it ends.
-    pub ending: Ending,
+    /// Bytes up to the end of the last valid record.
+    pub valid_bytes: usize,
+    /// The chain value there.
+    pub chain: ChainValue,
+    /// How it ends, as far as it was read.
+    pub end: SegmentEnd,
 }
 
-/// Reads a segment that is to go on from `chain`; none: whatever it says itself.
-pub fn scan(bytes: &[u8], chain: Option<[u8; CHAIN]>) -> Scan {
-    let mut scan = head(bytes, chain);
-    while some(&mut scan, bytes, usize::MAX) {}
+/// Reads a segment that must continue the chain at `chain`; `None` accepts whatever its header says.
+pub fn scan(bytes: &[u8], chain: Option<ChainValue>) -> Scan {
+    let mut scan = Scan::begin(bytes, chain);
+    while scan.read_entries(bytes, usize::MAX) {}
     scan
 }
 
-/// Reads a segment's head. The scan goes on with [`some`].
-pub fn head(bytes: &[u8], chain: Option<[u8; CHAIN]>) -> Scan {
-    let mut scan = Scan {
-        number: None,
-        entries: Vec::new(),
-        good: 0,
-        chain: chain.unwrap_or(BEGINNING),
-        ending: Ending::Whole,
-    };
-    let damaged = |at: usize, what: String| Ending::Damaged { at, what };
-    let known = bytes.len().min(MAGIC.len());
-    if bytes[..known] != MAGIC[..known] {
-        scan.ending = damaged(0, "expected a segment of a ledger".into());
-        return scan;
-    }
-    if bytes.len() < HEAD {
-        scan.ending = Ending::Torn;
-        return scan;
-    }
-    if bytes[8] != VERSION {
-        scan.ending = damaged(8, format!("version {}, expected {VERSION}", bytes[8]));
-        return scan;
-    }
-    let mut number = [0; 8];
-    number.copy_from_slice(&bytes[9..17]);
-    scan.number = Some(u64::from_be_bytes(number));
-    let mut begins = [0; CHAIN];
-    begins.copy_from_slice(&bytes[17..HEAD]);
-    if chain.is_some_and(|c| c != begins) {
-        scan.ending = damaged(17, "it does not go on where the segment before it ends".into());
-        return scan;
-    }
-    (scan.chain, scan.good) = (begins, HEAD);
-    scan
+/// A record that matches the chain.
+struct Record {
+    entry: Entry,
+    chain: ChainValue,
+    bytes: usize,
 }
 
-/// Reads at most `most` more entries; false when the scan is at its end.
-pub fn some(scan: &mut Scan, bytes: &[u8], most: usize) -> bool {
-    if scan.number.is_none() || scan.ending != Ending::Whole {
-        return false;
+impl Scan {
+    /// Reads a segment's header; [`Scan::read_entries`] continues. See [`scan`] for `chain`.
+    pub fn begin(bytes: &[u8], chain: Option<ChainValue>) -> Scan {
+        let mut scan = Scan {
+            number: None,
+            entries: Vec::new(),
+            valid_bytes: 0,
+            chain: chain.unwrap_or(INITIAL_CHAIN),
+            end: SegmentEnd::Complete,
+        };
+        if let Err(end) = scan.read_header(bytes, chain) {
+            scan.end = end;
+        }
+        scan
     }
-    let damaged = |at: usize, what: String| Ending::Damaged { at, what };
-    for _ in 0..most {
-        let at = scan.good;
-        let rest = &bytes[at..];
-        if rest.is_empty() {
-            return false;
+
+    fn read_header(&mut self, bytes: &[u8], chain: Option<ChainValue>) -> Result<(), SegmentEnd> {
+        let damaged = |at: usize, what: Damage| Err(SegmentEnd::Damaged { at, what });
+        let magic_bytes = bytes.len().min(MAGIC.len());
+        if bytes[..magic_bytes] != MAGIC[..magic_bytes] {
+            return damaged(0, Damage::NotASegment);
         }
-        if rest.len() < RECORD {
-            scan.ending = Ending::Torn;
-            return false;
+        if bytes.len() < HEADER_BYTES {
+            return Err(SegmentEnd::Torn);
         }
-        let len = u32::from_be_bytes([rest[0], rest[1], rest[2], rest[3]]) as usize;
-        if len > MOST_ENTRY {
-            scan.ending = damaged(at, format!("an entry of {len} bytes, at most {MOST_ENTRY}"));
-            return false;
+        let version = bytes[VERSION_OFFSET];
+        if version != VERSION {
+            return damaged(VERSION_OFFSET, Damage::Version { found: version, expected: VERSION });
         }
-        if rest.len() < RECORD + len {
-            scan.ending = Ending::Torn;
-            return false;
+        let mut number = [0; 8];
+        number.copy_from_slice(&bytes[NUMBER_OFFSET..CHAIN_OFFSET]);
+        self.number = Some(u64::from_be_bytes(number));
+        let mut start: ChainValue = [0; CHAIN_BYTES];
+        start.copy_from_slice(&bytes[CHAIN_OFFSET..HEADER_BYTES]);
+        if chain.is_some_and(|expected| expected != start) {
+            return damaged(CHAIN_OFFSET, Damage::DetachedSegment);
         }
-        let payload = &rest[RECORD..RECORD + len];
-        let value = next(&scan.chain, payload);
-        if rest[4..RECORD] != value {
-            // The last record, whole in length but not in content: pages of a crash come in any order.
-            let last = rest.len() == RECORD + len;
-            let what = "the record does not fit the one before it: changed, moved, or one is missing";
-            scan.ending = if last { Ending::Torn } else { damaged(at, what.into()) };
+        self.chain = start;
+        self.valid_bytes = HEADER_BYTES;
+        Ok(())
+    }
+
+    /// Reads at most `limit` more entries; false when the scan has reached its end.
+    pub fn read_entries(&mut self, bytes: &[u8], limit: usize) -> bool {
+        if self.number.is_none() || self.end != SegmentEnd::Complete {
             return false;
         }
-        match Entry::decode(payload) {
-            Ok(entry) => scan.entries.push(entry),
-            Err(e) => {
-                scan.ending = damaged(at, e.to_string());
+        for _ in 0..limit {
+            let rest = &bytes[self.valid_bytes..];
+            if rest.is_empty() {
                 return false;
             }
+            match self.read_record(rest) {
+                Ok(record) => {
+                    self.entries.push(record.entry);
+                    self.chain = record.chain;
+                    self.valid_bytes += record.bytes;
+                }
+                Err(end) => {
+                    self.end = end;
+                    return false;
+                }
+            }
+        }
+        true
+    }
+
+    /// Reads the record at the start of `rest`.
+    fn read_record(&self, rest: &[u8]) -> Result<Record, SegmentEnd> {
+        let damaged = |what: Damage| SegmentEnd::Damaged { at: self.valid_bytes, what };
+        if rest.len() < RECORD_HEADER_BYTES {
+            return Err(SegmentEnd::Torn);
+        }
+        let length = u32::from_be_bytes([rest[0], rest[1], rest[2], rest[3]]) as usize;
+        if length > MAX_ENTRY_BYTES {
+            return Err(damaged(Damage::EntryTooLong(length)));
+        }
+        let bytes = RECORD_HEADER_BYTES + length;
+        if rest.len() < bytes {
+            return Err(SegmentEnd::Torn);
+        }
+        let payload = &rest[RECORD_HEADER_BYTES..bytes];
+        let chain = next_chain_value(&self.chain, payload);
+        if rest[LENGTH_BYTES..RECORD_HEADER_BYTES] != chain {
+            // The last record can be complete in length but not in content: a crash leaves pages in any order.
+            let is_last = rest.len() == bytes;
+            return Err(if is_last { SegmentEnd::Torn } else { damaged(Damage::BrokenChain) });
         }
-        (scan.chain, scan.good) = (value, at + RECORD + len);
+        let entry = Entry::decode(payload).map_err(|error| damaged(error.into()))?;
+        Ok(Record { entry, chain, bytes })
     }
-    true
 }
--- a/crates/ledger/tests/fleet.rs
+++ b/crates/ledger/tests/fleet.rs
@@ -1,13 +1,15 @@
-//! All deciders of the ledger together: three ingresses, nodes that ran what they ran, a consumer, a network that cuts,
+//! All state machines of the ledger together: three ingresses, nodes that ran what they ran, a consumer, a network that cuts,
 //! disks that lose what was not synced, come back old or empty, clocks that differ. Each seed is a history; at its end,
 //! after a quiet while, what was billed is what ran.
 
-use chalkgap_ledger::book::{Book, Taken};
-use chalkgap_ledger::clerk::{Clerk, Fate, Promise, Recovery, Rules, Ticket, Truth};
-use chalkgap_ledger::entry::{Batch, Entry, Open, What};
-use chalkgap_ledger::export::{Exporter, Rules as ExportRules, Step, Word};
-use chalkgap_ledger::reconcile::{Ask, Reconciler, Rules as FetchRules};
-use chalkgap_ledger::{store, Periods};
+use chalkgap_ledger::entry::{Batch, Entry, EntryBody, RequestOpened};
+use chalkgap_ledger::export::{self, ConsumerReply, ExportStep, Exporter};
+use chalkgap_ledger::reconcile::{self, NextAction, PeerRequest, Reconciler};
+use chalkgap_ledger::recorder::{
+    Config, EntryHandle, LookupRequest, Recorder, Recovery, RequestStatus, Reservation, Settlement,
+};
+use chalkgap_ledger::usage_totals::{AddOutcome, UsageTotals};
+use chalkgap_ledger::{store, IncarnationId, Periods};
 use rand::rngs::SmallRng;
 use rand::seq::IndexedRandom;
 use rand::{RngExt, SeedableRng};
@@ -27,8 +29,8 @@
 }
 
 struct Pending {
-    ticket: Ticket,
-    open: Open,
+    handle: EntryHandle,
+    opened: RequestOpened,
 }
 
 struct Ingress {
@@ -36,8 +38,8 @@
     /// What its clock is ahead by.
     ahead: u64,
     log: Vec<Entry>,
-    clerk: Clerk,
-    book: Book,
+    recorder: Recorder,
+    totals: UsageTotals,
     exporter: Exporter,
     others: Vec<(u16, Reconciler)>,
     /// Opened; not sent as long as they are not durable.
@@ -46,55 +48,66 @@
     requests: u64,
 }
 
-fn rules() -> Rules {
-    Rules {
-        waiting: 100,
-        slow: 60 * SECOND,
-        pause: SECOND,
-        serve_without: false,
-        truth: 3600 * SECOND,
-        later: 3600 * SECOND,
-        again: SECOND,
-        remembered: 1000,
+fn config() -> Config {
+    Config {
+        max_waiting: 100,
+        slow_disk_after: 60 * SECOND,
+        retry_after: SECOND,
+        serve_unrecorded: false,
+        lookup_timeout: 3600 * SECOND,
+        correction_window: 3600 * SECOND,
+        lookup_interval: SECOND,
+        max_unsettled: 1000,
     }
 }
 
 impl Ingress {
     fn start(me: u16, ahead: u64, log: Vec<Entry>, now: u64, requests: u64) -> Ingress {
-        let (mut book, mut recovery) = (Book::new(PERIODS), Recovery::new(me));
+        let (mut totals, mut recovery) = (UsageTotals::new(PERIODS), Recovery::new(me));
         for e in &log {
-            assert_ne!(book.take(e), Taken::Conflict, "a number used twice");
-            recovery.take(e);
+            assert_ne!(totals.add(e), AddOutcome::Conflict, "a number used twice");
+            recovery.add(e);
         }
-        let incarnation = store::incarnation(recovery.latest(), now + ahead);
-        let clerk = Clerk::new(me, incarnation, PERIODS, rules(), recovery, now + ahead);
-        let export = ExportRules { after: 200 * SECOND, every: SECOND, takeover: 5 * SECOND, lines: 3 };
-        let fetch = FetchRules { every: SECOND, per_second: 50.0, part: 20, ranges: 1000 };
+        let incarnation = store::next_incarnation(recovery.latest_incarnation(), now + ahead);
+        let recorder = Recorder::new(me, incarnation, PERIODS, config(), recovery, now + ahead);
+        let export = export::Config {
+            final_after: 200 * SECOND,
+            check_interval: SECOND,
+            takeover_delay: 5 * SECOND,
+            max_lines: 3,
+        };
+        let fetch = reconcile::Config {
+            list_interval: SECOND,
+            max_entries_per_second: 50.0,
+            max_entries_per_fetch: 20,
+            max_ranges: 1000,
+        };
+        let own = IncarnationId { ingress: me, incarnation };
         let others = (0..3).filter(|n| *n != me);
-        let others = others.map(|n| (n, Reconciler::new((me, incarnation), fetch))).collect();
+        let others = others.map(|n| (n, Reconciler::new(own, fetch))).collect();
         let (opened, sent) = (Vec::new(), Vec::new());
         let exporter = Exporter::new(me, vec![0, 1, 2], export);
-        Ingress { me, ahead, log, clerk, book, exporter, others, opened, sent, requests }
+        Ingress { me, ahead, log, recorder, totals, exporter, others, opened, sent, requests }
     }
 
     /// The disk takes what was written: all of it is durable.
     fn sync(&mut self) {
-        let group = self.clerk.take();
+        let group = self.recorder.take_pending();
         for e in &group {
-            assert_eq!(self.book.take(e), Taken::New);
+            assert_eq!(self.totals.add(e), AddOutcome::Added);
         }
         if let Some(last) = group.last() {
-            self.clerk.durable(last.id.number);
+            self.recorder.mark_durable(last.id.number);
         }
         self.log.extend(group);
     }
 
     fn copies(&mut self, now: u64, entries: &[Entry]) {
-        let new: Vec<Entry> = entries.iter().filter(|e| !self.book.has(e.id)).cloned().collect();
+        let new: Vec<Entry> = entries.iter().filter(|e| !self.totals.contains(e.id)).cloned().collect();
         for e in &new {
-            assert_eq!(self.book.take(e), Taken::New);
+            assert_eq!(self.totals.add(e), AddOutcome::Added);
         }
-        self.clerk.returned(now, &new);
+        self.recorder.add_returned(now, &new);
         self.log.extend(new);
     }
 }
@@ -126,11 +139,11 @@
         let (rng, nodes, Some(i)) = (&mut self.rng, &mut self.nodes, &mut self.ingresses[n]) else { return };
         let now = self.now + i.ahead;
         if rng.random_bool(0.6) {
-            if i.clerk.promise(now) != Promise::Kept {
+            if i.recorder.reserve(now) != Reservation::Recorded {
                 return;
             }
             i.requests += 1;
-            let open = Open {
+            let opened = RequestOpened {
                 account: format!("account-{}", rng.random_range(0..4)),
                 plan: "p".into(),
                 class: "c".into(),
@@ -138,55 +151,56 @@
                 request: format!("{}-{}", i.me, i.requests),
                 node: "n".into(),
             };
-            if let Some(ticket) = i.clerk.open(now, open.clone()) {
-                i.opened.push(Pending { ticket, open });
+            if let Some(handle) = i.recorder.open_request(now, opened.clone()) {
+                i.opened.push(Pending { handle, opened });
             }
         }
         // What is durable is sent; of what is sent some runs.
-        let durable = i.clerk.durable_to();
+        let durable = i.recorder.durable_up_to();
         let (ready, waiting) =
-            std::mem::take(&mut i.opened).into_iter().partition(|p| p.ticket.number <= durable);
+            std::mem::take(&mut i.opened).into_iter().partition(|p| p.handle.number <= durable);
         i.opened = waiting;
         for p in ready {
-            let used = (p.open.account.clone(), PERIODS.of(p.ticket.at), p.open.units);
-            nodes.working.insert(p.open.request.clone(), used);
+            let used = (p.opened.account.clone(), PERIODS.of(p.handle.at), p.opened.units);
+            nodes.working.insert(p.opened.request.clone(), used);
             i.sent.push(p);
         }
         if !i.sent.is_empty() && rng.random_bool(0.7) {
             let p = i.sent.swap_remove(rng.random_range(0..i.sent.len()));
-            let name = p.open.request.clone();
+            let name = p.opened.request.clone();
             let used = nodes.working.remove(&name);
             let ran = rng.random_bool(0.8) && used.is_some() && !nodes.barred.contains(&name);
             if let Some(used) = used.filter(|_| ran) {
                 nodes.ran.insert(name, used);
             }
             let heard = rng.random_bool(0.7);
-            let fate = match (heard, ran) {
-                (true, true) => Fate::Used { node: "n".into() },
-                (true, false) => Fate::Never,
-                (false, _) => {
-                    Fate::Doubtful { nodes: BTreeSet::from(["n".into()]), open: Box::new(p.open.clone()) }
-                }
+            let settlement = match (heard, ran) {
+                (true, true) => Settlement::Ran { node: "n".into() },
+                (true, false) => Settlement::NeverRan,
+                (false, _) => Settlement::Unknown {
+                    nodes: BTreeSet::from(["n".into()]),
+                    opened: Box::new(p.opened.clone()),
+                },
             };
-            i.clerk.end(now, p.ticket, p.open.units, fate);
+            i.recorder.settle(now, p.handle, p.opened.units, settlement);
         }
     }
 
     fn ask(&mut self, n: usize) {
         let (nodes, Some(i)) = (&mut self.nodes, &mut self.ingresses[n]) else { return };
         let now = self.now + i.ahead;
-        i.clerk.tick(now);
-        for (node, list) in i.clerk.ask(now, 10, 10) {
-            for (id, request) in list {
-                let truth = if nodes.ran.contains_key(&request) {
-                    Truth::Ran
+        i.recorder.tick(now);
+        for (node, list) in i.recorder.lookups_due(now, 10, 10) {
+            for LookupRequest { id, request } in list {
+                let status = if nodes.ran.contains_key(&request) {
+                    RequestStatus::Ran
                 } else if nodes.working.contains_key(&request) {
-                    Truth::Running
+                    RequestStatus::Running
                 } else {
                     nodes.barred.insert(request);
-                    Truth::Never
+                    RequestStatus::NeverRan
                 };
-                i.clerk.truth(now, id, &node, truth);
+                i.recorder.lookup_answered(now, id, &node, status);
             }
         }
     }
@@ -195,21 +209,19 @@
         let Some(mut i) = self.ingresses[n].take() else { return };
         let (now, mut others) = (self.now + i.ahead, std::mem::take(&mut i.others));
         for (no, r) in &mut others {
-            let Ok(ask) = r.ask(now, &i.book) else { continue };
+            let NextAction::Send(request) = r.next_action(now, &i.totals) else { continue };
             let cut = self.cut.is_some_and(|c| c == i.me || c == *no) || self.rng.random_bool(0.1);
             let Some(other) = self.ingresses[usize::from(*no)].as_ref().filter(|_| !cut) else {
                 r.failed(now);
                 continue;
             };
-            match ask {
-                Ask::Have => r.have(&other.book.ranges(), i.clerk.written()).expect("an honest fleet"),
-                Ask::Fetch(list) => {
-                    let wanted = |e: &&Entry| {
-                        list.iter().any(|r| {
-                            (r.ingress, r.incarnation) == (e.id.ingress.into(), e.id.incarnation)
-                                && (r.from..=r.to).contains(&e.id.number)
-                        })
-                    };
+            match request {
+                PeerRequest::List => {
+                    let last_written = i.recorder.last_number();
+                    r.listed(&other.totals.ranges(), last_written).expect("an honest fleet");
+                }
+                PeerRequest::Fetch(list) => {
+                    let wanted = |e: &&Entry| list.iter().any(|range| range.contains(e.id));
                     let entries: Vec<Entry> = other.log.iter().filter(wanted).cloned().collect();
                     r.fetched(&entries).expect("what was asked for");
                     i.copies(now, &entries);
@@ -223,30 +235,30 @@
     fn export(&mut self, n: usize) {
         let Some(i) = &mut self.ingresses[n] else { return };
         let now = self.now + i.ahead;
-        match i.exporter.next(now, &i.book) {
+        match i.exporter.next_step(now, &i.totals) {
             None => {}
-            Some(Step::Write(batch)) => {
-                i.clerk.note(now, What::Exported(batch));
+            Some(ExportStep::Write(batch)) => {
+                i.recorder.append(now, EntryBody::BatchPrepared(batch));
             }
-            Some(Step::Hand(batch)) => {
-                let mut word = Word::None;
+            Some(ExportStep::Send(batch)) => {
+                let mut reply = ConsumerReply::None;
                 if self.cut != Some(i.me) && self.rng.random_bool(0.8) {
                     let list = self.vault.entry(batch.stream.clone()).or_default();
                     if batch.number == list.len() as u64 + 1 {
                         list.push(batch.clone());
                     }
-                    word = match list.get(batch.number as usize - 1) {
-                        Some(there) if *there == batch => Word::Taken,
-                        Some(there) => Word::Other(there.clone()),
-                        None => Word::Ahead(list.len() as u64),
+                    reply = match list.get(batch.number as usize - 1) {
+                        Some(there) if *there == batch => ConsumerReply::Stored,
+                        Some(there) => ConsumerReply::StoredOther(there.clone()),
+                        None => ConsumerReply::Gap { last: list.len() as u64 },
                     };
-                    assert!(!matches!(word, Word::Ahead(_)), "nothing is skipped");
+                    assert!(!matches!(reply, ConsumerReply::Gap { .. }), "nothing is skipped");
                     if self.rng.random_bool(0.2) {
-                        word = Word::None; // taken, and no word of it
+                        reply = ConsumerReply::None; // stored, and the reply is lost
                     }
                 }
-                for what in i.exporter.handed(now, &batch, word) {
-                    i.clerk.note(now, what);
+                for body in i.exporter.replied(now, &batch, reply) {
+                    i.recorder.append(now, body);
                 }
             }
         }
@@ -255,7 +267,7 @@
     /// Whether all that an ingress's disk has is on another's as well.
     fn safe(&self, n: usize) -> bool {
         let Some(i) = &self.ingresses[n] else { return false };
-        i.log.iter().all(|e| self.ingresses.iter().flatten().any(|o| o.me != i.me && o.book.has(e.id)))
+        i.log.iter().all(|e| self.ingresses.iter().flatten().any(|o| o.me != i.me && o.totals.contains(e.id)))
     }
 
     fn step(&mut self, quiet: bool) {
@@ -284,12 +296,12 @@
                     // Requests at nodes run on, or die, without it.
                     if self.rng.random_bool(0.5) {
                         for p in i.sent.drain(..) {
-                            if let Some(used) = self.nodes.working.remove(&p.open.request) {
-                                self.nodes.ran.insert(p.open.request, used);
+                            if let Some(used) = self.nodes.working.remove(&p.opened.request) {
+                                self.nodes.ran.insert(p.opened.request, used);
                             }
                         }
                     }
-                    i.sent.iter().for_each(|p| drop(self.nodes.working.remove(&p.open.request)));
+                    i.sent.iter().for_each(|p| drop(self.nodes.working.remove(&p.opened.request)));
                     match lost {
                         0 if safe => i.log.clear(),
                         1 if safe => i.log.truncate(self.rng.random_range(0..=i.log.len())),
@@ -329,11 +341,16 @@
             i.sync();
             let now = w.now + i.ahead;
             for p in i.opened.drain(..).chain(i.sent.drain(..)) {
-                if let Some(used) = w.nodes.working.remove(&p.open.request) {
-                    w.nodes.ran.insert(p.open.request.clone(), used);
+                if let Some(used) = w.nodes.working.remove(&p.opened.request) {
+                    w.nodes.ran.insert(p.opened.request.clone(), used);
                 }
                 let nodes = BTreeSet::from(["n".into()]);
-                i.clerk.end(now, p.ticket, p.open.units, Fate::Doubtful { nodes, open: Box::new(p.open) });
+                i.recorder.settle(
+                    now,
+                    p.handle,
+                    p.opened.units,
+                    Settlement::Unknown { nodes, opened: Box::new(p.opened) },
+                );
             }
         }
     }
@@ -354,12 +371,12 @@
     let lines = || w.vault.values().flatten().flat_map(|b| &b.lines);
     assert!(lines().all(|l| l.units >= 0 && l.requests >= 0), "seed {seed}: billed, and taken back");
     for i in w.ingresses.iter().flatten() {
-        assert_eq!(i.book.strays(), 0, "seed {seed}");
-        assert_eq!(i.exporter.stuck().count(), 0, "seed {seed}");
-        let sums = |b: &Book| b.sums().map(|(a, _, p, s)| (a.to_owned(), p, s)).collect::<Vec<_>>();
+        assert_eq!(i.totals.unmatched_updates(), 0, "seed {seed}");
+        assert_eq!(i.exporter.blocked().count(), 0, "seed {seed}");
+        let sums = |b: &UsageTotals| b.sums().map(|(a, _, p, s)| (a.to_owned(), p, s)).collect::<Vec<_>>();
         assert_eq!(
-            sums(&i.book),
-            sums(&w.ingresses[0].as_ref().unwrap().book),
+            sums(&i.totals),
+            sums(&w.ingresses[0].as_ref().unwrap().totals),
             "seed {seed}: all have the same"
         );
     }
--- a/crates/ledger/tests/recorded_store.rs
+++ b/crates/ledger/tests/recorded_store.rs
@@ -2,7 +2,7 @@
 
 use chalkgap_ledger::entry::*;
 use chalkgap_ledger::store::{self, Store};
-use chalkgap_ledger::{Book, Entry, Id, Periods, What};
+use chalkgap_ledger::{Entry, EntryBody, EntryId, Periods, UsageTotals};
 use chalkgap_runtime::system::System;
 use chalkgap_runtime::Shared;
 use futures_lite::future::block_on;
@@ -20,18 +20,31 @@
 /// The last segment that the snapshot stands for.
 const REPLACED: u64 = 1;
 
-fn entry(number: u64, what: What) -> Entry {
-    Entry { id: Id { ingress: 2, incarnation: START, number }, at: START + number * SECOND, what }
+fn entry(number: u64, body: EntryBody) -> Entry {
+    Entry { id: EntryId { ingress: 2, incarnation: START, number }, at: START + number * SECOND, body }
 }
 
-fn open(number: u64, account: &str, units: u64) -> What {
+fn open(number: u64, account: &str, units: u64) -> EntryBody {
     let request = format!("x-{number}");
     let (account, plan, class) = (account.to_owned(), "team".to_owned(), "sig-check".to_owned());
-    What::Open(Open { account, plan, class, units, request, node: "127.0.0.1:7001".into() })
+    EntryBody::RequestOpened(RequestOpened {
+        account,
+        plan,
+        class,
+        units,
+        request,
+        node: "127.0.0.1:7001".into(),
+    })
 }
 
-fn settled(open: u64, units: u64, presumed: bool) -> What {
-    What::Settled(Settled { open, units, presumed, node: "127.0.0.1:7001".into(), incarnation: 0 })
+fn settled(open: u64, units: u64, presumed: bool) -> EntryBody {
+    EntryBody::RequestSettled(RequestSettled {
+        open,
+        units,
+        presumed,
+        node: "127.0.0.1:7001".into(),
+        incarnation: 0,
+    })
 }
 
 fn entries() -> Vec<Entry> {
@@ -52,18 +65,18 @@
     let batch = Batch { stream: "2".into(), number: 1, lines: vec![line], basis, until: period };
     let digest = batch.digest().to_vec();
     let whats = vec![
-        What::Opened(Opened { period, incarnation: START - 5, number: 44 }),
+        EntryBody::IncarnationStarted(IncarnationStarted { period, incarnation: START - 5, number: 44 }),
         open(2, "acme", 3),
         settled(2, 3, false),
         open(4, "acme", 2),
-        What::Again(Again { open: 4, node: "127.0.0.1:7002".into() }),
+        EntryBody::AttemptAdded(AttemptAdded { open: 4, node: "127.0.0.1:7002".into() }),
         settled(4, 2, true),
-        What::Correction(correction),
+        EntryBody::Correction(correction),
         open(8, "other", 5),
         settled(8, 0, false),
-        What::Closed(Closed { period }),
-        What::Exported(batch),
-        What::Acknowledged(Acknowledged { stream: "2".into(), number: 1, digest }),
+        EntryBody::PeriodClosed(PeriodClosed { period }),
+        EntryBody::BatchPrepared(batch),
+        EntryBody::BatchAcknowledged(BatchAcknowledged { stream: "2".into(), number: 1, digest }),
         open(13, "other", 7),
     ];
     (1u64..).zip(whats).map(|(number, what)| entry(number, what)).collect()
@@ -109,7 +122,7 @@
     block_on(async {
         write(runtime, &made.0, &entries()).await;
         let keep = PERIODS.of(START) + 1;
-        let snapshot = store::condense(runtime, &made.0, PERIODS, REPLACED, keep).await.unwrap();
+        let snapshot = store::build_snapshot(runtime, &made.0, PERIODS, REPLACED, keep).await.unwrap();
         let mut store = Store::open(runtime.clone(), &made.0, SEGMENT, |_| ()).await.unwrap();
         store.compact(&snapshot.expect("nothing is unfinished")).await.unwrap();
     });
@@ -119,9 +132,9 @@
     }
 }
 
-fn sums(book: &Book) -> String {
+fn sums(totals: &UsageTotals) -> String {
     let mut text = String::new();
-    for (account, plan, period, sum) in book.sums() {
+    for (account, plan, period, sum) in totals.sums() {
         writeln!(
             text,
             "{account} {plan} {period}: units {}, requests {}, presumed {}, open {}",
@@ -129,8 +142,8 @@
         )
         .unwrap();
     }
-    writeln!(text, "latest {:?}, strays {}", book.latest(2), book.strays()).unwrap();
-    for range in book.ranges() {
+    writeln!(text, "latest {:?}, strays {}", totals.latest(2), totals.unmatched_updates()).unwrap();
+    for range in totals.ranges() {
         writeln!(text, "has {} {} {}-{}", range.ingress, range.incarnation, range.from, range.to).unwrap();
     }
     text
@@ -150,19 +163,19 @@
         std::fs::copy(fixtures.join(&file), copy.0.join(&file)).unwrap();
     }
     let (text, appended) = block_on(async {
-        let snapshot = store::snapshot(&runtime, &copy.0).await.unwrap().expect("a snapshot");
-        let mut book = Book::restore(PERIODS, &snapshot.book).unwrap();
-        assert_eq!(book.snapshot().expect("nothing is unfinished"), snapshot.book);
+        let snapshot = store::read_snapshot(&runtime, &copy.0).await.unwrap().expect("a snapshot");
+        let mut totals = UsageTotals::restore(PERIODS, &snapshot.totals).unwrap();
+        assert_eq!(totals.snapshot().expect("nothing is unfinished"), snapshot.totals);
         let mut read = Vec::new();
         let mut store =
             Store::open(runtime.clone(), &copy.0, SEGMENT, |entry| read.push(entry)).await.unwrap();
         for entry in &read {
-            book.take(entry);
+            totals.add(entry);
         }
         let all = entries();
         assert!(read.len() >= 2 && all.ends_with(&read), "the entries that the snapshot does not stand for");
-        let mut text = sums(&book);
-        writeln!(text, "segment {}, entries read {}", store.current(), read.len()).unwrap();
+        let mut text = sums(&totals);
+        writeln!(text, "segment {}, entries read {}", store.current_segment(), read.len()).unwrap();
         // What is written now continues the chain.
         store.commit(&[entry(14, settled(13, 6, false))]).await.unwrap();
         drop(store);
--- a/crates/ledger/tests/store.rs
+++ b/crates/ledger/tests/store.rs
@@ -1,8 +1,10 @@
 //! The store on a disk that crashes at every write and sync, and fails in its other ways.
 
-use chalkgap_ledger::entry::{Open, Settled};
-use chalkgap_ledger::store::{self, incarnation, Store, StoreError};
-use chalkgap_ledger::{Book, Entry, Id, Periods, Taken, What};
+use chalkgap_ledger::entry::{RequestOpened, RequestSettled};
+use chalkgap_ledger::store::{self, next_incarnation, Store, StoreError};
+use chalkgap_ledger::{
+    AddOutcome, Entry, EntryBody, EntryId, IncarnationId, Periods, SequenceRange, UsageTotals,
+};
 use chalkgap_runtime::faulty_runtime::FaultyRuntime;
 use chalkgap_runtime::system::System;
 use chalkgap_runtime::*;
@@ -135,8 +137,12 @@
 }
 
 fn entry(number: u64) -> Entry {
-    let what = What::Settled(Settled { open: number, units: number, ..Settled::default() });
-    Entry { id: Id { ingress: 1, incarnation: 5, number }, at: number, what }
+    let body = EntryBody::RequestSettled(RequestSettled {
+        open: number,
+        units: number,
+        ..RequestSettled::default()
+    });
+    Entry { id: EntryId { ingress: 1, incarnation: 5, number }, at: number, body }
 }
 
 /// Commits groups of three until something stops it; the number of entries that were acknowledged.
@@ -218,7 +224,7 @@
 }
 
 #[test]
-fn damage_is_told_and_nothing_is_written() {
+fn damage_is_reported_and_nothing_is_written() {
     let (runtime, memory) = world(Drive::default());
     run(&runtime, 1, 12);
     let paths: Vec<PathBuf> = memory.0.lock().unwrap().files.keys().cloned().collect();
@@ -243,9 +249,9 @@
 
 #[test]
 fn an_incarnation_is_later_than_all_that_are_in_the_log() {
-    assert_eq!(incarnation(5, 100), 100);
-    assert_eq!(incarnation(5, 3), 6, "the clock was set back");
-    assert_eq!(incarnation(0, 3), 3, "the first");
+    assert_eq!(next_incarnation(5, 100), 100);
+    assert_eq!(next_incarnation(5, 3), 6, "the clock was set back");
+    assert_eq!(next_incarnation(0, 3), 3, "the first");
 }
 
 #[test]
@@ -268,10 +274,10 @@
 }
 
 fn used(number: u64) -> Entry {
-    let id = Id { ingress: 1, incarnation: 5, number };
-    let what = if number % 2 == 1 {
+    let id = EntryId { ingress: 1, incarnation: 5, number };
+    let body = if number % 2 == 1 {
         let (account, plan, class) = (format!("a{}", number % 3), "p".into(), "c".into());
-        What::Open(Open {
+        EntryBody::RequestOpened(RequestOpened {
             account,
             plan,
             class,
@@ -280,29 +286,36 @@
             node: "n".into(),
         })
     } else {
-        What::Settled(Settled { open: number - 1, units: number - 1, ..Settled::default() })
+        EntryBody::RequestSettled(RequestSettled {
+            open: number - 1,
+            units: number - 1,
+            ..RequestSettled::default()
+        })
     };
-    Entry { id, at: number * 10, what }
+    Entry { id, at: number * 10, body }
 }
 
-/// Snapshot and the segments after it are the same book as all segments.
-fn book(runtime: &Shared) -> (Book, Vec<(String, u64, chalkgap_ledger::Sum)>) {
+/// The totals of the snapshot and the segments after it.
+fn read_totals(runtime: &Shared) -> (UsageTotals, Vec<(String, u64, chalkgap_ledger::Sum)>) {
     block_on(async {
         let folder = Path::new("/l");
-        let snapshot = store::snapshot(runtime, folder).await.expect("whole");
-        let mut book = match snapshot {
-            Some(s) => Book::restore(PERIODS, &s.book).expect("a book"),
-            None => Book::new(PERIODS),
+        let snapshot = store::read_snapshot(runtime, folder).await.expect("whole");
+        let mut totals = match snapshot {
+            Some(s) => UsageTotals::restore(PERIODS, &s.totals).expect("a snapshot"),
+            None => UsageTotals::new(PERIODS),
         };
-        let take = |e: Entry| assert_eq!(book.take(&e), Taken::New);
+        let take = |e: Entry| assert_eq!(totals.add(&e), AddOutcome::Added);
         Store::open(runtime.clone(), folder, 400, take).await.expect("no damage");
-        let sums = book.sums().map(|(a, _, p, s)| (a.to_owned(), p, s)).collect();
-        (book, sums)
+        let sums = totals.sums().map(|(a, _, p, s)| (a.to_owned(), p, s)).collect();
+        (totals, sums)
     })
 }
 
 const PERIODS: Periods = Periods::Every(50);
 
+/// The one that [`used`] entries are of.
+const INCARNATION: IncarnationId = IncarnationId { ingress: 1, incarnation: 5 };
+
 /// A crash at every step of a compaction, and of the one after it: the same sums, and it goes on.
 #[test]
 fn a_crash_at_every_step_of_a_compaction() {
@@ -319,25 +332,27 @@
         block_on(async {
             let folder = Path::new("/l");
             let mut store = Store::open(runtime.clone(), folder, 400, |_| ()).await?;
-            let last = store.current() - 1;
-            let until = store::older(runtime, folder, last, PERIODS, keep).await?.expect("some are old");
+            let last = store.current_segment() - 1;
+            let until = store::last_segment_before(runtime, folder, last, PERIODS, keep)
+                .await?
+                .expect("some are old");
             let snapshot =
-                store::condense(runtime, folder, PERIODS, until, keep).await?.expect("all is ended");
+                store::build_snapshot(runtime, folder, PERIODS, until, keep).await?.expect("all is ended");
             store.compact(&snapshot).await?;
             Ok::<u64, StoreError>(until)
         })
     };
     let (runtime, memory) = world(Drive::default());
     fill(&runtime, 1);
-    let expected = book(&runtime).1;
+    let expected = read_totals(&runtime).1;
     let before = memory.0.lock().unwrap().after_crash(4);
     for crash_at in 0..16 {
         let (runtime, memory) = world(Drive { crash_at: Some(crash_at), ..before.after_crash(4) });
         let done = compact(&runtime, 5);
         let (runtime, memory) = world(memory.0.lock().unwrap().after_crash(4));
-        let (found, sums) = book(&runtime);
+        let (found, sums) = read_totals(&runtime);
         assert_eq!(sums, expected, "crash at {crash_at}");
-        assert_eq!(found.spans(1, 5), [(1, 40)]);
+        assert_eq!(found.numbers_of(INCARNATION), [SequenceRange::new(1, 40)]);
         if let Ok(until) = done {
             let files = memory.0.lock().unwrap();
             let left = files.files.keys().filter(|p| p.extension().is_some_and(|e| e == "seg")).count();
@@ -346,9 +361,9 @@
         }
         // Once more on top of it, with what was left lying about.
         fill(&runtime, 41);
-        let twice = book(&runtime).1;
+        let twice = read_totals(&runtime).1;
         compact(&runtime, 12).expect("no crash");
-        assert_eq!(book(&runtime).1, twice, "crash at {crash_at}, condensed again");
+        assert_eq!(read_totals(&runtime).1, twice, "crash at {crash_at}, condensed again");
         assert_eq!(
             memory
                 .0
@@ -370,18 +385,18 @@
         let mut store = Store::open(runtime.clone(), Path::new("/l"), 400, |_| ()).await.unwrap();
         store.commit(&(1..=8).map(used).collect::<Vec<_>>()).await.unwrap();
         store.commit(&(9..=10).map(used).collect::<Vec<_>>()).await.unwrap();
-        let s = store::condense(&runtime, Path::new("/l"), PERIODS, 1, 99).await.unwrap().unwrap();
+        let s = store::build_snapshot(&runtime, Path::new("/l"), PERIODS, 1, 99).await.unwrap().unwrap();
         store.compact(&s).await.unwrap();
         s
     });
-    assert_eq!(book(&runtime).0.spans(1, 5), [(1, 10)]);
+    assert_eq!(read_totals(&runtime).0.numbers_of(INCARNATION), [SequenceRange::new(1, 10)]);
     let path = Path::new("/l/0000000000000001.snap");
     let length = memory.0.lock().unwrap().files[path].safe.len();
-    assert!(length > snapshot.book.len());
+    assert!(length > snapshot.totals.len());
     for at in 0..length {
         let (runtime, memory) = world(memory.0.lock().unwrap().after_crash(4));
         memory.0.lock().unwrap().files.get_mut(path).unwrap().safe[at] ^= 1;
-        let error = block_on(store::snapshot(&runtime, Path::new("/l"))).expect_err("changed");
+        let error = block_on(store::read_snapshot(&runtime, Path::new("/l"))).expect_err("changed");
         assert!(matches!(error, StoreError::Damaged { .. }), "{at}: {error}");
     }
     // What is open goes on being open; what has ended in a period that is kept is kept as it is.
@@ -391,12 +406,12 @@
         for n in [1, 3, 2, 4] {
             store.commit(&[used(n)]).await.unwrap();
         }
-        let condense = |until, keep| store::condense(&runtime, Path::new("/l"), PERIODS, until, keep);
+        let condense = |until, keep| store::build_snapshot(&runtime, Path::new("/l"), PERIODS, until, keep);
         assert_eq!(condense(3, 0).await.unwrap(), None);
         let s = condense(3, 99).await.unwrap().unwrap();
         store.compact(&s).await.unwrap();
     });
-    let (found, sums) = book(&runtime);
+    let (found, sums) = read_totals(&runtime);
     assert_eq!(sums.iter().map(|s| (s.2.units, s.2.open)).collect::<Vec<_>>(), [(3, 0), (1, 0)]);
-    assert_eq!((found.strays(), found.first_open()), (0, None));
+    assert_eq!((found.unmatched_updates(), found.first_open_period()), (0, None));
 }
