--- a/crates/cli/tests/command.rs
+++ b/crates/cli/tests/command.rs
@@ -192,11 +192,11 @@
 
 #[test]
 fn a_ledger_is_shown_and_its_first_bad_byte_named() {
-    use chalkgap_ledger::entry::{Open, Settled};
-    use chalkgap_ledger::{Entry, Id, Store, What};
+    use chalkgap_ledger::entry::{RequestOpened, RequestSettled};
+    use chalkgap_ledger::{Entry, EntryBody, EntryId, Store};
     let folder = std::env::temp_dir().join(format!("chalkgap-test-ledger-{}", std::process::id()));
-    let id = |number| Id { ingress: 1, incarnation: 9, number };
-    let open = What::Open(Open {
+    let id = |number| EntryId { ingress: 1, incarnation: 9, number };
+    let open = EntryBody::RequestOpened(RequestOpened {
         account: "acme".into(),
         plan: "team".into(),
         class: "c".into(),
@@ -204,11 +204,11 @@
         request: "r".into(),
         node: "n".into(),
     });
-    let ended = What::Settled(Settled { open: 1, units: 4, ..Settled::default() });
+    let ended = EntryBody::RequestSettled(RequestSettled { open: 1, units: 4, ..RequestSettled::default() });
     let system = chalkgap::runtime::system::System::new();
     system.clone().run(async {
         let mut store = Store::open(system.clone(), &folder, 1 << 20, |_| ()).await.unwrap();
-        let list = [Entry { id: id(1), at: 90_000_000, what: open }, Entry { id: id(2), at: 0, what: ended }];
+        let list = [Entry { id: id(1), at: 90_000_000, body: open }, Entry { id: id(2), at: 0, body: ended }];
         store.commit(&list).await.unwrap();
     });
     let path = folder.to_str().unwrap();
--- a/crates/fault-injection/benches/ledger.rs
+++ b/crates/fault-injection/benches/ledger.rs
@@ -7,8 +7,8 @@
 use chalkgap::runtime::Shared;
 use chalkgap::settings::{self, Settings};
 use chalkgap::Instance;
-use chalkgap_ledger::entry::{Open, Settled};
-use chalkgap_ledger::{Entry, Id, Store, What};
+use chalkgap_ledger::entry::{RequestOpened, RequestSettled};
+use chalkgap_ledger::{Entry, EntryBody, EntryId, Store};
 use std::net::{SocketAddr, TcpListener};
 use std::path::Path;
 use std::time::Instant;
@@ -25,9 +25,9 @@
 "#;
 
 fn entry(n: u64) -> Entry {
-    let id = Id { ingress: 0, incarnation: 1_700_000_000_000_000, number: n };
-    let what = if n % 2 == 1 {
-        What::Open(Open {
+    let id = EntryId { ingress: 0, incarnation: 1_700_000_000_000_000, number: n };
+    let body = if n % 2 == 1 {
+        EntryBody::RequestOpened(RequestOpened {
             account: format!("account-{}", n % 5000),
             plan: "enterprise".into(),
             class: "report-upload".into(),
@@ -36,9 +36,9 @@
             node: "127.0.0.1:47001".into(),
         })
     } else {
-        What::Settled(Settled { open: n - 1, units: 2, ..Settled::default() })
+        EntryBody::RequestSettled(RequestSettled { open: n - 1, units: 2, ..RequestSettled::default() })
     };
-    Entry { id, at: 1_700_000_000_000_000 + n * 250, what }
+    Entry { id, at: 1_700_000_000_000_000 + n * 250, body }
 }
 
 fn memory() -> f64 {
--- a/crates/gateway/src/driver.rs
+++ b/crates/gateway/src/driver.rs
@@ -4,7 +4,7 @@
 //! What it keeps by itself is bookkeeping that must not fail: a request is answered at most once because the way back
 //! to its client is used up by the answer; an attempt ends at its time even if its connection's task says nothing.
 
-use crate::ledger::Desk;
+use crate::ledger::LedgerHandle;
 use crate::messages::{
     request_name, Answer, AttemptResult, DriverEvent, OutboundAttempt, PendingRequest, Response, Upstream,
 };
@@ -16,8 +16,8 @@
     Action, Availability, BackendId, Endpoint, EndpointUpdate, Event, Gateway, GatewayId, Outcome, Request,
     RequestId,
 };
-use chalkgap_ledger::clerk::{Fate, Promise, Ticket};
-use chalkgap_ledger::entry::Open;
+use chalkgap_ledger::entry::RequestOpened;
+use chalkgap_ledger::recorder::{EntryHandle, Reservation, Settlement};
 use chalkgap_runtime::{Alarm, Micros, Shared};
 use futures_lite::{future, Stream as _};
 use std::cmp::Reverse;
@@ -56,7 +56,7 @@
     /// Nothing will be: there is no ledger, or it has failed and the settings want requests served all the same.
     Without,
     /// Its open entry.
-    Open(Ticket),
+    Open(EntryHandle),
     /// Its end is written.
     Settled,
 }
@@ -83,7 +83,7 @@
 
 /// The books that an instance with a ledger keeps.
 struct Books {
-    desk: Arc<Desk>,
+    desk: Arc<LedgerHandle>,
     settings: Arc<Compiled>,
     /// Sets this start's requests apart from all others, in what nodes see.
     name: String,
@@ -157,7 +157,12 @@
     }
 
     /// Keeps a ledger.
-    pub(crate) fn booking(mut self, desk: Option<Arc<Desk>>, settings: Arc<Compiled>, name: String) -> Self {
+    pub(crate) fn booking(
+        mut self,
+        desk: Option<Arc<LedgerHandle>>,
+        settings: Arc<Compiled>,
+        name: String,
+    ) -> Self {
         self.books = desk.map(|desk| Books { desk, settings, name });
         self
     }
@@ -243,16 +248,16 @@
             return turn_away(&ask, self.figures.rejection_retry_after);
         }
         // What the ledger can promise is decided here, before the request is taken.
-        let entry = match self.books.as_ref().map(|b| b.desk.promise()) {
+        let entry = match self.books.as_ref().map(|b| b.desk.reserve()) {
             None => Entry::Without,
-            Some(Promise::Kept) => Entry::None,
-            Some(Promise::Without) => {
+            Some(Reservation::Recorded) => Entry::None,
+            Some(Reservation::Unrecorded) => {
                 add(&self.telemetry.ledger_without);
                 Entry::Without
             }
-            Some(Promise::Refused { pause }) => {
+            Some(Reservation::Rejected { retry_after }) => {
                 add(&self.telemetry.ledger_refused);
-                return turn_away(&ask, pause);
+                return turn_away(&ask, retry_after);
             }
         };
         let request = Request {
@@ -306,7 +311,7 @@
             self.answer(id, Answer::Served { body, node });
         }
         if outcome == Outcome::Ok && !unsure {
-            self.settle(id, units, Fate::Used { node: node.to_string() });
+            self.settle(id, units, Settlement::Ran { node: node.to_string() });
         }
         let complete = self.held.get(&id).is_some_and(|h| h.answered);
         let charged = units.map(f64::from);
@@ -496,11 +501,11 @@
             held.attempts.get(usize::from(call.attempt)).map_or_else(String::new, |o| o.address.to_string());
         let number = match &held.entry {
             Entry::Without => return Written::Without,
-            Entry::Open(ticket) => desk.again(*ticket, node),
+            Entry::Open(ticket) => desk.add_attempt(*ticket, node),
             // Settled: one more attempt for a request that has been answered; its use is counted.
             Entry::Settled => return Written::Without,
             Entry::None => {
-                let ticket = desk.open_entry(books.open(&held.ask, node));
+                let ticket = desk.open_request(books.open(&held.ask, node));
                 if let Some(ticket) = ticket {
                     held.entry = Entry::Open(ticket);
                 }
@@ -509,7 +514,7 @@
         };
         match number {
             Some(number) => Written::Number(number),
-            None if desk.promise() == Promise::Without => {
+            None if desk.reserve() == Reservation::Unrecorded => {
                 held.entry = Entry::Without;
                 Written::Without
             }
@@ -558,8 +563,8 @@
     /// The ledger's disk has more entries, or has failed: what waited for it goes out, or never does.
     fn durable(&mut self) {
         let Some(desk) = self.books.as_ref().map(|b| b.desk.clone()) else { return };
-        let durable = desk.durable();
-        let without = durable.is_none() && desk.promise() == Promise::Without;
+        let durable = desk.durable_up_to();
+        let without = durable.is_none() && desk.reserve() == Reservation::Unrecorded;
         while let Some(first) = self.waiting.front() {
             if durable.is_some_and(|n| first.number > n) {
                 break;
@@ -609,10 +614,10 @@
             let doubtful = held.attempts.iter().filter(|o| o.doubtful);
             let nodes: BTreeSet<String> = doubtful.map(|o| o.address.to_string()).collect();
             let fate = if nodes.is_empty() {
-                Fate::Never
+                Settlement::NeverRan
             } else {
                 let Some(books) = &self.books else { return };
-                Fate::Doubtful { nodes, open: Box::new(books.open(&held.ask, String::new())) }
+                Settlement::Unknown { nodes, opened: Box::new(books.open(&held.ask, String::new())) }
             };
             self.settle(id, None, fate);
         }
@@ -620,13 +625,13 @@
     }
 
     /// Writes down the end of a request, once.
-    fn settle(&mut self, id: RequestId, units: Option<u32>, fate: Fate) {
+    fn settle(&mut self, id: RequestId, units: Option<u32>, fate: Settlement) {
         let (Some(books), Some(held)) = (&self.books, self.held.get_mut(&id)) else { return };
         if let Entry::Open(ticket) = held.entry {
             held.entry = Entry::Settled;
             // A node may say that it was less than was asked for, and admitted; never that it was more.
             let asked = held.ask.units as u64;
-            books.desk.end(ticket, units.map_or(asked, |u| asked.min(u.into())), fate);
+            books.desk.settle(ticket, units.map_or(asked, |u| asked.min(u.into())), fate);
         }
     }
 }
@@ -649,10 +654,10 @@
 }
 
 impl Books {
-    fn open<W>(&self, ask: &PendingRequest<W>, node: String) -> Open {
+    fn open<W>(&self, ask: &PendingRequest<W>, node: String) -> RequestOpened {
         let settings = &self.settings.settings;
         let name = |n: Option<&String>| n.cloned().unwrap_or_default();
-        Open {
+        RequestOpened {
             account: ask.account.clone(),
             plan: name(settings.plans.get(usize::from(ask.customer.plan)).map(|p| &p.name)),
             class: name(settings.classes.get(usize::from(ask.class)).map(|c| &c.name)),
--- a/crates/gateway/src/instance.rs
+++ b/crates/gateway/src/instance.rs
@@ -5,7 +5,7 @@
 use crate::fleet::{Fleet, ShownView};
 use crate::front::{self, grpc::Grpc, mqtt::Mqtt, Acceptor, FrontendContext};
 use crate::gate::{ConnectionGate, ConnectionGateConfig};
-use crate::ledger::Desk;
+use crate::ledger::LedgerHandle;
 use crate::messages::DriverEvent;
 use crate::nodes::{EndpointIds, NodeList};
 use crate::peers::{Channel, Key, Opened, Opener, Sealer, MOST_DATAGRAM};
@@ -40,7 +40,7 @@
     telemetry: Arc<Telemetry>,
     open: Arc<AtomicUsize>,
     gate: Arc<ConnectionGate>,
-    desk: Option<Arc<Desk>>,
+    desk: Option<Arc<LedgerHandle>>,
     fleet: Option<Arc<Fleet>>,
     sessions: Option<Mqtt>,
     drain: Option<Sender<()>>,
@@ -84,7 +84,7 @@
         if let Some((front, _)) = &mqtt {
             front.restore(&runtime).await;
         }
-        let opened = Desk::open(&runtime, &settings, &telemetry).await?;
+        let opened = LedgerHandle::open(&runtime, &settings, &telemetry).await?;
         let (driver, input) = async_channel::bounded(ROOM);
         let (drain, drained) = async_channel::bounded(1);
         let (kill, killed) = async_channel::bounded(1);
