--- /dev/null
+++ b/crates/cli/src/ledger/export.rs
@@ -0,0 +1,181 @@
+//! `ledger export`: exports while the ledger's ingress is down.
+
+use super::{restore_totals, seconds, GROUP};
+use crate::{fail, Exit};
+use chalkgap::runtime::Shared;
+use chalkgap_ledger::directory_sink;
+use chalkgap_ledger::entry::{Batch, EntryBody, Line};
+use chalkgap_ledger::export::{self, ConsumerReply, ExportStep, Exporter};
+use chalkgap_ledger::recorder::{self, Recorder, Recovery};
+use chalkgap_ledger::store::{self, read_segments, Store, StoreError, SEGMENT_BYTES};
+use chalkgap_ledger::UsageTotals;
+use std::path::Path;
+
+/// A timeout that does not run out, and can be added to any time without an overflow.
+const NO_TIMEOUT_MICROS: u64 = u64::MAX / 4;
+
+/// An export while the ledger's ingress is down.
+pub(super) struct ManualExport<'a> {
+    pub(super) folder: &'a Path,
+    /// Seconds.
+    pub(super) period: u64,
+    pub(super) ingress: u16,
+    pub(super) group: &'a [u16],
+    pub(super) all: bool,
+    pub(super) json: bool,
+}
+
+impl ManualExport<'_> {
+    pub(super) async fn run(&self, runtime: &Shared, to: Option<&Path>) -> Result<Exit, StoreError> {
+        let now = runtime.now();
+        let final_after = if self.all { 0 } else { u64::MAX };
+        let config = export::Config { final_after, check_interval: 1, takeover_delay: 0, max_lines: GROUP };
+        let exporter = Exporter::new(self.ingress, self.group.to_vec(), config);
+        match to {
+            Some(to) => self.deliver(runtime, to, exporter, now).await,
+            None => self.preview(runtime, &exporter, now).await,
+        }
+    }
+
+    /// Prints what is due. Needs no lock and writes nothing.
+    async fn preview(&self, runtime: &Shared, exporter: &Exporter, now: u64) -> Result<Exit, StoreError> {
+        let mut totals = restore_totals(runtime, self.folder, seconds(self.period)).await?;
+        let mut entries = Vec::new();
+        read_segments(runtime, self.folder, |segment| entries.extend(segment.scan.entries)).await?;
+        for entry in &entries {
+            totals.add(entry);
+        }
+        Ok(self.print_state(exporter, &totals, now))
+    }
+
+    async fn deliver(
+        &self,
+        runtime: &Shared,
+        to: &Path,
+        mut exporter: Exporter,
+        started_at: u64,
+    ) -> Result<Exit, StoreError> {
+        let OpenLedger { mut totals, mut store, mut recorder } = self.open(runtime, started_at).await?;
+        let mut delivered = 0;
+        for turn in 1.. {
+            let now = started_at + turn;
+            let written = match exporter.next_step(now, &totals) {
+                None => break,
+                Some(ExportStep::Write(batch)) => vec![EntryBody::BatchPrepared(batch)],
+                Some(ExportStep::Send(batch)) => {
+                    let reply = directory_sink::deliver(runtime, to, &batch).await;
+                    if reply == ConsumerReply::None {
+                        return Ok(fail(Exit::System, format!("{}: no word on a batch", to.display())));
+                    }
+                    let stored = reply == ConsumerReply::Stored;
+                    let written = exporter.replied(now, &batch, reply);
+                    if written.is_empty() {
+                        break; // blocked: printed below
+                    }
+                    if stored {
+                        delivered += 1;
+                        self.print_batch(&batch);
+                    }
+                    written
+                }
+            };
+            for body in written {
+                recorder.append(now, body);
+            }
+            let group = recorder.take_pending();
+            store.commit(&group).await?;
+            for entry in &group {
+                totals.add(entry);
+            }
+        }
+        if !self.json {
+            println!("{delivered} batches handed over");
+        }
+        Ok(self.print_state(&exporter, &totals, started_at))
+    }
+
+    /// Opens the ledger for writing, as a new incarnation of its ingress.
+    async fn open(&self, runtime: &Shared, now: u64) -> Result<OpenLedger, StoreError> {
+        let periods = seconds(self.period);
+        let mut totals = restore_totals(runtime, self.folder, periods).await?;
+        let mut recovery = Recovery::new(self.ingress);
+        recovery.restore(&totals);
+        let store = Store::open(runtime.clone(), self.folder, SEGMENT_BYTES, |entry| {
+            totals.add(&entry);
+            recovery.add(&entry);
+        });
+        let store = store.await?;
+        let incarnation = store::next_incarnation(recovery.latest_incarnation(), now);
+        let recorder = Recorder::new(self.ingress, incarnation, periods, recorder_config(), recovery, now);
+        Ok(OpenLedger { totals, store, recorder })
+    }
+
+    fn print_batch(&self, batch: &Batch) {
+        let units: i64 = batch.lines.iter().map(|line| line.units).sum();
+        let Batch { stream, number, lines, .. } = batch;
+        let lines = lines.len();
+        if self.json {
+            let line =
+                serde_json::json!({"stream": stream, "number": number, "lines": lines, "units": units});
+            println!("{line}");
+        } else {
+            println!("{stream} {number}: {lines} lines, {units} units");
+        }
+    }
+
+    /// Prints streams and what is due; [`Exit::Bad`] if a stream is blocked.
+    fn print_state(&self, exporter: &Exporter, totals: &UsageTotals, now: u64) -> Exit {
+        let mut exit = Exit::Good;
+        for (stream, reason) in exporter.blocked() {
+            exit = fail(Exit::Bad, format!("{stream} is stuck: {reason}"));
+        }
+        for shard in 0..self.group.len() {
+            let stream = exporter.stream_name(shard);
+            let position = totals.stream_position(&stream);
+            if !self.json {
+                let pending =
+                    if position.pending.is_some() { ", one written and without a word" } else { "" };
+                println!("{stream}: {} batches taken{pending}", position.acknowledged);
+            }
+        }
+        let due = exporter.final_until(now, totals);
+        let due = due.map(|until| totals.unexported_lines(until, |_| true, usize::MAX));
+        for line in due.unwrap_or_default() {
+            self.print_due(&line);
+        }
+        exit
+    }
+
+    fn print_due(&self, line: &Line) {
+        let Line { account, plan, period, units, requests, .. } = line;
+        if self.json {
+            let line = serde_json::json!({
+                "due": account, "plan": plan, "period": period, "units": units, "requests": requests,
+            });
+            println!("{line}");
+        } else {
+            println!("due: {account} ({plan}), period {period}: {units} units, {requests} requests");
+        }
+    }
+}
+
+/// A ledger that is open for writing.
+struct OpenLedger {
+    totals: UsageTotals,
+    store: Store,
+    recorder: Recorder,
+}
+
+/// Opens no requests and looks none up: requests whose end is unknown stay so until their ingress is back.
+fn recorder_config() -> recorder::Config {
+    recorder::Config {
+        max_waiting: GROUP,
+        slow_disk_after: 0,
+        retry_after: 0,
+        serve_unrecorded: false,
+        lookup_timeout: NO_TIMEOUT_MICROS,
+        correction_window: NO_TIMEOUT_MICROS,
+        lookup_interval: 0,
+        max_unsettled: usize::MAX,
+    }
+}
