--- a/crates/fault-injection/src/drill/mod.rs
+++ b/crates/fault-injection/src/drill/mod.rs
@@ -433,7 +433,7 @@
             let tallies: Vec<_> = lock(&self.nodes).iter().map(|n| n.machine.tally.ran()).collect();
             let billing = match billed(&vault.batches()) {
                 Ok(billed) => compare(&counted(tallies, periods), &billed),
-                Err(what) => Billing { differences: vec![what], ..Billing::default() },
+                Err(error) => Billing { differences: vec![error.to_string()], ..Billing::default() },
             };
             if billing.differences.is_empty() || self.runtime.now() > end {
                 return Some(billing);
