--- /dev/null
+++ b/crates/gateway/tests/ledger/faulty_disk.rs
@@ -0,0 +1,81 @@
+//! The system's disk with faults on demand.
+
+use chalkgap::runtime::system::System;
+use chalkgap::runtime::{Append, BoxFuture, Files, Micros, Runtime};
+use std::io;
+use std::path::Path;
+use std::sync::atomic::{AtomicU64, Ordering};
+use std::sync::Arc;
+
+/// Faults of a disk; none at first.
+#[derive(Default)]
+pub struct DiskFaults {
+    /// How long a sync takes, in microseconds.
+    pub sync_micros: AtomicU64,
+    /// The error that writes fail with, by its number; 0: none.
+    pub errno: AtomicU64,
+}
+
+/// The system's files; writes to open ones have faults.
+pub struct FaultyFiles {
+    system: Arc<System>,
+    faults: Arc<DiskFaults>,
+}
+
+impl FaultyFiles {
+    pub fn new(system: Arc<System>, faults: Arc<DiskFaults>) -> Self {
+        FaultyFiles { system, faults }
+    }
+}
+
+struct FaultyAppend {
+    file: Box<dyn Append>,
+    system: Arc<System>,
+    faults: Arc<DiskFaults>,
+}
+
+impl Append for FaultyAppend {
+    fn append<'a>(&'a mut self, bytes: Vec<u8>) -> BoxFuture<'a, io::Result<()>> {
+        Box::pin(async move {
+            match self.faults.errno.load(Ordering::Relaxed) {
+                0 => self.file.append(bytes).await,
+                errno => Err(io::Error::from_raw_os_error(errno as i32)),
+            }
+        })
+    }
+    fn sync<'a>(&'a mut self) -> BoxFuture<'a, io::Result<()>> {
+        Box::pin(async move {
+            let takes = self.faults.sync_micros.load(Ordering::Relaxed);
+            self.system.sleep_until(self.system.now() + takes).await;
+            self.file.sync().await
+        })
+    }
+}
+
+impl Files for FaultyFiles {
+    fn append<'a>(&'a self, path: &'a Path, len: u64) -> BoxFuture<'a, io::Result<Box<dyn Append>>> {
+        Box::pin(async move {
+            let file = self.system.files().append(path, len).await?;
+            let (system, faults) = (self.system.clone(), self.faults.clone());
+            Ok(Box::new(FaultyAppend { file, system, faults }) as Box<dyn Append>)
+        })
+    }
+    fn names<'a>(&'a self, folder: &'a Path) -> BoxFuture<'a, io::Result<Vec<String>>> {
+        self.system.files().names(folder)
+    }
+    fn read<'a>(&'a self, path: &'a Path, most: u64) -> BoxFuture<'a, io::Result<Vec<u8>>> {
+        self.system.files().read(path, most)
+    }
+    fn replace<'a>(&'a self, path: &'a Path, bytes: Vec<u8>) -> BoxFuture<'a, io::Result<()>> {
+        self.system.files().replace(path, bytes)
+    }
+    fn create<'a>(&'a self, path: &'a Path, bytes: Vec<u8>) -> BoxFuture<'a, io::Result<bool>> {
+        self.system.files().create(path, bytes)
+    }
+    fn remove<'a>(&'a self, path: &'a Path) -> BoxFuture<'a, io::Result<()>> {
+        self.system.files().remove(path)
+    }
+    fn stamp<'a>(&'a self, path: &'a Path) -> BoxFuture<'a, io::Result<(Micros, u64)>> {
+        self.system.files().stamp(path)
+    }
+}
--- a/crates/gateway/tests/ledger.rs
+++ b/crates/gateway/tests/ledger/main.rs
@@ -1,10 +1,12 @@
-//! The ledger on sockets and a disk: what nodes ran is what is billed, whatever happens in between.
+//! The ledger on sockets and a disk: what nodes ran is what is billed, whatever fails in between.
 
+#[path = "../common/mod.rs"]
 mod common;
+mod faulty_disk;
 
 use chalkgap::runtime::faulty_runtime::FaultyRuntime;
 use chalkgap::runtime::system::System;
-use chalkgap::runtime::{Append, BoxFuture, Files, Micros, Runtime, Shared};
+use chalkgap::runtime::Shared;
 use chalkgap::settings::{Export, ExportTo, Ledger, LedgerGroup, OnFailure, Period, Settings};
 use chalkgap::Instance;
 use chalkgap_ledger::entry::Batch;
@@ -13,37 +15,37 @@
 use chalkgap_testbed::journal::{Answer, Journal, Seen};
 use chalkgap_testbed::node::{Faults, Machine, Node, Tally};
 use common::*;
+use faulty_disk::{DiskFaults, FaultyFiles};
 use prost::Message;
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 use std::collections::BTreeMap;
-use std::io;
 use std::net::{SocketAddr, TcpListener};
-use std::path::{Path, PathBuf};
+use std::path::PathBuf;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Arc;
 
-/// A folder that goes with its owner.
-struct Folder(PathBuf);
+/// A directory that is removed with its owner.
+struct Directory(PathBuf);
 
-impl Folder {
-    fn new() -> Folder {
+impl Directory {
+    fn new() -> Directory {
         static COUNT: AtomicU64 = AtomicU64::new(0);
         let unique =
             format!("chalkgap-billing-{}-{}", std::process::id(), COUNT.fetch_add(1, Ordering::Relaxed));
         let path = std::env::temp_dir().join(unique);
         std::fs::create_dir_all(&path).unwrap();
-        Folder(path)
+        Directory(path)
     }
 }
 
-impl Drop for Folder {
+impl Drop for Directory {
     fn drop(&mut self) {
-        let _ = std::fs::remove_dir_all(&self.0);
+        let _ = std::fs::remove_dir_all(&self.0); // a test may have removed it
     }
 }
 
-fn ledger(folder: &Folder, name: &str, export: Option<ExportTo>) -> Ledger {
+fn ledger(folder: &Directory, name: &str, export: Option<ExportTo>) -> Ledger {
     let export =
         export.map(|to| Export { to, after_ms: 60_000, every_ms: 50, takeover_ms: 1500, patience_ms: 2000 });
     Ledger {
@@ -74,7 +76,7 @@
     sums
 }
 
-/// Units by account and period, as the consumer was told.
+/// Units by account and period, as the consumer's batches have them.
 fn billed(batches: impl IntoIterator<Item = Batch>) -> BTreeMap<(String, u64), i64> {
     let mut sums = BTreeMap::new();
     for line in batches.into_iter().flat_map(|b| b.lines) {
@@ -96,9 +98,10 @@
 #[test]
 fn what_ran_is_billed_and_what_did_not_is_not() {
     run(|system| async move {
-        let (folder, drop) = (Folder::new(), Folder::new());
+        let folder = Directory::new();
+        let delivered = Directory::new();
         let mut settings = settings();
-        settings.ledger = Some(ledger(&folder, "0", Some(ExportTo::Folder(drop.0.clone()))));
+        settings.ledger = Some(ledger(&folder, "0", Some(ExportTo::Folder(delivered.0.clone()))));
         let s = Small::start(system, settings, vec![Machine::default(), Machine::default()]).await;
         let faulty = Faults { halfway: 0.3, fail: 0.2, ..Faults::default() };
         s.nodes.iter().for_each(|n| n.faults(faulty.clone()));
@@ -108,7 +111,7 @@
         }
         let tallies: Vec<Tally> = s.tallies.clone();
         eventually(&s.runtime, "billed as counted", || {
-            let names = std::fs::read_dir(&drop.0).unwrap().map(|e| e.unwrap().path());
+            let names = std::fs::read_dir(&delivered.0).unwrap().map(|e| e.unwrap().path());
             let batches = names.filter(|p| p.extension().is_some_and(|e| e == "batch"));
             let batches = batches.map(|p| Batch::decode(&std::fs::read(p).unwrap()[..]).unwrap());
             let (billed, counted) = (billed(batches), counted(&tallies));
@@ -121,12 +124,12 @@
     });
 }
 
-/// A fleet of three that shares its ledgers, over period boundaries, one of it killed at some point: what the consumer
-/// is told is what nodes counted.
-fn three(seed: u64) {
+/// Three ingresses that replicate their ledgers, over period boundaries, one of them killed at some point: what the
+/// consumer gets is what nodes counted.
+fn bill_with_one_killed(seed: u64) {
     run(|system| async move {
         let system: Shared = system;
-        let folder = Folder::new();
+        let folder = Directory::new();
         let vault = Vault::default();
         let consumer = Consumer::start(system.clone(), port(), vault.clone(), seed).unwrap();
         consumer.faults(Wrong { refuse: 0.2, silent: 0.2 });
@@ -146,15 +149,15 @@
                 s.fleet.ingresses = 3;
                 s.fleet.me = n;
                 let to = ExportTo::Grpc(consumer.address());
-                let mut l = ledger(&folder, &n.to_string(), Some(to));
-                l.group = Some(LedgerGroup {
+                let mut ledger = ledger(&folder, &n.to_string(), Some(to));
+                ledger.group = Some(LedgerGroup {
                     listen: addresses[&n],
                     addresses: addresses.clone(),
                     key: "5a".repeat(32),
                     every_ms: 100,
                     per_second: 20_000.0,
                 });
-                s.ledger = Some(l);
+                s.ledger = Some(ledger);
                 s
             })
             .collect();
@@ -166,8 +169,10 @@
             ingresses.push(Some(i));
         }
         let mut rng = SmallRng::seed_from_u64(seed);
-        let (rounds, victim) = (120u64, rng.random_range(0..3usize));
-        let (dies, returns) = (rng.random_range(10..60), rng.random_range(60..110));
+        let rounds = 120u64;
+        let victim = rng.random_range(0..3usize);
+        let killed_in = rng.random_range(10..60);
+        let restarted_in = rng.random_range(60..110);
         let mut clients: Vec<Option<Arc<Client>>> = Vec::new();
         for i in ingresses.iter().flatten() {
             let to = i.grpc_address();
@@ -175,10 +180,10 @@
         }
         let mut tasks = Vec::new();
         for round in 0..rounds {
-            if round == dies {
-                ingresses[victim] = None; // in the middle of whatever it does
+            if round == killed_in {
+                ingresses[victim] = None; // at any point of its work
             }
-            if round == returns {
+            if round == restarted_in {
                 let i = Instance::start(settings[victim].clone(), system.clone()).await.unwrap();
                 i.nodes(list.clone()).await;
                 let to = i.grpc_address();
@@ -218,99 +223,43 @@
 #[test]
 fn three_ingresses_over_a_boundary_with_one_killed() {
     let seeds = std::env::var("CHALKGAP_SEEDS").ok().and_then(|s| s.parse().ok()).unwrap_or(4u64);
-    (1..=seeds).for_each(three);
+    (1..=seeds).for_each(bill_with_one_killed);
 }
 
-// ---- disks ----
-
-/// What is wrong with a disk.
-#[derive(Default)]
-struct Trouble {
-    /// How long a sync takes.
-    slow: AtomicU64,
-    /// The error of the next writes, by its number; 0: none.
-    errno: AtomicU64,
-}
-
-/// The system's disk, which can be told to misbehave.
-struct Bad(Arc<System>, Arc<Trouble>);
-
-struct Log(Box<dyn Append>, Arc<System>, Arc<Trouble>);
-
-impl Append for Log {
-    fn append<'a>(&'a mut self, bytes: Vec<u8>) -> BoxFuture<'a, io::Result<()>> {
-        Box::pin(async move {
-            match self.2.errno.load(Ordering::Relaxed) {
-                0 => self.0.append(bytes).await,
-                n => Err(io::Error::from_raw_os_error(n as i32)),
-            }
-        })
-    }
-    fn sync<'a>(&'a mut self) -> BoxFuture<'a, io::Result<()>> {
-        Box::pin(async move {
-            self.1.sleep_until(self.1.now() + self.2.slow.load(Ordering::Relaxed)).await;
-            self.0.sync().await
-        })
-    }
-}
-
-impl Files for Bad {
-    fn append<'a>(&'a self, path: &'a Path, len: u64) -> BoxFuture<'a, io::Result<Box<dyn Append>>> {
-        Box::pin(async move {
-            let log = self.0.files().append(path, len).await?;
-            Ok(Box::new(Log(log, self.0.clone(), self.1.clone())) as Box<dyn Append>)
-        })
-    }
-    fn names<'a>(&'a self, folder: &'a Path) -> BoxFuture<'a, io::Result<Vec<String>>> {
-        self.0.files().names(folder)
-    }
-    fn read<'a>(&'a self, path: &'a Path, most: u64) -> BoxFuture<'a, io::Result<Vec<u8>>> {
-        self.0.files().read(path, most)
-    }
-    fn replace<'a>(&'a self, path: &'a Path, bytes: Vec<u8>) -> BoxFuture<'a, io::Result<()>> {
-        self.0.files().replace(path, bytes)
-    }
-    fn create<'a>(&'a self, path: &'a Path, bytes: Vec<u8>) -> BoxFuture<'a, io::Result<bool>> {
-        self.0.files().create(path, bytes)
-    }
-    fn remove<'a>(&'a self, path: &'a Path) -> BoxFuture<'a, io::Result<()>> {
-        self.0.files().remove(path)
-    }
-    fn stamp<'a>(&'a self, path: &'a Path) -> BoxFuture<'a, io::Result<(Micros, u64)>> {
-        self.0.files().stamp(path)
-    }
-}
-
-async fn on_disk(system: &Arc<System>, folder: &Folder, on_failure: OnFailure) -> (Small, Arc<Trouble>) {
-    let trouble = Arc::new(Trouble::default());
-    let world = FaultyRuntime::new(system.clone()).files(Bad(system.clone(), trouble.clone()));
+async fn on_disk(
+    system: &Arc<System>,
+    folder: &Directory,
+    on_failure: OnFailure,
+) -> (Small, Arc<DiskFaults>) {
+    let faults = Arc::new(DiskFaults::default());
+    let world = FaultyRuntime::new(system.clone()).files(FaultyFiles::new(system.clone(), faults.clone()));
     let mut settings = settings();
     settings.ledger = Some(Ledger { on_failure, slow_ms: 100, ..ledger(folder, "0", None) });
     let s = Small::start(Arc::new(world), settings, vec![Machine::default()]).await;
-    (s, trouble)
+    (s, faults)
 }
 
 fn arrived(s: &Small) -> usize {
     s.journal.entries().iter().filter(|e| matches!(e.1, Seen::Arrived { .. })).count()
 }
 
-/// ENOSPC and EIO: from then on requests are refused before they are taken, and told when to come back; what waited for
-/// the disk never reached a node.
+/// ENOSPC and EIO: from then on requests are rejected before they are admitted, with a time to try again; those that
+/// waited for the disk never reach a node.
 #[test]
-fn a_disk_that_fails_stops_taking_requests() {
+fn requests_are_rejected_after_a_disk_failure() {
     for errno in [28, 5] {
         run(|system| async move {
-            let folder = Folder::new();
-            let (s, trouble) = on_disk(&system, &folder, OnFailure::Refuse).await;
+            let folder = Directory::new();
+            let (s, faults) = on_disk(&system, &folder, OnFailure::Refuse).await;
             assert_eq!(s.client.call(&ask(1, "big", "sig-check")).await.answer, Answer::Served);
-            trouble.errno.store(errno, Ordering::Relaxed);
-            // Taken when all was well, and never sent: it says so, and does not say that it may have run... it failed.
+            faults.errno.store(errno, Ordering::Relaxed);
+            // Admitted while all was well, and never sent to a node.
             let first = s.client.call(&ask(2, "big", "sig-check")).await.answer;
             assert!(matches!(first, Answer::Failed { .. } | Answer::Refused { .. }), "{first:?}");
-            trouble.errno.store(0, Ordering::Relaxed);
+            faults.errno.store(0, Ordering::Relaxed);
             for n in 3..6 {
                 let end = s.client.call(&ask(n, "big", "sig-check")).await.answer;
-                assert_eq!(end, Answer::Refused { pause: 700_000 }, "a disk that came back is not believed");
+                assert_eq!(end, Answer::Refused { pause: 700_000 }, "a disk that works again is not trusted");
             }
             assert_eq!(arrived(&s), 1);
             assert!(s.ingress.counts().ledger_refused >= 3);
@@ -319,11 +268,11 @@
 }
 
 #[test]
-fn or_serves_without_an_entry_where_the_settings_want_it() {
+fn requests_are_served_unrecorded_where_the_settings_want_it() {
     run(|system| async move {
-        let folder = Folder::new();
-        let (s, trouble) = on_disk(&system, &folder, OnFailure::Serve).await;
-        trouble.errno.store(28, Ordering::Relaxed);
+        let folder = Directory::new();
+        let (s, faults) = on_disk(&system, &folder, OnFailure::Serve).await;
+        faults.errno.store(28, Ordering::Relaxed);
         for n in 0..5 {
             assert_eq!(s.client.call(&ask(n, "big", "sig-check")).await.answer, Answer::Served);
         }
@@ -331,15 +280,15 @@
     });
 }
 
-/// A sync that takes longer than is allowed: those who come meanwhile are refused at once; the one that waits is served
-/// late or not at all, and nothing reaches a node before its entry is on the disk.
+/// A sync that takes longer than is allowed: requests that come meanwhile are rejected at once; the one that waits is
+/// served late, and nothing reaches a node before its entry is durable.
 #[test]
-fn a_slow_disk_refuses_until_it_has_caught_up() {
+fn requests_are_rejected_while_the_disk_is_slow() {
     run(|system| async move {
-        let folder = Folder::new();
-        let (s, trouble) = on_disk(&system, &folder, OnFailure::Refuse).await;
+        let folder = Directory::new();
+        let (s, faults) = on_disk(&system, &folder, OnFailure::Refuse).await;
         assert_eq!(s.client.call(&ask(1, "big", "sig-check")).await.answer, Answer::Served);
-        trouble.slow.store(600_000, Ordering::Relaxed);
+        faults.sync_micros.store(600_000, Ordering::Relaxed);
         let client = Arc::new(s.client);
         let waits = {
             let client = client.clone();
@@ -354,17 +303,17 @@
         assert!(s.runtime.now() - begun < 300_000, "at once");
         assert_eq!(s.journal.entries().iter().filter(|e| matches!(e.1, Seen::Arrived { .. })).count(), 1);
         waits.await;
-        trouble.slow.store(0, Ordering::Relaxed);
+        faults.sync_micros.store(0, Ordering::Relaxed);
         pause(&s.runtime, 700).await;
         assert_eq!(client.call(&ask(4, "big", "sig-check")).await.answer, Answer::Served);
     });
 }
 
-/// A folder that cannot be written, or holds a damaged ledger: the start says so, and nothing listens.
+/// A directory that cannot be written, or holds a damaged ledger: the start fails and names it.
 #[test]
-fn a_bad_folder_is_told_at_the_start() {
+fn a_bad_directory_is_reported_at_the_start() {
     run(|system| async move {
-        let folder = Folder::new();
+        let folder = Directory::new();
         let mut settings = settings();
         settings.ledger = Some(ledger(&folder, "0", None));
         std::fs::write(folder.0.join("0"), b"a file, no folder").unwrap();
@@ -379,16 +328,17 @@
     });
 }
 
-/// A node that has forgotten: nobody is billed for what cannot be shown; when it remembers, a correction follows.
+/// A node that cannot say: nobody is billed for what cannot be shown to have run; when it can, a correction follows.
 #[test]
-fn an_end_that_nobody_knows_is_presumed_and_corrected_later() {
+fn an_unknown_end_is_presumed_and_corrected_later() {
     run(|system| async move {
-        let (folder, vault) = (Folder::new(), Vault::default());
+        let folder = Directory::new();
+        let vault = Vault::default();
         let consumer = Consumer::start(system.clone(), port(), vault.clone(), 1).unwrap();
         let mut settings = settings();
-        let mut l = ledger(&folder, "0", Some(ExportTo::Grpc(consumer.address())));
-        l.truth_ms = 200;
-        settings.ledger = Some(l);
+        let mut ledger = ledger(&folder, "0", Some(ExportTo::Grpc(consumer.address())));
+        ledger.truth_ms = 200;
+        settings.ledger = Some(ledger);
         let s = Small::start(system, settings, vec![Machine::default()]).await;
         s.nodes[0].faults(Faults { halfway: 1.0, forgets: true, ..Faults::default() });
         assert!(matches!(s.client.call(&ask(1, "big", "referral")).await.answer, Answer::Failed { .. }));
@@ -400,28 +350,29 @@
     });
 }
 
-/// Old segments give way to a snapshot, and a restart knows the same: what was billed is not billed again, and entries go on.
+/// A snapshot replaces old segments, and a restart has the same totals: nothing is billed again, and entries continue.
 #[test]
-fn old_segments_are_condensed_and_a_restart_goes_on() {
+fn old_segments_are_compacted_and_a_restart_continues() {
     run(|system| async move {
         let system: Shared = system;
-        let (folder, vault) = (Folder::new(), Vault::default());
+        let folder = Directory::new();
+        let vault = Vault::default();
         let consumer = Consumer::start(system.clone(), port(), vault.clone(), 1).unwrap();
         let mut settings = settings();
-        let l = ledger(&folder, "0", Some(ExportTo::Grpc(consumer.address())));
-        settings.ledger = Some(Ledger { keep_s: 1, segment: 4096, ..l });
+        let ledger = ledger(&folder, "0", Some(ExportTo::Grpc(consumer.address())));
+        settings.ledger = Some(Ledger { keep_s: 1, segment: 4096, ..ledger });
         let mut s = Small::start(system.clone(), settings.clone(), vec![Machine::default()]).await;
         let files = |end: &str| {
             let names = std::fs::read_dir(folder.0.join("0")).unwrap().map(|e| e.unwrap().file_name());
             names.filter(|n| n.to_str().unwrap().ends_with(end)).count()
         };
-        for life in 0..2u64 {
+        for incarnation in 0..2u64 {
             for n in 0..400 {
-                s.client.call(&ask(life * 1000 + n, "big", "sig-check")).await;
+                s.client.call(&ask(incarnation * 1000 + n, "big", "sig-check")).await;
                 pause(&system, 12).await;
             }
             eventually(&system, "billed as counted", || in_vault(&vault) == counted(&s.tallies)).await;
-            assert_eq!(files(".snap"), 1, "one stands for all before it");
+            assert_eq!(files(".snap"), 1, "one replaces all before it");
             assert!(files(".seg") < 20, "400 requests are some 25 segments: {}", files(".seg"));
             s.ingress.stop();
             s.ingress = Instance::start(settings.clone(), system.clone()).await.unwrap();
