--- a/crates/gateway/src/driver/attempts.rs
+++ b/crates/gateway/src/driver/attempts.rs
@@ -6,7 +6,7 @@
 use crate::messages::{Answer, AttemptResult, OutboundAttempt, Upstream};
 use crate::telemetry::add;
 use chalkgap_core::{BackendId, Event, Outcome, RequestId};
-use chalkgap_ledger::clerk::Fate as Settlement;
+use chalkgap_ledger::recorder::Settlement as Settlement;
 use chalkgap_runtime::Micros;
 use std::net::{Ipv4Addr, SocketAddr};
 
--- a/crates/gateway/src/driver/ledger_entries.rs
+++ b/crates/gateway/src/driver/ledger_entries.rs
@@ -2,12 +2,12 @@
 //! request is recorded once.
 
 use super::Driver;
-use crate::ledger::Desk as LedgerHandle;
+use crate::ledger::LedgerHandle as LedgerHandle;
 use crate::messages::{node_request_id, OutboundAttempt, PendingRequest, Upstream};
 use crate::settings::Compiled;
 use chalkgap_core::RequestId;
-use chalkgap_ledger::clerk::{Fate as Settlement, Promise as Reservation, Ticket as EntryHandle};
-use chalkgap_ledger::entry::Open as OpenEntry;
+use chalkgap_ledger::recorder::{Settlement as Settlement, Reservation as Reservation, EntryHandle as EntryHandle};
+use chalkgap_ledger::entry::RequestOpened as OpenEntry;
 use chalkgap_runtime::Micros;
 use std::sync::Arc;
 
@@ -95,7 +95,7 @@
             LedgerState::Settled => return Recorded::NotNeeded,
             LedgerState::Open(entry) => ledger.handle.again(*entry, node),
             LedgerState::Unrecorded => {
-                let entry = ledger.handle.open_entry(ledger.open_entry(&in_flight.request, node));
+                let entry = ledger.handle.open_entry(ledger.open_request(&in_flight.request, node));
                 if let Some(entry) = entry {
                     in_flight.ledger = LedgerState::Open(entry);
                 }
@@ -115,8 +115,8 @@
     /// More entries are durable, or the disk has failed: starts the attempts that waited for it, or ends them.
     pub(super) fn on_ledger_progress(&mut self) {
         let Some(ledger) = self.ledger.as_ref().map(|ledger| ledger.handle.clone()) else { return };
-        let durable_to = ledger.durable();
-        let serve_unbilled = durable_to.is_none() && ledger.promise() == Reservation::Without;
+        let durable_to = ledger.durable_up_to();
+        let serve_unbilled = durable_to.is_none() && ledger.reserve() == Reservation::Without;
         while let Some(first) = self.awaiting_ledger.front() {
             if durable_to.is_some_and(|durable_to| first.sequence > durable_to) {
                 break;
@@ -164,7 +164,7 @@
             Settlement::Never
         } else {
             let Some(ledger) = &self.ledger else { return false };
-            let open = Box::new(ledger.open_entry(&in_flight.request, String::new()));
+            let open = Box::new(ledger.open_request(&in_flight.request, String::new()));
             Settlement::Doubtful { nodes, open }
         };
         self.settle(id, None, settlement);
