--- a/crates/fault-injection/src/ledger.rs
+++ b/crates/fault-injection/src/ledger.rs
@@ -2,7 +2,7 @@
 
 use chalkgap_ledger::entry::Batch;
 use chalkgap_ledger::Periods;
-use chalkgap_testbed::node::Usage;
+use chalkgap_testbed::node::Used;
 use prost::Message;
 use serde::Serialize;
 use std::collections::BTreeMap;
@@ -24,13 +24,13 @@
 }
 
 /// What nodes counted: a request once, wherever and however often it ran.
-pub fn counted(tallies: impl IntoIterator<Item = BTreeMap<String, Usage>>, periods: Periods) -> Units {
+pub fn counted(tallies: impl IntoIterator<Item = BTreeMap<String, Used>>, periods: Periods) -> Units {
     let mut requests = BTreeMap::new();
     tallies.into_iter().for_each(|t| requests.extend(t));
     let mut sums = Units::new();
     for used in requests.into_values() {
         let units = i64::try_from(used.units).unwrap_or(i64::MAX);
-        *sums.entry((used.account, periods.of(used.ledger_entry_at))).or_default() += units;
+        *sums.entry((used.account, periods.of(used.entered))).or_default() += units;
     }
     sums.retain(|_, n| *n != 0);
     sums
@@ -79,8 +79,8 @@
     use super::*;
     use chalkgap_ledger::entry::Line;
 
-    fn used(account: &str, units: u64, entered: u64) -> Usage {
-        Usage { account: account.into(), units, ledger_entry_at: entered }
+    fn used(account: &str, units: u64, entered: u64) -> Used {
+        Used { account: account.into(), units, entered }
     }
 
     #[test]
--- a/crates/gateway/tests/ledger.rs
+++ b/crates/gateway/tests/ledger.rs
@@ -69,7 +69,7 @@
     tallies.iter().for_each(|t| requests.extend(t.completed()));
     let mut sums = BTreeMap::new();
     for used in requests.into_values() {
-        *sums.entry((used.account, used.ledger_entry_at / 1_000_000)).or_default() += used.units as i64;
+        *sums.entry((used.account, used.entered / 1_000_000)).or_default() += used.units as i64;
     }
     sums
 }
--- a/crates/testbed/src/node/execution_log.rs
+++ b/crates/testbed/src/node/execution_log.rs
@@ -8,18 +8,18 @@
 
 /// What a request used at a node.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Usage {
+pub struct Used {
     /// The account.
     pub account: String,
     /// Quota units.
     pub units: u64,
     /// When the gateway wrote its ledger entry, as it says; 0 where it does not.
-    pub ledger_entry_at: Micros,
+    pub entered: Micros,
 }
 
 #[derive(Debug, Default)]
 struct Executions {
-    completed: BTreeMap<String, Usage>,
+    completed: BTreeMap<String, Used>,
     running: BTreeSet<String>,
     /// Requests that were reported as never run, and so must not run any more.
     barred: BTreeSet<String>,
@@ -31,7 +31,7 @@
 
 impl ExecutionLog {
     /// All requests that ran to their end, by name.
-    pub fn completed(&self) -> BTreeMap<String, Usage> {
+    pub fn completed(&self) -> BTreeMap<String, Used> {
         lock(&self.0).completed.clone()
     }
 
@@ -51,7 +51,7 @@
     }
 
     /// Completes a request, so that its effect exists; false if it was reported as never run.
-    pub(super) fn complete(&self, request: &str, usage: Usage) -> bool {
+    pub(super) fn complete(&self, request: &str, usage: Used) -> bool {
         let mut executions = lock(&self.0);
         executions.running.remove(request);
         let permitted = !executions.barred.contains(request);
--- a/crates/testbed/src/node/mod.rs
+++ b/crates/testbed/src/node/mod.rs
@@ -19,7 +19,7 @@
 use std::sync::{Arc, Mutex};
 
 pub use cell::Cell;
-pub use execution_log::{ExecutionLog, Usage};
+pub use execution_log::{ExecutionLog, Used};
 pub use faults::Faults;
 pub use machine::Machine;
 
--- a/crates/testbed/src/node/server.rs
+++ b/crates/testbed/src/node/server.rs
@@ -1,7 +1,7 @@
 //! The node's sockets: gRPC calls in, executions, responses out.
 
 use super::engine::Engine;
-use super::Usage;
+use super::Used;
 use crate::journal::{Journal, Seen, CALL_ENTRY};
 use crate::lock;
 use async_channel::{Receiver, Sender};
@@ -99,7 +99,7 @@
     call: u64,
     /// The gateway's name for the request.
     request: String,
-    usage: Usage,
+    usage: Used,
 }
 
 impl Attempt {
@@ -110,13 +110,13 @@
         };
         let path = text(":path").unwrap_or_default();
         let call = work.entries.iter().find(|entry| entry.key == CALL_ENTRY);
-        let ledger_entry_at = text(truth::ENTERED).and_then(|text| text.parse().ok()).unwrap_or(0);
+        let entered = text(truth::ENTERED).and_then(|text| text.parse().ok()).unwrap_or(0);
         Attempt {
             class: path.strip_prefix(intake::SERVICE).unwrap_or_default().to_owned(),
             key: text(intake::KEY),
             call: call.and_then(|entry| entry.value.parse().ok()).unwrap_or_default(),
             request: text(intake::REQUEST).unwrap_or_default(),
-            usage: Usage { account: work.account.clone(), units: work.units.into(), ledger_entry_at },
+            usage: Used { account: work.account.clone(), units: work.units.into(), entered },
         }
     }
 }
