--- a/crates/gateway/src/driver/attempts.rs
+++ b/crates/gateway/src/driver/attempts.rs
@@ -6,7 +6,7 @@
 use crate::messages::{Answer, AttemptResult, OutboundAttempt, Upstream};
 use crate::telemetry::add;
 use chalkgap_core::{BackendId, Event, Outcome, RequestId};
-use chalkgap_ledger::recorder::Settlement as Settlement;
+use chalkgap_ledger::recorder::Settlement;
 use chalkgap_runtime::Micros;
 use std::net::{Ipv4Addr, SocketAddr};
 
@@ -148,7 +148,7 @@
             self.answer(id, Answer::Served { body: result.body, node });
         }
         if outcome == Outcome::Ok && !original_unknown {
-            self.settle(id, reported_units, Settlement::Used { node: node.to_string() });
+            self.settle(id, reported_units, Settlement::Ran { node: node.to_string() });
         }
         let answered = self.in_flight.is_answered(id);
         self.handle(Event::AttemptFinished {
--- a/crates/gateway/src/driver/ledger_entries.rs
+++ b/crates/gateway/src/driver/ledger_entries.rs
@@ -2,12 +2,12 @@
 //! request is recorded once.
 
 use super::Driver;
-use crate::ledger::LedgerHandle as LedgerHandle;
+use crate::ledger::LedgerHandle;
 use crate::messages::{node_request_id, OutboundAttempt, PendingRequest, Upstream};
 use crate::settings::Compiled;
 use chalkgap_core::RequestId;
-use chalkgap_ledger::recorder::{Settlement as Settlement, Reservation as Reservation, EntryHandle as EntryHandle};
 use chalkgap_ledger::entry::RequestOpened as OpenEntry;
+use chalkgap_ledger::recorder::{EntryHandle, Reservation, Settlement};
 use chalkgap_runtime::Micros;
 use std::sync::Arc;
 
@@ -76,10 +76,10 @@
     /// Asks the ledger whether a new request may be taken.
     pub(super) fn reserve_in_ledger(&self) -> LedgerDecision {
         let Some(ledger) = &self.ledger else { return LedgerDecision::Take(LedgerState::Unbilled) };
-        match ledger.handle.promise() {
-            Reservation::Kept => LedgerDecision::Take(LedgerState::Unrecorded),
-            Reservation::Without => LedgerDecision::Take(LedgerState::Unbilled),
-            Reservation::Refused { pause } => LedgerDecision::Reject { retry_after: pause },
+        match ledger.handle.reserve() {
+            Reservation::Recorded => LedgerDecision::Take(LedgerState::Unrecorded),
+            Reservation::Unrecorded => LedgerDecision::Take(LedgerState::Unbilled),
+            Reservation::Rejected { retry_after } => LedgerDecision::Reject { retry_after },
         }
     }
 
@@ -93,9 +93,9 @@
             LedgerState::Unbilled => return Recorded::NotNeeded,
             // One more attempt for a request that was answered: its use is counted already.
             LedgerState::Settled => return Recorded::NotNeeded,
-            LedgerState::Open(entry) => ledger.handle.again(*entry, node),
+            LedgerState::Open(entry) => ledger.handle.add_attempt(*entry, node),
             LedgerState::Unrecorded => {
-                let entry = ledger.handle.open_entry(ledger.open_request(&in_flight.request, node));
+                let entry = ledger.handle.open_request(ledger.open_entry(&in_flight.request, node));
                 if let Some(entry) = entry {
                     in_flight.ledger = LedgerState::Open(entry);
                 }
@@ -104,7 +104,7 @@
         };
         match sequence {
             Some(sequence) => Recorded::Pending { sequence },
-            None if ledger.handle.promise() == Reservation::Without => {
+            None if ledger.handle.reserve() == Reservation::Unrecorded => {
                 in_flight.ledger = LedgerState::Unbilled;
                 Recorded::NotNeeded
             }
@@ -116,7 +116,7 @@
     pub(super) fn on_ledger_progress(&mut self) {
         let Some(ledger) = self.ledger.as_ref().map(|ledger| ledger.handle.clone()) else { return };
         let durable_to = ledger.durable_up_to();
-        let serve_unbilled = durable_to.is_none() && ledger.reserve() == Reservation::Without;
+        let serve_unbilled = durable_to.is_none() && ledger.reserve() == Reservation::Unrecorded;
         while let Some(first) = self.awaiting_ledger.front() {
             if durable_to.is_some_and(|durable_to| first.sequence > durable_to) {
                 break;
@@ -150,7 +150,7 @@
         // A node may report less than was admitted; a report of more is not accepted.
         let admitted_units = in_flight.request.units as u64;
         let units = reported_units.map_or(admitted_units, |reported| admitted_units.min(reported.into()));
-        ledger.handle.end(entry, units, settlement);
+        ledger.handle.settle(entry, units, settlement);
     }
 
     /// Records that an answered request has ended without a result that names the node that ran it.
@@ -161,11 +161,11 @@
         let LedgerState::Open(_) = in_flight.ledger else { return true };
         let nodes = in_flight.nodes_that_may_have_run();
         let settlement = if nodes.is_empty() {
-            Settlement::Never
+            Settlement::NeverRan
         } else {
             let Some(ledger) = &self.ledger else { return false };
-            let open = Box::new(ledger.open_request(&in_flight.request, String::new()));
-            Settlement::Doubtful { nodes, open }
+            let opened = Box::new(ledger.open_entry(&in_flight.request, String::new()));
+            Settlement::Unknown { nodes, opened }
         };
         self.settle(id, None, settlement);
         true
--- a/crates/gateway/src/driver/mod.rs
+++ b/crates/gateway/src/driver/mod.rs
@@ -18,7 +18,7 @@
 mod requests;
 mod timers;
 
-use crate::ledger::LedgerHandle as LedgerHandle;
+use crate::ledger::LedgerHandle;
 use crate::messages::{DriverEvent, Upstream};
 use crate::node_list::{EndpointIds, NodeList};
 use crate::settings::Compiled;
