--- a/crates/cli/src/platform.rs
+++ b/crates/cli/src/platform.rs
@@ -1,4 +1,4 @@
-//! `platform`: an ingress on the users' platform. Configuration by the environment, signals; the rest is the library.
+//! `chalkgap platform`: an ingress for the users' platform. Reads the configuration and the signals; the rest is the library.
 
 use crate::{fail, Exit};
 use async_signal::{Signal, Signals};
@@ -9,7 +9,7 @@
 pub(crate) fn run() -> Exit {
     let system = System::new();
     system.clone().run(async move {
-        // Before anything else: a signal in between would end the process unasked.
+        // Before anything else: a signal in between would end the process without a drain.
         let mut signals = match Signals::new([Signal::Term, Signal::Int, Signal::Hup]) {
             Ok(signals) => signals,
             Err(e) => return fail(Exit::System, format!("signals: {e}")),
@@ -26,7 +26,7 @@
             match signals.next().await {
                 Some(Ok(Signal::Hup)) => match Config::from_env() {
                     Ok(config) => ingress.reload(&config),
-                    Err(e) => tracing::error!(error = %e, "new configuration not taken, the old one stays"),
+                    Err(e) => tracing::error!(error = %e, "new configuration rejected, keeping the old one"),
                 },
                 Some(Ok(_)) | None => break,
                 Some(Err(e)) => tracing::error!(error = %e, "a signal was lost"),
@@ -37,13 +37,13 @@
             ingress.drain().await;
             true
         };
-        let second = async {
+        let second_signal = async {
             while let Some(Ok(Signal::Hup)) = signals.next().await {}
             false
         };
-        let whole = future::or(drained, second).await;
+        let completed = future::or(drained, second_signal).await;
         let counts = serde_json::to_string(&ingress.counts()).unwrap_or_default();
-        tracing::info!(whole, counts, "stopped");
+        tracing::info!(completed, counts, "stopped");
         Exit::Good
     })
 }
