--- /dev/null
+++ b/crates/gateway/src/frontends/grpc/mod.rs
@@ -0,0 +1,62 @@
+//! The gRPC frontend: the rate limit service (`envoy.service.ratelimit.v3.RateLimitService`) and its health check.
+//!
+//! - [`connection`]: one connection, from its first byte to its close
+//! - [`slow_clients`]: clients that make no progress
+//! - [`calls`]: calls, from their headers to their answer
+//! - [`request`]: the request in a call's message
+//! - [`responses`]: answers in gRPC
+
+mod calls;
+mod connection;
+mod request;
+mod responses;
+mod slow_clients;
+
+use super::{Frontend, FrontendContext, REJECTION_TIMEOUT};
+use crate::connection_gate::Permit;
+use chalkgap_runtime::{BoxFuture, Micros, Shared, Stream};
+use chalkgap_transport::{Pipe, Turn};
+use chalkgap_wire::http2::{Config, Connection};
+
+/// The gRPC frontend.
+#[derive(Clone)]
+pub(crate) struct GrpcFrontend;
+
+impl Frontend for GrpcFrontend {
+    type Context = FrontendContext;
+
+    fn serve(
+        &self,
+        context: FrontendContext,
+        stream: Box<dyn Stream>,
+        permit: Permit,
+    ) -> BoxFuture<'static, ()> {
+        Box::pin(connection::serve(context, stream, permit))
+    }
+
+    fn reject(
+        &self,
+        runtime: Shared,
+        stream: Box<dyn Stream>,
+        retry_after: Micros,
+    ) -> BoxFuture<'static, ()> {
+        Box::pin(reject(runtime, stream, retry_after))
+    }
+}
+
+/// Sends GOAWAY with ENHANCE_YOUR_CALM, and waits a moment for the client to close: with its preface unread, a close at
+/// once would be a reset, and the GOAWAY could be lost.
+async fn reject(runtime: Shared, stream: Box<dyn Stream>, retry_after: Micros) {
+    let (_commands, no_commands) = async_channel::bounded::<()>(1);
+    let (_signal_sender, no_signal) = async_channel::bounded(1);
+    let connection = Connection::server(Config::default());
+    let mut pipe = Pipe::new(runtime.clone(), stream, connection, no_commands, no_signal);
+    let seconds = retry_after.div_ceil(1_000_000).max(1);
+    pipe.conn.calm(&format!("no room for this connection; retry-after: {seconds}"));
+    let deadline = runtime.now() + REJECTION_TIMEOUT;
+    loop {
+        if let Turn::Closed | Turn::Time = pipe.turn(Some(deadline), true).await {
+            return;
+        }
+    }
+}
--- a/crates/gateway/src/instance.rs
+++ b/crates/gateway/src/instance.rs
@@ -5,7 +5,9 @@
 use crate::driver::{Driver, DriverLimits};
 use crate::error::StartError;
 use crate::fleet::{FleetSnapshot, MembershipParams, MembershipService};
-use crate::front::{self, grpc::Grpc, mqtt::Mqtt, Acceptor, FrontendContext};
+use crate::frontends::grpc::GrpcFrontend;
+use crate::frontends::mqtt::MqttFrontend;
+use crate::frontends::{self, Acceptor, FrontendContext};
 use crate::ledger::Desk;
 use crate::messages::DriverEvent;
 use crate::node_list::{EndpointIds, NodeList};
@@ -42,7 +44,7 @@
     gate: Arc<ConnectionGate>,
     desk: Option<Arc<Desk>>,
     fleet: Option<Arc<MembershipService>>,
-    sessions: Option<Mqtt>,
+    sessions: Option<MqttFrontend>,
     drain: Option<Sender<()>>,
     kill: Option<Sender<()>>,
 }
@@ -70,7 +72,7 @@
             Some(m) => {
                 let bound = runtime.listen(m.listen);
                 let listener = bound.map_err(|e| bind("settings.mqtt.listen", m.listen, e))?;
-                Some((Mqtt::new(&runtime, m.clone()), listener))
+                Some((MqttFrontend::new(&runtime, m.clone()), listener))
             }
         };
         let (born, telemetry) = (runtime.now(), Arc::new(Telemetry::default()));
@@ -82,7 +84,7 @@
         })?;
         gate.load_known_clients().await;
         if let Some((front, _)) = &mqtt {
-            front.restore(&runtime).await;
+            front.load_sessions(&runtime).await;
         }
         let opened = Desk::open(&runtime, &settings, &telemetry).await?;
         let (driver, input) = async_channel::bounded(ROOM);
@@ -208,14 +210,19 @@
             gate: gate.clone(),
         };
         let ids = Arc::new(AtomicU64::new(1));
-        let context =
-            FrontendContext { acceptor: acceptor.clone(), settings: settings.clone(), driver, ids, name };
+        let context = FrontendContext {
+            acceptor: acceptor.clone(),
+            settings: settings.clone(),
+            driver,
+            next_request: ids,
+            instance_name: name,
+        };
         start(Box::pin(gate.run()));
         if let Some((front, listener)) = mqtt {
-            start(Box::pin(front.clone().watch(runtime.clone())));
-            start(Box::pin(front::listen(front, context.clone(), acceptor.clone(), listener)));
+            start(Box::pin(front.clone().run(runtime.clone())));
+            start(Box::pin(frontends::listen(front, context.clone(), acceptor.clone(), listener)));
         }
-        start(Box::pin(front::listen(Grpc, context, acceptor, listener)));
+        start(Box::pin(frontends::listen(GrpcFrontend, context, acceptor, listener)));
         tracing::info!(ingress = fleet.me, grpc = %instance.grpc, "started");
         Ok(instance)
     }
@@ -278,7 +285,7 @@
             self.runtime.sleep_until((now + 5000).min(until)).await;
         }
         if let Some(front) = &self.sessions {
-            front.keep(&self.runtime).await;
+            front.store_sessions(&self.runtime).await;
         }
         if let Some(desk) = &self.desk {
             // Ends of requests are in no hurry, but now is the last chance to write them down.
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -16,7 +16,7 @@
 mod driver;
 mod error;
 pub mod fleet;
-mod front;
+mod frontends;
 
 mod instance;
 mod ledger;
@@ -33,7 +33,7 @@
 pub mod frontend {
     pub use crate::connection_gate::{ConnectionGate, ConnectionGateConfig, Permit, RequestEnd};
     pub use crate::driver::{Driver, DriverLimits};
-    pub use crate::front::{listen, Acceptor, Frontend};
+    pub use crate::frontends::{listen, Acceptor, Frontend};
     pub use crate::messages::{
         Answer, AttemptResult, DriverEvent, OutboundAttempt, PendingRequest, Response, Upstream,
     };
--- a/crates/platform/src/front.rs
+++ b/crates/platform/src/front.rs
@@ -91,7 +91,7 @@
         })
     }
 
-    fn refuse(&self, runtime: Shared, mut stream: Box<dyn Stream>, pause: Micros) -> BoxFuture<'static, ()> {
+    fn reject(&self, runtime: Shared, mut stream: Box<dyn Stream>, pause: Micros) -> BoxFuture<'static, ()> {
         Box::pin(async move {
             let write = async {
                 // Nothing of what it asks has left, and will not: harmless to ask again. Whether this is read or not, the
