--- a/crates/platform/src/frontend.rs
+++ b/crates/platform/src/frontend.rs
@@ -83,7 +83,7 @@
         Box::pin(async move { ClientConnection::serve(context, stream, permit).await })
     }
 
-    fn refuse(
+    fn reject(
         &self,
         runtime: Shared,
         mut stream: Box<dyn Stream>,
