--- a/crates/admission/src/lib.rs
+++ b/crates/admission/src/lib.rs
@@ -10,14 +10,14 @@
 //! - [`budget`]: how the process's descriptors are split
 //! - [`known`]: who is known, and the snapshot that survives a restart
 //! - [`decide`]: the decider
-//! - [`pace`]: what counts as too slow
-//! - [`pulse`]: when bytes that are read now came
+//! - [`minimum_throughput`]: when a client is too slow
+//! - [`stall_detector`]: when bytes that are read now arrived
 
 pub mod budget;
 pub mod decide;
 pub mod known;
-pub mod pace;
-pub mod pulse;
+pub mod minimum_throughput;
+pub mod stall_detector;
 
 pub use budget::{Budget, BudgetError, Split};
 pub use decide::{Admission, Caps, ConnId, GivesWay, Offer, Reason, Standing};
