--- a/crates/gateway/src/front/grpc.rs
+++ b/crates/gateway/src/front/grpc.rs
@@ -200,9 +200,9 @@
             Some((seen, at, _)) if seen == since => (since, at, written),
             _ => (since, now, written),
         });
-        let greet = (!pipe.conn.greeted()).then_some(begun + pace.patience);
-        let midway = self.midway.map(|(since, from)| pace.until(since, received - from));
-        let unread = self.unread.map(|(_, since, written)| pace.until(since, written));
+        let greet = (!pipe.conn.greeted()).then_some(begun + pace.grace_period);
+        let midway = self.midway.map(|(since, from)| pace.deadline(since, received - from));
+        let unread = self.unread.map(|(_, since, written)| pace.deadline(since, written));
         let idle = self.idle_since + self.context.settings.settings.admission.idle_ms * 1000;
         let idle = self.calls.is_empty().then_some(idle);
         let next = [greet, midway, unread, self.look, idle].into_iter().flatten().min();
@@ -214,13 +214,13 @@
     fn too_slow(&mut self, pipe: &mut Pipe<Response>, begun: Micros) -> Option<&'static str> {
         let (pace, now, received) = (self.permit.pace(), self.permit.own_time(), pipe.conn.received());
         self.still = self.context.runtime.now().saturating_sub(now);
-        if !pipe.conn.greeted() && now >= begun + pace.patience {
+        if !pipe.conn.greeted() && now >= begun + pace.grace_period {
             return Some("no SETTINGS in time");
         }
-        if self.midway.is_some_and(|(since, from)| pace.too_slow(now, since, received - from)) {
+        if self.midway.is_some_and(|(since, from)| pace.is_too_slow(now, since, received - from)) {
             return Some("a frame that does not come to its end");
         }
-        if self.unread.is_some_and(|(_, since, written)| pace.too_slow(now, since, written)) {
+        if self.unread.is_some_and(|(_, since, written)| pace.is_too_slow(now, since, written)) {
             return Some("answers lie unread");
         }
         let idle = self.context.settings.settings.admission.idle_ms * 1000;
@@ -229,16 +229,16 @@
                 return Some("idle, and did not go when it was told to");
             }
             pipe.conn.shutdown();
-            self.idle_since = (now + pace.patience).saturating_sub(idle);
+            self.idle_since = (now + pace.grace_period).saturating_sub(idle);
         }
         self.look = None;
         let mut late = Vec::new();
         for (stream, call) in &self.calls {
             if let Call::Reading { begun, bytes, .. } = call {
-                if pace.too_slow(now, *begun, *bytes) {
+                if pace.is_too_slow(now, *begun, *bytes) {
                     late.push(*stream);
                 } else {
-                    let at = pace.until(*begun, *bytes);
+                    let at = pace.deadline(*begun, *bytes);
                     self.look = Some(self.look.map_or(at, |l| l.min(at)));
                 }
             }
@@ -352,7 +352,7 @@
         let front = &self.context.settings.settings.front;
         let (body, arrived, begun) = (Deframer::new(front.most_message), self.permit.came(), self.time());
         let timeout = timeout.flatten();
-        self.look = self.look.or(Some(begun + self.permit.pace().patience));
+        self.look = self.look.or(Some(begun + self.permit.pace().grace_period));
         self.calls.insert(stream, Call::Reading { health, body, arrived, timeout, begun, bytes: 0 });
         true
     }
--- a/crates/gateway/src/front/mqtt.rs
+++ b/crates/gateway/src/front/mqtt.rs
@@ -372,9 +372,9 @@
         let quiet = if pipe.conn.open() {
             pipe.conn.patience().map(|s| heard + (s * 1e6) as Micros)
         } else {
-            Some(begun + pace.patience)
+            Some(begun + pace.grace_period)
         };
-        let unread = pipe.backlog().map(|(since, written)| pace.until(since, written));
+        let unread = pipe.backlog().map(|(since, written)| pace.deadline(since, written));
         let until = [quiet, unread].into_iter().flatten().min();
         let read = !c.draining && c.waiting.len() < most;
         // Whoever takes the session over is waited for beside the connection.
@@ -402,7 +402,7 @@
             }
             Some(Turn::Time) => {
                 let now = runtime.now();
-                if pipe.backlog().is_some_and(|(since, written)| pace.too_slow(now, since, written)) {
+                if pipe.backlog().is_some_and(|(since, written)| pace.is_too_slow(now, since, written)) {
                     add(&c.context.telemetry.too_slow);
                     break;
                 }
--- a/crates/gateway/src/gate.rs
+++ b/crates/gateway/src/gate.rs
@@ -5,8 +5,8 @@
 use crate::telemetry::{add, Telemetry};
 use async_channel::{Receiver, Sender};
 use chalkgap_admission::known::Places;
-use chalkgap_admission::pace::Pace;
-use chalkgap_admission::pulse::Pulse;
+use chalkgap_admission::minimum_throughput::MinimumThroughput;
+use chalkgap_admission::stall_detector::StallDetector;
 use chalkgap_admission::{Admission, Block, Budget, BudgetError, Caps, ConnId, Known, Offer, Reason, Split};
 use chalkgap_runtime::{Micros, Shared};
 use futures_lite::future;
@@ -26,7 +26,7 @@
 
 struct State {
     decider: Admission,
-    pulse: Pulse,
+    pulse: StallDetector,
     /// Dropped to tell a connection that it is to go, or that the drain begins.
     signals: HashMap<ConnId, Sender<()>>,
     /// Dropped to tell one whose peer's end is waited for that it is waited for no longer.
@@ -48,7 +48,7 @@
     limit: AtomicU64,
     refusing: AtomicU64,
     snapshot: Option<PathBuf>,
-    pace: Pace,
+    pace: MinimumThroughput,
 }
 
 /// A connection that was let in.
@@ -94,7 +94,7 @@
     /// Where known addresses are kept.
     pub snapshot: Option<PathBuf>,
     /// What counts as too slow.
-    pub pace: Pace,
+    pub pace: MinimumThroughput,
 }
 
 impl ConnectionGateConfig {
@@ -131,7 +131,10 @@
             },
             named: settings.named.clone(),
             snapshot: a.snapshot.clone(),
-            pace: Pace { patience: front.patience_ms * 1000, bytes_per_s: a.bytes_per_s },
+            pace: MinimumThroughput {
+                grace_period: front.patience_ms * 1000,
+                bytes_per_second: a.bytes_per_s,
+            },
         }
     }
 }
@@ -153,7 +156,7 @@
         let decider = Admission::new(caps, budget, Known::new(places, named));
         let state = State {
             decider,
-            pulse: Pulse::new(runtime.now(), TICK),
+            pulse: StallDetector::new(runtime.now(), TICK),
             signals: HashMap::new(),
             lingering: HashMap::new(),
             draining: false,
@@ -275,7 +278,7 @@
             let now = self.runtime.now();
             {
                 let mut s = self.state();
-                s.pulse.beat(now);
+                s.pulse.tick(now);
                 s.decider.own_time(now);
             }
             if n % LOOK == 0 {
@@ -354,7 +357,7 @@
 
     /// When bytes that are read now came, at the earliest: before this side's pause, if there was one.
     pub fn came(&self) -> Micros {
-        self.gate.state().pulse.came(self.gate.runtime.now())
+        self.gate.state().pulse.earliest_arrival(self.gate.runtime.now())
     }
 
     /// Whether the signal meant the drain of all.
@@ -390,7 +393,7 @@
     }
 
     /// What counts as too slow.
-    pub fn pace(&self) -> Pace {
+    pub fn pace(&self) -> MinimumThroughput {
         self.gate.pace
     }
 }
--- a/crates/platform/src/ingress.rs
+++ b/crates/platform/src/ingress.rs
@@ -15,7 +15,7 @@
 };
 use chalkgap::telemetry::{Counts, Telemetry};
 use chalkgap_admission::known::Places;
-use chalkgap_admission::pace::Pace;
+use chalkgap_admission::minimum_throughput::MinimumThroughput;
 use chalkgap_admission::{BudgetError, Caps, GivesWay, Split};
 use chalkgap_core::Gateway;
 use chalkgap_runtime::{Datagrams, Micros, Shared};
@@ -99,7 +99,7 @@
         places: Places { most: 64, per_account: 4, lasts: 60_000_000 },
         named: Vec::new(),
         snapshot: None,
-        pace: Pace { patience: 2_000_000, bytes_per_s: 1 },
+        pace: MinimumThroughput { grace_period: 2_000_000, bytes_per_second: 1 },
     }
 }
 
