--- a/crates/admission/src/decide.rs
+++ b/crates/admission/src/decide.rs
@@ -5,8 +5,9 @@
 //! one seen longest ago is forgotten first: a flood from new addresses makes the others' past be forgotten, which is to
 //! their good. Who is known has a table of its own that a flood cannot reach.
 
-use crate::known::{plain, Block};
-use crate::{Budget, Known, Micros};
+use crate::cidr_block::{canonical, CidrBlock};
+use crate::known_clients::{KnownClients, KnownTier};
+use crate::{Budget, Micros};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::IpAddr;
 
@@ -153,13 +154,13 @@
 pub struct Admission {
     caps: Caps,
     budget: Budget,
-    /// Who is known.
-    pub known: Known,
+    /// The known clients.
+    pub known_clients: KnownClients,
     conns: BTreeMap<ConnId, Conn>,
     places: BTreeMap<IpAddr, Place>,
     /// Those without a connection, by when they were last seen.
     quiet: BTreeSet<(Micros, IpAddr)>,
-    prefixes: BTreeMap<(u128, u32, bool), u32>,
+    prefixes: BTreeMap<CidrBlock, u32>,
     /// Connections by standing, and the idle ones of each in the order in which they fell idle.
     count: [u64; 4],
     idle: [BTreeSet<(Micros, ConnId)>; 4],
@@ -183,12 +184,12 @@
 
 impl Admission {
     /// A decider with nothing open.
-    pub fn new(caps: Caps, budget: Budget, known: Known) -> Self {
+    pub fn new(caps: Caps, budget: Budget, known_clients: KnownClients) -> Self {
         Admission {
             words: caps.words_per_s.max(1.0),
             caps,
             budget,
-            known,
+            known_clients,
             conns: BTreeMap::new(),
             places: BTreeMap::new(),
             quiet: BTreeSet::new(),
@@ -221,16 +222,16 @@
 
     /// How an address stands.
     pub fn standing(&self, now: Micros, address: IpAddr) -> Standing {
-        let address = plain(address);
+        let address = canonical(address);
         if let Some(p) = self.places.get(&address) {
             let keep = (-(now.saturating_sub(p.judged) as f64) / FADE).exp();
             if p.refused * keep > RED.0 && p.refused > RED.1 * p.served {
                 return Standing::Red;
             }
         }
-        match self.known.look(now, address) {
-            Some(true) => Standing::Preferred,
-            Some(false) => Standing::Known,
+        match self.known_clients.lookup(now, address) {
+            Some(KnownTier::Preferred) => Standing::Preferred,
+            Some(KnownTier::Standard) => Standing::Known,
             None => Standing::Unknown,
         }
     }
@@ -254,7 +255,7 @@
     /// A connection is offered. Where it is accepted it counts as open from now on, under `id`.
     pub fn offered(&mut self, now: Micros, id: ConnId, address: IpAddr) -> Offer {
         self.own_time(now);
-        let address = plain(address);
+        let address = canonical(address);
         let standing = self.standing(now, address);
         match self.check(now, address, standing) {
             Err((reason, pause)) => {
@@ -322,7 +323,7 @@
         }
         if !known {
             let over =
-                |(block, most): (Block, u32)| self.prefixes.get(&block.key()).is_some_and(|n| *n >= most);
+                |(block, most): (CidrBlock, u32)| self.prefixes.get(&block).is_some_and(|n| *n >= most);
             if prefixes(address, caps.per_prefix).into_iter().flatten().any(over) {
                 return Err((Reason::Prefix, PAUSE));
             }
@@ -370,7 +371,7 @@
         p.shaking += 1;
         self.shaking += 1;
         for (block, _) in prefixes(address, 0).into_iter().flatten() {
-            *self.prefixes.entry(block.key()).or_default() += 1;
+            *self.prefixes.entry(block).or_default() += 1;
         }
         self.count[standing as usize] += 1;
         self.idle[standing as usize].insert((now, id));
@@ -475,7 +476,7 @@
             p.judged = now;
         }
         if let Some((account, preferred)) = served {
-            self.known.served(now, address, account, preferred);
+            self.known_clients.record_served(now, address, account, preferred);
         }
         if served.is_some() || refused {
             self.restand(now, id);
@@ -507,10 +508,10 @@
         self.idle[c.standing as usize].remove(&(c.since, id));
         self.done.remove(&(c.since, id));
         for (block, _) in prefixes(c.address, 0).into_iter().flatten() {
-            if let Some(n) = self.prefixes.get_mut(&block.key()) {
+            if let Some(n) = self.prefixes.get_mut(&block) {
                 *n -= 1;
                 if *n == 0 {
-                    self.prefixes.remove(&block.key());
+                    self.prefixes.remove(&block);
                 }
             }
         }
@@ -572,12 +573,15 @@
 }
 
 /// The prefixes that an address counts for, with the most that each may have.
-fn prefixes(address: IpAddr, most: u32) -> [Option<(Block, u32)>; 2] {
+fn prefixes(address: IpAddr, most: u32) -> [Option<(CidrBlock, u32)>; 2] {
     match address {
-        IpAddr::V4(_) => [Some((Block::of(address, 24), most)), None],
+        IpAddr::V4(_) => [Some((CidrBlock::containing(address, 24), most)), None],
         IpAddr::V6(_) => {
             let wide = most.saturating_mul(WIDE_FACTOR);
-            [Some((Block::of(address, 64), most)), Some((Block::of(address, 48), wide))]
+            [
+                Some((CidrBlock::containing(address, 64), most)),
+                Some((CidrBlock::containing(address, 48), wide)),
+            ]
         }
     }
 }
--- /dev/null
+++ b/crates/admission/src/known_clients.rs
@@ -0,0 +1,143 @@
+//! Known clients: addresses whose requests were lately served within quota, and blocks that the settings name.
+//!
+//! The table has a maximum size. Only a served request adds an address, so a flood that is rejected cannot evict any; a
+//! client that is served can, but each account has a limited number of addresses and evicts its own oldest first. A full
+//! table evicts the address that was served longest ago.
+
+use crate::cidr_block::{canonical, CidrBlock};
+use crate::Micros;
+use serde::{Deserialize, Serialize};
+use std::collections::{BTreeMap, BTreeSet};
+use std::net::IpAddr;
+
+mod snapshot;
+
+pub use snapshot::SnapshotError;
+
+/// An address is updated at most once in this time, so that not every request touches the table.
+const UPDATE_INTERVAL: Micros = 1_000_000;
+
+/// The field names are those of the snapshot.
+#[derive(Clone, Debug, Serialize, Deserialize)]
+struct Entry {
+    address: IpAddr,
+    served: Micros,
+    account: u64,
+    preferred: bool,
+}
+
+/// Limits of the table.
+#[derive(Clone, Copy, Debug)]
+pub struct KnownClientLimits {
+    /// Addresses that are remembered.
+    pub max_addresses: usize,
+    /// Addresses that one account can make known.
+    pub max_per_account: usize,
+    /// How long after its last served request an address stays known.
+    pub remember_for: Micros,
+}
+
+/// The plan that made a client known.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum KnownTier {
+    /// A plan that is not preferred, or the settings.
+    Standard,
+    /// A preferred plan.
+    Preferred,
+}
+
+/// Addresses by time of their last served request, oldest first.
+type ByLastServed = BTreeSet<(Micros, IpAddr)>;
+
+/// The table of known clients.
+pub struct KnownClients {
+    limits: KnownClientLimits,
+    always_known: Vec<CidrBlock>,
+    entries: BTreeMap<IpAddr, Entry>,
+    by_last_served: ByLastServed,
+    by_account: BTreeMap<u64, ByLastServed>,
+}
+
+impl KnownClients {
+    /// An empty table; the addresses of `always_known` are known without being served.
+    pub fn new(limits: KnownClientLimits, always_known: Vec<CidrBlock>) -> Self {
+        KnownClients {
+            limits,
+            always_known,
+            entries: BTreeMap::new(),
+            by_last_served: BTreeSet::new(),
+            by_account: BTreeMap::new(),
+        }
+    }
+
+    /// Records that a request of this address was served within the quota of an account; `preferred` is whether the
+    /// account's plan is.
+    pub fn record_served(&mut self, now: Micros, address: IpAddr, account: u64, preferred: bool) {
+        let address = canonical(address);
+        if let Some(entry) = self.entries.get(&address) {
+            let is_same = entry.account == account && entry.preferred >= preferred;
+            if is_same && now < entry.served + UPDATE_INTERVAL {
+                return;
+            }
+        }
+        self.remove(address);
+        self.evict_for(account);
+        if self.limits.max_addresses == 0 || self.limits.max_per_account == 0 {
+            return;
+        }
+        self.entries.insert(address, Entry { address, served: now, account, preferred });
+        self.by_last_served.insert((now, address));
+        self.by_account.entry(account).or_default().insert((now, address));
+    }
+
+    /// Makes room for one more address of an account.
+    fn evict_for(&mut self, account: u64) {
+        let own = self.by_account.get(&account).filter(|own| own.len() >= self.limits.max_per_account);
+        if let Some((_, oldest)) = own.and_then(BTreeSet::first).copied() {
+            self.remove(oldest);
+        }
+        if self.entries.len() >= self.limits.max_addresses {
+            if let Some((_, oldest)) = self.by_last_served.first().copied() {
+                self.remove(oldest);
+            }
+        }
+    }
+
+    fn remove(&mut self, address: IpAddr) {
+        let Some(entry) = self.entries.remove(&address) else { return };
+        self.by_last_served.remove(&(entry.served, address));
+        if let Some(own) = self.by_account.get_mut(&entry.account) {
+            own.remove(&(entry.served, address));
+            if own.is_empty() {
+                self.by_account.remove(&entry.account);
+            }
+        }
+    }
+
+    /// Whether an address is known, and by which plan.
+    pub fn lookup(&self, now: Micros, address: IpAddr) -> Option<KnownTier> {
+        let entry = self.entries.get(&canonical(address)).filter(|entry| !self.is_expired(now, entry));
+        match entry {
+            Some(entry) if entry.preferred => Some(KnownTier::Preferred),
+            Some(_) => Some(KnownTier::Standard),
+            None => {
+                let is_always_known = self.always_known.iter().any(|block| block.contains(address));
+                is_always_known.then_some(KnownTier::Standard)
+            }
+        }
+    }
+
+    fn is_expired(&self, now: Micros, entry: &Entry) -> bool {
+        now > entry.served.saturating_add(self.limits.remember_for)
+    }
+
+    /// How many addresses are remembered.
+    pub fn len(&self) -> usize {
+        self.entries.len()
+    }
+
+    /// Whether none is remembered.
+    pub fn is_empty(&self) -> bool {
+        self.entries.is_empty()
+    }
+}
--- a/crates/admission/src/lib.rs
+++ b/crates/admission/src/lib.rs
@@ -8,20 +8,23 @@
 //! known. Idle connections of unknown clients make room for known ones; one that has a request open never does.
 //!
 //! - [`budget`]: how the process's descriptors are split
-//! - [`known`]: who is known, and the snapshot that survives a restart
+//! - [`cidr_block`]: blocks of addresses
+//! - [`known_clients`]: the table of known clients, and its snapshot
 //! - [`decide`]: the decider
 //! - [`minimum_throughput`]: when a client is too slow
 //! - [`stall_detector`]: when bytes that are read now arrived
 
 pub mod budget;
+pub mod cidr_block;
 pub mod decide;
-pub mod known;
+pub mod known_clients;
 pub mod minimum_throughput;
 pub mod stall_detector;
 
 pub use budget::{Budget, BudgetError, Split};
+pub use cidr_block::{CidrBlock, CidrError};
 pub use decide::{Admission, Caps, ConnId, GivesWay, Offer, Reason, Standing};
-pub use known::{Block, Known};
+pub use known_clients::{KnownClientLimits, KnownClients, KnownTier};
 
 /// A span of time, or a time, in microseconds.
 pub type Micros = u64;
--- a/crates/admission/tests/decider.rs
+++ b/crates/admission/tests/decider.rs
@@ -1,6 +1,6 @@
 //! The decider alone: each guard, floods, and any order of events.
 
-use chalkgap_admission::known::{Places, SnapshotError};
+use chalkgap_admission::known_clients::SnapshotError;
 use chalkgap_admission::*;
 use proptest::prelude::*;
 use std::net::{IpAddr, Ipv4Addr, Ipv6Addr};
@@ -23,10 +23,10 @@
     }
 }
 
-fn known() -> Known {
-    Known::new(
-        Places { most: 50, per_account: 5, lasts: 600 * S },
-        vec![Block::parse("10.9.0.0/16").unwrap()],
+fn known() -> KnownClients {
+    KnownClients::new(
+        KnownClientLimits { max_addresses: 50, max_per_account: 5, remember_for: 600 * S },
+        vec![CidrBlock::parse("10.9.0.0/16").unwrap()],
     )
 }
 
@@ -275,20 +275,20 @@
     // One account makes five addresses known and no more: its own oldest goes.
     let mut k = known();
     for n in 0..20 {
-        k.served(T0 + n, far(n as u32), 7, false);
+        k.record_served(T0 + n, far(n as u32), 7, false);
     }
-    k.served(T0, far(100), 8, false);
+    k.record_served(T0, far(100), 8, false);
     assert_eq!(k.len(), 6);
     assert_eq!(
-        (k.look(T0, far(14)), k.look(T0, far(15)), k.look(T0, far(100))),
-        (None, Some(false), Some(false))
+        (k.lookup(T0, far(14)), k.lookup(T0, far(15)), k.lookup(T0, far(100))),
+        (None, Some(KnownTier::Standard), Some(KnownTier::Standard))
     );
     // All places taken: the longest unserved goes.
     for n in 0..100 {
-        k.served(T0 + 100 + n, far(1000 + n as u32), 1000 + n, false);
+        k.record_served(T0 + 100 + n, far(1000 + n as u32), 1000 + n, false);
     }
     assert_eq!(k.len(), 50);
-    assert_eq!(k.look(T0, far(100)), None);
+    assert_eq!(k.lookup(T0, far(100)), None);
 }
 
 #[test]
@@ -414,11 +414,11 @@
 #[test]
 fn snapshots_are_taken_whole_or_not_at_all() {
     let mut k = known();
-    (0..40).for_each(|n| k.served(T0 + n, far(n as u32), n, n % 2 == 0));
+    (0..40).for_each(|n| k.record_served(T0 + n, far(n as u32), n, n % 2 == 0));
     let bytes = k.snapshot();
     let mut again = known();
     assert_eq!(again.restore(T0 + S, &bytes).unwrap(), 40);
-    assert_eq!(again.look(T0 + S, far(4)), Some(true));
+    assert_eq!(again.lookup(T0 + S, far(4)), Some(KnownTier::Preferred));
     assert_eq!(again.snapshot(), bytes);
     // Torn anywhere, changed anywhere, or another file.
     for cut in 0..bytes.len() {
@@ -431,7 +431,7 @@
     }
     assert!(matches!(
         known().restore(T0, b"something else entirely, and long enough for a hash"),
-        Err(SnapshotError::Form)
+        Err(SnapshotError::Format)
     ));
     // What is too old by now, or from a clock ahead of ours, is left out.
     assert_eq!(known().restore(T0 + 700 * S, &bytes).unwrap(), 0);
@@ -446,11 +446,14 @@
         ("2001:db8::/32", "2001:db8:ffff::1", "2001:db9::"),
         ("127.0.0.1", "::ffff:127.0.0.1", "127.0.0.2"),
     ] {
-        let block = Block::parse(text).unwrap();
-        assert!(block.holds(inside.parse().unwrap()) && !block.holds(outside.parse().unwrap()), "{text}");
+        let block = CidrBlock::parse(text).unwrap();
+        assert!(
+            block.contains(inside.parse().unwrap()) && !block.contains(outside.parse().unwrap()),
+            "{text}"
+        );
     }
     for text in ["", "10.0.0.0/33", "10.0.0.0/x", "10.0.0.1/8", "abc", "::/129", "10.0.0.0/-1"] {
-        assert!(Block::parse(text).unwrap_err().contains(&format!("{text:?}")));
+        assert!(CidrBlock::parse(text).unwrap_err().to_string().contains(&format!("{text:?}")));
     }
 }
 
