--- a/crates/fault-injection/benches/admission.rs
+++ b/crates/fault-injection/benches/admission.rs
@@ -7,8 +7,7 @@
 use chalkgap::runtime::{system::System, Shared};
 use chalkgap::settings;
 use chalkgap::Instance;
-use chalkgap_admission::known::Places;
-use chalkgap_admission::{Admission, Budget, Caps, ConnId, Known};
+use chalkgap_admission::{Admission, Budget, Caps, ConnId, KnownClientLimits, KnownClients};
 use chalkgap_testbed::client::{Ask, Client};
 use chalkgap_testbed::flood::{self, knock, Knock, Plan};
 use chalkgap_testbed::journal::{Answer, Journal};
@@ -156,7 +155,10 @@
         words_per_s: 500.0,
         gives_way: None,
     };
-    let known = Known::new(Places { most: 50_000, per_account: 64, lasts: 1 << 40 }, Vec::new());
+    let known = KnownClients::new(
+        KnownClientLimits { max_addresses: 50_000, max_per_account: 64, remember_for: 1 << 40 },
+        Vec::new(),
+    );
     let mut a = Admission::new(caps, Budget { clients: 10_000, nodes: 256, spare: 16 }, known);
     let begun = Instant::now();
     for n in 0..1_000_000u64 {
--- a/crates/gateway/src/gate.rs
+++ b/crates/gateway/src/gate.rs
@@ -4,10 +4,12 @@
 use crate::settings::Compiled;
 use crate::telemetry::{add, Telemetry};
 use async_channel::{Receiver, Sender};
-use chalkgap_admission::known::Places;
 use chalkgap_admission::minimum_throughput::MinimumThroughput;
 use chalkgap_admission::stall_detector::StallDetector;
-use chalkgap_admission::{Admission, Block, Budget, BudgetError, Caps, ConnId, Known, Offer, Reason, Split};
+use chalkgap_admission::{
+    Admission, Budget, BudgetError, Caps, CidrBlock, ConnId, KnownClientLimits, KnownClients, Offer, Reason,
+    Split,
+};
 use chalkgap_runtime::{Micros, Shared};
 use futures_lite::future;
 use std::collections::HashMap;
@@ -88,9 +90,9 @@
     /// The decider's limits.
     pub caps: Caps,
     /// Who is known, and for how long.
-    pub places: Places,
+    pub places: KnownClientLimits,
     /// Blocks of addresses that are always known.
-    pub named: Vec<Block>,
+    pub named: Vec<CidrBlock>,
     /// Where known addresses are kept.
     pub snapshot: Option<PathBuf>,
     /// What counts as too slow.
@@ -124,10 +126,10 @@
                 words_per_s: a.words_per_s,
                 gives_way: None,
             },
-            places: Places {
-                most: a.known,
-                per_account: a.known_per_account,
-                lasts: a.known_for_s.saturating_mul(1_000_000),
+            places: KnownClientLimits {
+                max_addresses: a.known,
+                max_per_account: a.known_per_account,
+                remember_for: a.known_for_s.saturating_mul(1_000_000),
             },
             named: settings.named.clone(),
             snapshot: a.snapshot.clone(),
@@ -153,7 +155,7 @@
         let limit = runtime.descriptors().min(most);
         let budget = split.of(limit, LEAST_CLIENTS)?;
         tracing::info!(limit, clients = budget.clients, nodes = budget.nodes, "descriptors");
-        let decider = Admission::new(caps, budget, Known::new(places, named));
+        let decider = Admission::new(caps, budget, KnownClients::new(places, named));
         let state = State {
             decider,
             pulse: StallDetector::new(runtime.now(), TICK),
@@ -254,7 +256,7 @@
             Err(e) => return tracing::warn!(path = %path.display(), error = %e, "known clients not read"),
         };
         let now = self.runtime.now();
-        match self.state().decider.known.restore(now, &bytes) {
+        match self.state().decider.known_clients.restore(now, &bytes) {
             Ok(known) => tracing::info!(known, "known clients come back"),
             Err(e) => {
                 tracing::warn!(path = %path.display(), error = %e, "known clients not taken, all are unknown")
@@ -265,7 +267,7 @@
     /// Keeps who is known.
     pub async fn keep(&self) {
         let Some(path) = &self.snapshot else { return };
-        let bytes = self.state().decider.known.snapshot();
+        let bytes = self.state().decider.known_clients.snapshot();
         if let Err(e) = self.runtime.files().replace(path, bytes).await {
             tracing::warn!(path = %path.display(), error = %e, "known clients not kept");
         }
--- a/crates/gateway/src/settings/compiled.rs
+++ b/crates/gateway/src/settings/compiled.rs
@@ -1,7 +1,7 @@
 //! Settings as the driver and the fronts look things up in them: names resolved, what belongs together checked.
 
 use super::{Group, Settings, SettingsError, Sizes};
-use chalkgap_admission::Block;
+use chalkgap_admission::CidrBlock;
 use chalkgap_core as core;
 use chalkgap_core::CustomerId;
 use std::collections::HashMap;
@@ -41,7 +41,7 @@
     /// Whether each plan is of the dearest, where prices differ.
     pub preferred: Vec<bool>,
     /// Blocks of addresses that are always known.
-    pub named: Vec<Block>,
+    pub named: Vec<CidrBlock>,
     accounts: HashMap<String, Customer>,
     default_plan: Option<u16>,
     default_class: Option<u8>,
@@ -172,9 +172,9 @@
         }
         let mut named = Vec::new();
         for (n, text) in a.named.iter().enumerate() {
-            match Block::parse(text) {
+            match CidrBlock::parse(text) {
                 Ok(block) => named.push(block),
-                Err(e) => say(format!("admission.named[{n}]"), e),
+                Err(e) => say(format!("admission.named[{n}]"), e.to_string()),
             }
         }
         let mut find = |map: &HashMap<String, usize>, name: &Option<String>, path: &str| {
--- a/crates/platform/src/ingress.rs
+++ b/crates/platform/src/ingress.rs
@@ -14,9 +14,8 @@
     listen, Acceptor, ConnectionGate, ConnectionGateConfig, Driver, DriverEvent, DriverLimits,
 };
 use chalkgap::telemetry::{Counts, Telemetry};
-use chalkgap_admission::known::Places;
 use chalkgap_admission::minimum_throughput::MinimumThroughput;
-use chalkgap_admission::{BudgetError, Caps, GivesWay, Split};
+use chalkgap_admission::{BudgetError, Caps, GivesWay, KnownClientLimits, Split};
 use chalkgap_core::Gateway;
 use chalkgap_runtime::{Datagrams, Micros, Shared};
 use chalkgap_transport::while_alive;
@@ -96,7 +95,7 @@
             // client a connection, where a newcomer that is refused loses a request.
             gives_way: Some(GivesWay { from: sockets / 4, silent: 50_000, idle: 50_000 }),
         },
-        places: Places { most: 64, per_account: 4, lasts: 60_000_000 },
+        places: KnownClientLimits { max_addresses: 64, max_per_account: 4, remember_for: 60_000_000 },
         named: Vec::new(),
         snapshot: None,
         pace: MinimumThroughput { grace_period: 2_000_000, bytes_per_second: 1 },
