--- a/crates/admission/src/decide.rs
+++ b/crates/admission/src/decide.rs
@@ -5,8 +5,10 @@
 //! one seen longest ago is forgotten first: a flood from new addresses makes the others' past be forgotten, which is to
 //! their good. Who is known has a table of its own that a flood cannot reach.
 
+use crate::accept_backoff::AcceptBackoff;
 use crate::cidr_block::{canonical, CidrBlock};
 use crate::known_clients::{KnownClients, KnownTier};
+use crate::running_clock::RunningClock;
 use crate::{Budget, Micros};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::IpAddr;
@@ -145,8 +147,6 @@
 const KNOWN_FACTOR: u32 = 4;
 /// A wider prefix may have open this many times what a narrow one may.
 const WIDE_FACTOR: u32 = 8;
-/// A gap between two events, in a caller that tells of every tenth of a second, that is this side's own pause.
-const OWN_PAUSE: Micros = 400_000;
 /// What a refused client is told to wait where nothing better is known.
 const PAUSE: Micros = 1_000_000;
 
@@ -175,11 +175,8 @@
     cut: u64,
     words: f64,
     words_at: Micros,
-    /// The last event, and the time that this side stood still: deadlines do not run meanwhile.
-    last: Micros,
-    still: Micros,
-    paused_until: Micros,
-    failures: u32,
+    clock: RunningClock,
+    accept_backoff: AcceptBackoff,
 }
 
 impl Admission {
@@ -203,21 +200,15 @@
             lingering: BTreeSet::new(),
             cut: 0,
             words_at: 0,
-            last: 0,
-            still: 0,
-            paused_until: 0,
-            failures: 0,
+            clock: RunningClock::default(),
+            accept_backoff: AcceptBackoff::default(),
         }
     }
 
     /// Time as it ran for clients: without the spells in which this side stood still. Told every tenth of a second,
     /// and before each event, it finds those by itself.
     pub fn own_time(&mut self, now: Micros) -> Micros {
-        if self.last > 0 && now > self.last + OWN_PAUSE {
-            self.still += now - self.last;
-        }
-        self.last = self.last.max(now);
-        now.saturating_sub(self.still)
+        self.clock.read(now)
     }
 
     /// How an address stands.
@@ -551,14 +542,12 @@
     /// Accepting failed for want of a resource: the listener is to rest until the given time, longer each time.
     pub fn accept_failed(&mut self, now: Micros) -> Micros {
         self.own_time(now);
-        self.failures = (self.failures + 1).min(8);
-        self.paused_until = now + (5000 << self.failures);
-        self.paused_until
+        self.accept_backoff.failed(now)
     }
 
     /// Accepting went well.
     pub fn accepted(&mut self) {
-        self.failures = 0;
+        self.accept_backoff.succeeded();
     }
 
     /// Connections open by standing, red first.
--- a/crates/admission/src/lib.rs
+++ b/crates/admission/src/lib.rs
@@ -12,13 +12,17 @@
 //! - [`known_clients`]: the table of known clients, and its snapshot
 //! - [`decide`]: the decider
 //! - [`minimum_throughput`]: when a client is too slow
+//! - `running_clock`: the time without this process's own stalls
+//! - `accept_backoff`: pauses of a listener that cannot accept
 //! - [`stall_detector`]: when bytes that are read now arrived
 
+mod accept_backoff;
 pub mod budget;
 pub mod cidr_block;
 pub mod decide;
 pub mod known_clients;
 pub mod minimum_throughput;
+mod running_clock;
 pub mod stall_detector;
 
 pub use budget::{Budget, BudgetError, Split};
