--- a/crates/admission/src/lib.rs
+++ b/crates/admission/src/lib.rs
@@ -8,20 +8,27 @@
 //! known. Idle connections of unknown clients make room for known ones; one that has a request open never does.
 //!
 //! - [`budget`]: how the process's descriptors are split
-//! - [`known`]: who is known, and the snapshot that survives a restart
+//! - [`cidr_block`]: blocks of addresses
+//! - [`known_clients`]: the table of known clients, and its snapshot
 //! - [`decide`]: the decider
-//! - [`pace`]: what counts as too slow
-//! - [`pulse`]: when bytes that are read now came
+//! - [`minimum_throughput`]: when a client is too slow
+//! - `running_clock`: the time without this process's own stalls
+//! - `accept_backoff`: pauses of a listener that cannot accept
+//! - [`stall_detector`]: when bytes that are read now arrived
 
+mod accept_backoff;
 pub mod budget;
+pub mod cidr_block;
 pub mod decide;
-pub mod known;
-pub mod pace;
-pub mod pulse;
+pub mod known_clients;
+pub mod minimum_throughput;
+mod running_clock;
+pub mod stall_detector;
 
 pub use budget::{Budget, BudgetError, Split};
+pub use cidr_block::{CidrBlock, CidrError};
 pub use decide::{Admission, Caps, ConnId, GivesWay, Offer, Reason, Standing};
-pub use known::{Block, Known};
+pub use known_clients::{KnownClientLimits, KnownClients, KnownTier};
 
 /// A span of time, or a time, in microseconds.
 pub type Micros = u64;
--- a/crates/gateway/src/connection_gate/config.rs
+++ b/crates/gateway/src/connection_gate/config.rs
@@ -1,9 +1,9 @@
 //! Configuration of a connection gate.
 
 use crate::settings::Compiled;
-use chalkgap_admission::known::Places as KnownClientLimits;
-use chalkgap_admission::pace::Pace as MinimumThroughput;
-use chalkgap_admission::{Block, Caps, Split};
+use chalkgap_admission::minimum_throughput::MinimumThroughput;
+use chalkgap_admission::KnownClientLimits;
+use chalkgap_admission::{Caps, CidrBlock, Split};
 use std::path::PathBuf;
 
 /// The smallest capacity for addresses without a connection that the decider remembers.
@@ -20,7 +20,7 @@
     /// How many addresses are remembered as known clients, and for how long.
     pub known_clients: KnownClientLimits,
     /// Blocks of addresses that always count as known clients.
-    pub always_known: Vec<Block>,
+    pub always_known: Vec<CidrBlock>,
     /// The file in which known clients are stored; `None`: they are forgotten at a restart.
     pub known_clients_file: Option<PathBuf>,
     /// Below which throughput a client counts as too slow.
@@ -56,15 +56,15 @@
                 gives_way: None,
             },
             known_clients: KnownClientLimits {
-                most: admission.known,
-                per_account: admission.known_per_account,
-                lasts: admission.known_for_s.saturating_mul(1_000_000),
+                max_addresses: admission.known,
+                max_per_account: admission.known_per_account,
+                remember_for: admission.known_for_s.saturating_mul(1_000_000),
             },
             always_known: settings.named.clone(),
             known_clients_file: admission.snapshot.clone(),
             minimum_throughput: MinimumThroughput {
-                patience: frontend.patience_ms * 1000,
-                bytes_per_s: admission.bytes_per_s,
+                grace_period: frontend.patience_ms * 1000,
+                bytes_per_second: admission.bytes_per_s,
             },
         }
     }
--- a/crates/gateway/src/connection_gate/mod.rs
+++ b/crates/gateway/src/connection_gate/mod.rs
@@ -12,9 +12,9 @@
 
 use crate::telemetry::{add, Telemetry};
 use async_channel::Sender;
-use chalkgap_admission::pace::Pace as MinimumThroughput;
-use chalkgap_admission::pulse::Pulse as StallDetector;
-use chalkgap_admission::{Admission, Budget, BudgetError, ConnId, Known, Offer, Split};
+use chalkgap_admission::minimum_throughput::MinimumThroughput;
+use chalkgap_admission::stall_detector::StallDetector;
+use chalkgap_admission::{Admission, Budget, BudgetError, ConnId, KnownClients, Offer, Split};
 use chalkgap_runtime::{Micros, Shared};
 use rejection_log::RejectionLog;
 use std::collections::HashMap;
@@ -69,7 +69,7 @@
         let limit = runtime.descriptors().min(config.max_descriptors);
         let budget = config.split.of(limit, MIN_CLIENT_DESCRIPTORS)?;
         tracing::info!(limit, clients = budget.clients, nodes = budget.nodes, "descriptors");
-        let known_clients = Known::new(config.known_clients, config.always_known);
+        let known_clients = KnownClients::new(config.known_clients, config.always_known);
         let state = State {
             admission: Admission::new(config.caps, budget, known_clients),
             stall_detector: StallDetector::new(runtime.now(), TICK),
@@ -159,7 +159,7 @@
             Err(error) => return tracing::warn!(path = %path.display(), %error, "known clients not read"),
         };
         let now = self.runtime.now();
-        match self.state().admission.known.restore(now, &bytes) {
+        match self.state().admission.known_clients.restore(now, &bytes) {
             Ok(known) => tracing::info!(known, "known clients loaded"),
             Err(error) => {
                 tracing::warn!(path = %path.display(), %error, "known clients invalid, starting without")
@@ -170,7 +170,7 @@
     /// Stores the known clients.
     pub async fn store_known_clients(&self) {
         let Some(path) = &self.known_clients_file else { return };
-        let bytes = self.state().admission.known.snapshot();
+        let bytes = self.state().admission.known_clients.snapshot();
         if let Err(error) = self.runtime.files().replace(path, bytes).await {
             tracing::warn!(path = %path.display(), %error, "known clients not stored");
         }
@@ -184,7 +184,7 @@
             let now = self.runtime.now();
             {
                 let mut state = self.state();
-                state.stall_detector.beat(now);
+                state.stall_detector.tick(now);
                 state.admission.own_time(now);
             }
             if tick % TICKS_PER_LIMIT_CHECK == 0 {
--- a/crates/gateway/src/connection_gate/permit.rs
+++ b/crates/gateway/src/connection_gate/permit.rs
@@ -2,7 +2,7 @@
 
 use super::ConnectionGate;
 use async_channel::Receiver;
-use chalkgap_admission::pace::Pace as MinimumThroughput;
+use chalkgap_admission::minimum_throughput::MinimumThroughput;
 use chalkgap_admission::{Admission, ConnId};
 use chalkgap_runtime::Micros;
 use futures_lite::future;
@@ -67,7 +67,7 @@
 
     /// The earliest time at which bytes that are read now may have arrived: before the process stalled, if it did.
     pub fn earliest_arrival(&self) -> Micros {
-        self.gate.state().stall_detector.came(self.gate.runtime.now())
+        self.gate.state().stall_detector.earliest_arrival(self.gate.runtime.now())
     }
 
     /// Whether the signal means that the gateway drains, and not that this connection is evicted.
--- a/crates/gateway/src/frontends/grpc/calls.rs
+++ b/crates/gateway/src/frontends/grpc/calls.rs
@@ -70,7 +70,7 @@
         let body = Deframer::new(self.context.settings.settings.front.most_message);
         let arrived_at = self.permit.earliest_arrival();
         let opened_at = self.client_time();
-        let first_check = opened_at + self.permit.minimum_throughput().patience;
+        let first_check = opened_at + self.permit.minimum_throughput().grace_period;
         self.progress.next_message_check.get_or_insert(first_check);
         let call = Call::Reading { method, body, arrived_at, timeout, opened_at, bytes: 0 };
         self.calls.insert(stream, call);
--- a/crates/gateway/src/frontends/grpc/slow_clients.rs
+++ b/crates/gateway/src/frontends/grpc/slow_clients.rs
@@ -86,11 +86,11 @@
             let known = known.filter(|unread| unread.since_by_pipe == since_by_pipe);
             UnreadOutput { since_by_pipe, since: known.map_or(now, |unread| unread.since), written }
         });
-        let handshake = (!pipe.conn.greeted()).then_some(progress.opened_at + minimum.patience);
+        let handshake = (!pipe.conn.greeted()).then_some(progress.opened_at + minimum.grace_period);
         let frame = progress.partial_frame.as_ref();
-        let frame = frame.map(|frame| minimum.until(frame.since, received - frame.received_before));
+        let frame = frame.map(|frame| minimum.deadline(frame.since, received - frame.received_before));
         let unread = progress.unread_output.as_ref();
-        let unread = unread.map(|unread| minimum.until(unread.since, unread.written));
+        let unread = unread.map(|unread| minimum.deadline(unread.since, unread.written));
         let idle = self.calls.is_empty().then_some(idle_deadline);
         let deadlines = [handshake, frame, unread, progress.next_message_check, idle];
         let next = deadlines.into_iter().flatten().min().unwrap_or(NEVER);
@@ -105,15 +105,16 @@
         let idle_timeout = self.idle_timeout();
         let progress = &mut self.progress;
         progress.stalled = self.context.runtime.now().saturating_sub(now);
-        if !pipe.conn.greeted() && now >= progress.opened_at + minimum.patience {
+        if !pipe.conn.greeted() && now >= progress.opened_at + minimum.grace_period {
             return Some("no SETTINGS in time");
         }
         let frame = progress.partial_frame.as_ref();
-        if frame.is_some_and(|frame| minimum.too_slow(now, frame.since, received - frame.received_before)) {
+        if frame.is_some_and(|frame| minimum.is_too_slow(now, frame.since, received - frame.received_before))
+        {
             return Some("a frame that does not come to its end");
         }
         let unread = progress.unread_output.as_ref();
-        if unread.is_some_and(|unread| minimum.too_slow(now, unread.since, unread.written)) {
+        if unread.is_some_and(|unread| minimum.is_too_slow(now, unread.since, unread.written)) {
             return Some("answers lie unread");
         }
         if self.calls.is_empty() && now >= progress.idle_since + idle_timeout {
@@ -123,7 +124,7 @@
             progress.goaway_sent = true;
             pipe.conn.shutdown();
             // The client has the usual patience to close the connection.
-            progress.idle_since = (now + minimum.patience).saturating_sub(idle_timeout);
+            progress.idle_since = (now + minimum.grace_period).saturating_sub(idle_timeout);
         }
         self.end_slow_messages(now, pipe);
         None
@@ -135,11 +136,11 @@
         let mut too_slow = Vec::new();
         for (stream, call) in &self.calls {
             let Call::Reading { opened_at, bytes, .. } = call else { continue };
-            if minimum.too_slow(now, *opened_at, *bytes) {
+            if minimum.is_too_slow(now, *opened_at, *bytes) {
                 too_slow.push(*stream);
                 continue;
             }
-            let deadline = minimum.until(*opened_at, *bytes);
+            let deadline = minimum.deadline(*opened_at, *bytes);
             let next = self.progress.next_message_check;
             self.progress.next_message_check = Some(next.map_or(deadline, |next| next.min(deadline)));
         }
--- a/crates/gateway/src/frontends/mqtt/connection.rs
+++ b/crates/gateway/src/frontends/mqtt/connection.rs
@@ -150,9 +150,9 @@
         let keep_alive = if pipe.conn.open() {
             pipe.conn.patience().map(|seconds| last_packet_at + (seconds * 1e6) as Micros)
         } else {
-            Some(opened_at + minimum.patience)
+            Some(opened_at + minimum.grace_period)
         };
-        let unread_output = pipe.backlog().map(|(since, written)| minimum.until(since, written));
+        let unread_output = pipe.backlog().map(|(since, written)| minimum.deadline(since, written));
         TurnDeadlines { keep_alive, unread_output }
     }
 
@@ -204,7 +204,7 @@
     fn check_progress(&mut self, deadlines: &TurnDeadlines, pipe: &mut ClientPipe) -> ControlFlow<()> {
         let now = self.context.runtime.now();
         let minimum = self.permit.minimum_throughput();
-        if pipe.backlog().is_some_and(|(since, written)| minimum.too_slow(now, since, written)) {
+        if pipe.backlog().is_some_and(|(since, written)| minimum.is_too_slow(now, since, written)) {
             add(&self.context.telemetry.too_slow);
             return ControlFlow::Break(());
         }
--- a/crates/gateway/src/settings/compiled.rs
+++ b/crates/gateway/src/settings/compiled.rs
@@ -6,7 +6,7 @@
     Complaints,
 };
 use super::{Account, Class, Plan, Repeat, Settings, SettingsError};
-use chalkgap_admission::Block;
+use chalkgap_admission::CidrBlock;
 use chalkgap_core::CustomerId;
 use std::collections::HashMap;
 
@@ -48,7 +48,7 @@
     /// Whether a plan is one of the most expensive, by plan. All false if all plans cost the same.
     pub preferred: Vec<bool>,
     /// Blocks of addresses that are always known clients.
-    pub named: Vec<Block>,
+    pub named: Vec<CidrBlock>,
     accounts: HashMap<String, Customer>,
     default_plan: Option<u16>,
     default_class: Option<u8>,
@@ -151,10 +151,10 @@
     }
 }
 
-fn parse_blocks(texts: &[String], complaints: &mut Complaints) -> Vec<Block> {
+fn parse_blocks(texts: &[String], complaints: &mut Complaints) -> Vec<CidrBlock> {
     let mut blocks = Vec::new();
     for (index, text) in texts.iter().enumerate() {
-        match Block::parse(text) {
+        match CidrBlock::parse(text) {
             Ok(block) => blocks.push(block),
             Err(error) => complaints.add(format_args!("admission.named[{index}]"), error),
         }
--- a/crates/platform/src/connection_limits.rs
+++ b/crates/platform/src/connection_limits.rs
@@ -1,8 +1,8 @@
 //! How an ingress splits its descriptors, and whom its connection gate admits.
 
 use chalkgap::frontend::ConnectionGateConfig;
-use chalkgap_admission::known::Places;
-use chalkgap_admission::pace::Pace;
+use chalkgap_admission::minimum_throughput::MinimumThroughput;
+use chalkgap_admission::KnownClientLimits;
 use chalkgap_admission::{Caps, GivesWay, Split};
 use chalkgap_runtime::Micros;
 
@@ -44,9 +44,9 @@
                 idle: EVICTABLE_AFTER_MICROS,
             }),
         },
-        known_clients: Places { most: 64, per_account: 4, lasts: 60_000_000 },
+        known_clients: KnownClientLimits { max_addresses: 64, max_per_account: 4, remember_for: 60_000_000 },
         always_known: Vec::new(),
         known_clients_file: None,
-        minimum_throughput: Pace { patience: 2_000_000, bytes_per_s: 1 },
+        minimum_throughput: MinimumThroughput { grace_period: 2_000_000, bytes_per_second: 1 },
     }
 }
