--- a/crates/gateway/src/error.rs
+++ b/crates/gateway/src/error.rs
@@ -8,23 +8,23 @@
 /// Why an instance does not start.
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
-    /// The settings are not taken.
+    /// The settings are invalid.
     #[error(transparent)]
     Settings(#[from] SettingsError),
     /// An address cannot be bound.
     #[error("{path}: {address} cannot be bound: {error}")]
     Bind {
-        /// The setting.
+        /// The path of the setting.
         path: &'static str,
         /// The address.
         address: SocketAddr,
-        /// The system's word.
+        /// The system's error.
         error: io::Error,
     },
     /// The ledger cannot be opened.
     #[error("settings.ledger.folder: {error}")]
     Ledger {
-        /// What was found.
+        /// What is wrong with it.
         error: StoreError,
     },
 }
--- a/crates/gateway/src/fleet/mod.rs
+++ b/crates/gateway/src/fleet/mod.rs
@@ -1,6 +1,6 @@
 //! Membership of the fleet: which gateways are running.
 //!
-//! [`MembershipService`] connects the state machine of `chalkgap_membership` to the socket and the clock, logs its changes,
+//! `MembershipService` connects the state machine of `chalkgap_membership` to the socket and the clock, logs its changes,
 //! and reports the reachability of peers to the driver. [`fetch_snapshot`] queries any running gateway for its view, as
 //! the command line does.
 
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,15 +1,15 @@
-//! chalkgap as a library: an ingress that keeps quotas and priorities over a fleet of instances.
+//! chalkgap as a library: an API gateway that enforces quotas and priorities over a fleet of instances.
 //!
-//! An [`Instance`] is started from [`settings::Settings`] on a [`runtime`]; it serves the public gRPC rate limit
-//! service, sends what the module lets in to nodes, talks to its peers, and is drained or stopped through its handle.
-//! All decisions on requests are those of `chalkgap-core`; the driver inside carries them out.
+//! An [`Instance`] is started from [`settings::Settings`] on a [`runtime`]. It serves the public gRPC rate limit service and
+//! MQTT, forwards admitted requests to nodes, exchanges gossip with its peers, and is drained or stopped through its handle.
+//! `chalkgap-core` takes all decisions on requests; the driver carries them out.
 //!
-//! - [`frontend`]: the driver, the gate and the traits of ways in and out, for other protocols' packages
-//! - [`fleet`]: who is there, as any ingress shows it
-//! - [`settings`]: what an instance is told, as a script or in place
+//! - [`frontend`]: the driver, the connection gate and the traits for further protocols
+//! - [`fleet`]: membership of the fleet
+//! - [`settings`]: the settings of an instance
 //! - [`node_list`]: the list of nodes
-//! - [`peers`]: authenticated datagrams between ingresses
-//! - [`telemetry`]: what is counted
+//! - [`peers`]: authenticated datagrams between gateways
+//! - [`telemetry`]: the counters of an instance
 
 mod connection_gate;
 mod discovery;
@@ -28,8 +28,8 @@
 pub mod telemetry;
 mod upstream;
 
-/// What a protocol in a package of its own is built on: the driver that owns the module, what goes in and out of it, and
-/// the gate that lets connections in. An [`Instance`] is put together from the same parts.
+/// What a protocol in a crate of its own is built on: the driver that owns the core, the messages to and from it, and the
+/// gate that admits connections. An [`Instance`] consists of the same parts.
 pub mod frontend {
     pub use crate::connection_gate::{ConnectionGate, ConnectionGateConfig, Permit, RequestEnd};
     pub use crate::driver::{Driver, DriverLimits};
--- a/crates/gateway/src/node_list/mod.rs
+++ b/crates/gateway/src/node_list/mod.rs
@@ -1,6 +1,6 @@
 //! The list of nodes: its format in files and in memory, and its conversion to the core's endpoints.
 //!
-//! There is no I/O here; [`crate::discovery`] obtains lists.
+//! There is no I/O here; the `discovery` module obtains lists.
 
 mod endpoint_ids;
 #[cfg(test)]
