--- a/crates/admission/src/decide.rs
+++ b/crates/admission/src/decide.rs
@@ -9,7 +9,7 @@
 use crate::cidr_block::{canonical, CidrBlock};
 use crate::known_clients::{KnownClients, KnownTier};
 use crate::running_clock::RunningClock;
-use crate::{Budget, Micros};
+use crate::{DescriptorBudget, Micros};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::IpAddr;
 
@@ -153,7 +153,7 @@
 /// Decides on connections.
 pub struct Admission {
     caps: Caps,
-    budget: Budget,
+    budget: DescriptorBudget,
     /// The known clients.
     pub known_clients: KnownClients,
     conns: BTreeMap<ConnId, Conn>,
@@ -181,7 +181,7 @@
 
 impl Admission {
     /// A decider with nothing open.
-    pub fn new(caps: Caps, budget: Budget, known_clients: KnownClients) -> Self {
+    pub fn new(caps: Caps, budget: DescriptorBudget, known_clients: KnownClients) -> Self {
         Admission {
             words: caps.words_per_s.max(1.0),
             caps,
@@ -524,7 +524,7 @@
     }
 
     /// The budget changed. Gives the idle connections that have to go for it; busy ones stay until they are idle.
-    pub fn rebudget(&mut self, now: Micros, budget: Budget) -> Vec<ConnId> {
+    pub fn rebudget(&mut self, now: Micros, budget: DescriptorBudget) -> Vec<ConnId> {
         self.own_time(now);
         self.budget = budget;
         let mut list = Vec::new();
--- a/crates/admission/src/lib.rs
+++ b/crates/admission/src/lib.rs
@@ -7,7 +7,7 @@
 //! last. Known is who was lately served within quota, or whom the settings name; nothing that a client says makes it
 //! known. Idle connections of unknown clients make room for known ones; one that has a request open never does.
 //!
-//! - [`budget`]: how the process's descriptors are split
+//! - [`descriptor_budget`]: how the limit of descriptors is split
 //! - [`cidr_block`]: blocks of addresses
 //! - [`known_clients`]: the table of known clients, and its snapshot
 //! - [`decide`]: the decider
@@ -17,17 +17,17 @@
 //! - [`stall_detector`]: when bytes that are read now arrived
 
 mod accept_backoff;
-pub mod budget;
 pub mod cidr_block;
 pub mod decide;
+pub mod descriptor_budget;
 pub mod known_clients;
 pub mod minimum_throughput;
 mod running_clock;
 pub mod stall_detector;
 
-pub use budget::{Budget, BudgetError, Split};
 pub use cidr_block::{CidrBlock, CidrError};
 pub use decide::{Admission, Caps, ConnId, GivesWay, Offer, Reason, Standing};
+pub use descriptor_budget::{BudgetError, DescriptorBudget, DescriptorReservations};
 pub use known_clients::{KnownClientLimits, KnownClients, KnownTier};
 
 /// A span of time, or a time, in microseconds.
--- a/crates/admission/tests/decider.rs
+++ b/crates/admission/tests/decider.rs
@@ -31,7 +31,7 @@
 }
 
 fn decider() -> Admission {
-    Admission::new(caps(), Budget { clients: 100, nodes: 10, spare: 5 }, known())
+    Admission::new(caps(), DescriptorBudget { clients: 100, nodes: 10, spare: 5 }, known())
 }
 
 /// An address of its own /24.
@@ -160,7 +160,7 @@
     let way = GivesWay { from: 4, silent: 50_000, idle: 100_000 };
     let wide = Caps { per_address: 99, per_second: 1e9, reserve: 0.0, preferred: 0.0, ..caps() };
     let caps = Caps { gives_way: Some(way), per_prefix: 99, handshakes_per_address: 99, ..wide };
-    let mut a = Admission::new(caps, Budget { clients: 8, nodes: 10, spare: 3 }, known());
+    let mut a = Admission::new(caps, DescriptorBudget { clients: 8, nodes: 10, spare: 3 }, known());
     let one = far(1);
     let accept = |victim: Option<u64>| Offer::Accept { evict: victim.map(ConnId) };
     let answered = |a: &mut Admission, at: Micros, id: u64| {
@@ -201,7 +201,7 @@
     let wide =
         Caps { per_address: 99, per_second: 1e9, reserve: 0.0, preferred: 0.0, per_prefix: 99, ..caps() };
     let caps = Caps { gives_way: Some(way), handshakes_per_address: 99, ..wide };
-    let mut a = Admission::new(caps, Budget { clients: 8, nodes: 10, spare: 3 }, known());
+    let mut a = Admission::new(caps, DescriptorBudget { clients: 8, nodes: 10, spare: 3 }, known());
     let (one, accept) = (far(1), |victim: Option<u64>| Offer::Accept { evict: victim.map(ConnId) });
     for id in 0..3 {
         assert_eq!(a.offered(T0 + id, ConnId(id), one), accept(None), "silent");
@@ -330,7 +330,7 @@
             a.request(T0, ConnId(n));
         }
     }
-    let gone = a.rebudget(T0, Budget { clients: 20, nodes: 10, spare: 5 });
+    let gone = a.rebudget(T0, DescriptorBudget { clients: 20, nodes: 10, spare: 5 });
     assert_eq!(gone.len(), 30, "the idle ones, all of them; thirty busy ones are over the budget");
     gone.iter().for_each(|id| a.closed(T0, *id));
     let named = IpAddr::from(Ipv4Addr::new(10, 9, 1, 1));
@@ -346,7 +346,7 @@
     for n in 0..70 {
         open(&mut a, T0 + n, n, far(n as u32));
     }
-    let evicted = a.rebudget(T0 + S, Budget { clients: 50, nodes: 10, spare: 8 });
+    let evicted = a.rebudget(T0 + S, DescriptorBudget { clients: 50, nodes: 10, spare: 8 });
     assert_eq!(evicted.len(), 20);
     // Each is cut as soon as it lingers while more are open than clients may have and half of the spare ones; those that
     // follow may linger, and the longest goes first.
@@ -400,15 +400,16 @@
 
 #[test]
 fn a_budget_too_small_says_so() {
-    let split = Split { listeners: 8, nodes: 64, peers: 4, files: 16, spare: 8, most_clients: 1000 };
-    assert_eq!(split.of(200, 10), Ok(Budget { clients: 100, nodes: 64, spare: 8 }));
-    assert_eq!(split.of(100_000, 10).unwrap().clients, 1000);
-    let error = split.of(105, 10).unwrap_err().to_string();
+    let split =
+        DescriptorReservations { listeners: 8, nodes: 64, peers: 4, files: 16, spare: 8, max_clients: 1000 };
+    assert_eq!(split.split(200, 10), Ok(DescriptorBudget { clients: 100, nodes: 64, spare: 8 }));
+    assert_eq!(split.split(100_000, 10).unwrap().clients, 1000);
+    let error = split.split(105, 10).unwrap_err().to_string();
     assert!(
         error.starts_with("105 descriptors, but 100 are set aside") && error.contains("need 10"),
         "{error}"
     );
-    assert!(Split { nodes: u64::MAX, ..split }.of(200, 1).is_err());
+    assert!(DescriptorReservations { nodes: u64::MAX, ..split }.split(200, 1).is_err());
 }
 
 #[test]
@@ -518,7 +519,7 @@
     /// descriptor that is wanted.
     #[test]
     fn any_order(steps in proptest::collection::vec(step(), 0..400)) {
-        let mut budget = Budget { clients: 30, nodes: 1, spare: 3 };
+        let mut budget = DescriptorBudget { clients: 30, nodes: 1, spare: 3 };
         let mut a = Admission::new(Caps { per_second: 1000.0, ..caps() }, budget, known());
         let (mut now, mut next) = (T0, 0u64);
         let mut open: Vec<(ConnId, u32, On)> = Vec::new();
