--- a/crates/fault-injection/benches/admission.rs
+++ b/crates/fault-injection/benches/admission.rs
@@ -7,7 +7,7 @@
 use chalkgap::runtime::{system::System, Shared};
 use chalkgap::settings;
 use chalkgap::Instance;
-use chalkgap_admission::{Admission, Budget, Caps, ConnId, KnownClientLimits, KnownClients};
+use chalkgap_admission::{Admission, Caps, ConnId, DescriptorBudget, KnownClientLimits, KnownClients};
 use chalkgap_testbed::client::{Ask, Client};
 use chalkgap_testbed::flood::{self, knock, Knock, Plan};
 use chalkgap_testbed::journal::{Answer, Journal};
@@ -159,7 +159,7 @@
         KnownClientLimits { max_addresses: 50_000, max_per_account: 64, remember_for: 1 << 40 },
         Vec::new(),
     );
-    let mut a = Admission::new(caps, Budget { clients: 10_000, nodes: 256, spare: 16 }, known);
+    let mut a = Admission::new(caps, DescriptorBudget { clients: 10_000, nodes: 256, spare: 16 }, known);
     let begun = Instant::now();
     for n in 0..1_000_000u64 {
         let address: IpAddr = Ipv4Addr::from((n as u32).wrapping_mul(2_654_435_761) % addresses * 257).into();
--- a/crates/gateway/src/gate.rs
+++ b/crates/gateway/src/gate.rs
@@ -7,8 +7,8 @@
 use chalkgap_admission::minimum_throughput::MinimumThroughput;
 use chalkgap_admission::stall_detector::StallDetector;
 use chalkgap_admission::{
-    Admission, Budget, BudgetError, Caps, CidrBlock, ConnId, KnownClientLimits, KnownClients, Offer, Reason,
-    Split,
+    Admission, BudgetError, Caps, CidrBlock, ConnId, DescriptorBudget, DescriptorReservations,
+    KnownClientLimits, KnownClients, Offer, Reason,
 };
 use chalkgap_runtime::{Micros, Shared};
 use futures_lite::future;
@@ -45,7 +45,7 @@
     runtime: Shared,
     telemetry: Arc<Telemetry>,
     state: Mutex<State>,
-    split: Split,
+    split: DescriptorReservations,
     most: u64,
     limit: AtomicU64,
     refusing: AtomicU64,
@@ -84,7 +84,7 @@
 /// What a gate goes by.
 pub struct ConnectionGateConfig {
     /// How descriptors are split.
-    pub split: Split,
+    pub split: DescriptorReservations,
     /// The most descriptors, where that is less than the process may have.
     pub most: u64,
     /// The decider's limits.
@@ -105,13 +105,13 @@
         let (a, d, front) =
             (&settings.settings.admission, &settings.settings.descriptors, &settings.settings.front);
         ConnectionGateConfig {
-            split: Split {
+            split: DescriptorReservations {
                 listeners: d.listeners,
                 nodes: d.nodes,
                 peers: d.peers,
                 files: d.files,
                 spare: d.spare,
-                most_clients: front.max_connections as u64,
+                max_clients: front.max_connections as u64,
             },
             most: u64::MAX,
             caps: Caps {
@@ -153,7 +153,7 @@
     ) -> Result<Arc<ConnectionGate>, BudgetError> {
         let ConnectionGateConfig { split, most, caps, places, named, snapshot, pace } = config;
         let limit = runtime.descriptors().min(most);
-        let budget = split.of(limit, LEAST_CLIENTS)?;
+        let budget = split.split(limit, LEAST_CLIENTS)?;
         tracing::info!(limit, clients = budget.clients, nodes = budget.nodes, "descriptors");
         let decider = Admission::new(caps, budget, KnownClients::new(places, named));
         let state = State {
@@ -300,8 +300,8 @@
             return;
         }
         // Lowered below what is set aside: clients have nothing left, and the ones that are busy are served.
-        let aside = Budget { clients: 0, nodes: self.split.nodes, spare: self.split.spare };
-        let budget = self.split.of(limit, 1).unwrap_or(aside);
+        let aside = DescriptorBudget { clients: 0, nodes: self.split.nodes, spare: self.split.spare };
+        let budget = self.split.split(limit, 1).unwrap_or(aside);
         tracing::warn!(old, limit, clients = budget.clients, "the limit of descriptors changed");
         let mut s = self.state();
         for id in s.decider.rebudget(now, budget) {
--- a/crates/platform/src/ingress.rs
+++ b/crates/platform/src/ingress.rs
@@ -15,7 +15,7 @@
 };
 use chalkgap::telemetry::{Counts, Telemetry};
 use chalkgap_admission::minimum_throughput::MinimumThroughput;
-use chalkgap_admission::{BudgetError, Caps, GivesWay, KnownClientLimits, Split};
+use chalkgap_admission::{BudgetError, Caps, DescriptorReservations, GivesWay, KnownClientLimits};
 use chalkgap_core::Gateway;
 use chalkgap_runtime::{Datagrams, Micros, Shared};
 use chalkgap_transport::while_alive;
@@ -69,11 +69,11 @@
 
 /// How descriptors are split: clients hold a third at most for requests, and backends get as many; all else is for
 /// connections that are kept, or never ask anything.
-fn split(sockets: u64) -> Split {
+fn split(sockets: u64) -> DescriptorReservations {
     let spare = (sockets / 20).max(8);
     let nodes = sockets * 35 / 100;
     let clients = sockets.saturating_sub(nodes + spare + OWN);
-    Split { listeners: OWN, nodes, peers: 0, files: 0, spare, most_clients: clients }
+    DescriptorReservations { listeners: OWN, nodes, peers: 0, files: 0, spare, max_clients: clients }
 }
 
 fn gate(sockets: u64) -> ConnectionGateConfig {
