--- a/crates/gateway/src/connection_gate/config.rs
+++ b/crates/gateway/src/connection_gate/config.rs
@@ -3,7 +3,7 @@
 use crate::settings::Compiled;
 use chalkgap_admission::minimum_throughput::MinimumThroughput;
 use chalkgap_admission::KnownClientLimits;
-use chalkgap_admission::{Caps, CidrBlock, Split};
+use chalkgap_admission::{Caps, CidrBlock, DescriptorReservations};
 use std::path::PathBuf;
 
 /// The smallest capacity for addresses without a connection that the decider remembers.
@@ -12,7 +12,7 @@
 /// Configuration of a [`ConnectionGate`](super::ConnectionGate).
 pub struct ConnectionGateConfig {
     /// How the process's file descriptors are divided.
-    pub split: Split,
+    pub split: DescriptorReservations,
     /// An upper bound on the descriptors in use, below the process's own limit.
     pub max_descriptors: u64,
     /// Limits of connection admission.
@@ -34,13 +34,13 @@
         let descriptors = &settings.settings.descriptors;
         let frontend = &settings.settings.front;
         ConnectionGateConfig {
-            split: Split {
+            split: DescriptorReservations {
                 listeners: descriptors.listeners,
                 nodes: descriptors.nodes,
                 peers: descriptors.peers,
                 files: descriptors.files,
                 spare: descriptors.spare,
-                most_clients: frontend.max_connections as u64,
+                max_clients: frontend.max_connections as u64,
             },
             max_descriptors: u64::MAX,
             caps: Caps {
--- a/crates/gateway/src/connection_gate/mod.rs
+++ b/crates/gateway/src/connection_gate/mod.rs
@@ -14,7 +14,9 @@
 use async_channel::Sender;
 use chalkgap_admission::minimum_throughput::MinimumThroughput;
 use chalkgap_admission::stall_detector::StallDetector;
-use chalkgap_admission::{Admission, Budget, BudgetError, ConnId, KnownClients, Offer, Split};
+use chalkgap_admission::{
+    Admission, BudgetError, ConnId, DescriptorBudget, DescriptorReservations, KnownClients, Offer,
+};
 use chalkgap_runtime::{Micros, Shared};
 use rejection_log::RejectionLog;
 use std::collections::HashMap;
@@ -48,7 +50,7 @@
     runtime: Shared,
     telemetry: Arc<Telemetry>,
     state: Mutex<State>,
-    split: Split,
+    split: DescriptorReservations,
     max_descriptors: u64,
     descriptor_limit: AtomicU64,
     rejections_in_progress: AtomicU64,
@@ -67,7 +69,7 @@
         telemetry: Arc<Telemetry>,
     ) -> Result<Arc<ConnectionGate>, BudgetError> {
         let limit = runtime.descriptors().min(config.max_descriptors);
-        let budget = config.split.of(limit, MIN_CLIENT_DESCRIPTORS)?;
+        let budget = config.split.split(limit, MIN_CLIENT_DESCRIPTORS)?;
         tracing::info!(limit, clients = budget.clients, nodes = budget.nodes, "descriptors");
         let known_clients = KnownClients::new(config.known_clients, config.always_known);
         let state = State {
@@ -204,8 +206,8 @@
             return;
         }
         // A limit below what is set aside leaves nothing for clients; those with open requests are still served.
-        let no_clients = Budget { clients: 0, nodes: self.split.nodes, spare: self.split.spare };
-        let budget = self.split.of(limit, 1).unwrap_or(no_clients);
+        let no_clients = DescriptorBudget { clients: 0, nodes: self.split.nodes, spare: self.split.spare };
+        let budget = self.split.split(limit, 1).unwrap_or(no_clients);
         tracing::warn!(old, limit, clients = budget.clients, "the limit of descriptors changed");
         let mut state = self.state();
         for id in state.admission.rebudget(now, budget) {
--- a/crates/platform/src/connection_limits.rs
+++ b/crates/platform/src/connection_limits.rs
@@ -3,7 +3,7 @@
 use chalkgap::frontend::ConnectionGateConfig;
 use chalkgap_admission::minimum_throughput::MinimumThroughput;
 use chalkgap_admission::KnownClientLimits;
-use chalkgap_admission::{Caps, GivesWay, Split};
+use chalkgap_admission::{Caps, DescriptorReservations, GivesWay};
 use chalkgap_runtime::Micros;
 
 /// Descriptors for the runtime, listeners, discovery and standard streams.
@@ -13,11 +13,18 @@
 
 /// Clients use at most a third of the descriptors for requests, and backends get as many; the rest is for connections that
 /// are idle or never send a request.
-pub(crate) fn descriptor_split(descriptors: u64) -> Split {
+pub(crate) fn descriptor_split(descriptors: u64) -> DescriptorReservations {
     let spare = (descriptors / 20).max(8);
     let nodes = descriptors * 35 / 100;
     let clients = descriptors.saturating_sub(nodes + spare + OWN_DESCRIPTORS);
-    Split { listeners: OWN_DESCRIPTORS, nodes, peers: 0, files: 0, spare, most_clients: clients }
+    DescriptorReservations {
+        listeners: OWN_DESCRIPTORS,
+        nodes,
+        peers: 0,
+        files: 0,
+        spare,
+        max_clients: clients,
+    }
 }
 
 /// All clients come through one proxy, so their addresses do not tell them apart: no limit is by address.
