--- a/crates/gateway/tests/hard_cases.rs
+++ b/crates/gateway/tests/hard_cases.rs
@@ -327,8 +327,13 @@
         let start =
             || Node::start(system.clone(), ([127, 0, 0, 1], 0).into(), Machine::default(), journal.clone());
         let (one, two) = (start().unwrap(), start().unwrap());
-        let write =
-            |nodes: &[&Node]| std::fs::write(&path, serde_json::to_vec(&list(nodes)).unwrap()).unwrap();
+        // Renamed into place: the file is never seen half written, but where the test wants it so.
+        let put = |content: &[u8]| {
+            let written = path.with_extension("new");
+            std::fs::write(&written, content).unwrap();
+            std::fs::rename(&written, &path).unwrap();
+        };
+        let write = |nodes: &[&Node]| put(&serde_json::to_vec(&list(nodes)).unwrap());
         let runtime: Shared = system.clone();
         write(&[&one]);
         let ingress = Instance::start(settings, system.clone()).await.unwrap();
@@ -336,7 +341,7 @@
         let client =
             Client::connect(system.clone(), ingress.grpc_address(), 0, journal.clone()).await.unwrap();
         assert_eq!(client.call(&ask(1, "big", "sig-check")).await.answer, Answer::Served);
-        std::fs::write(&path, "{\"nodes\": [").unwrap(); // torn: the last one stays
+        put(b"{\"nodes\": ["); // torn: the last one stays
         eventually(&runtime, "refused", || ingress.counts().lists_bad == 1).await;
         assert_eq!(client.call(&ask(2, "big", "sig-check")).await.answer, Answer::Served);
         write(&[&two]);
