--- a/crates/runtime/src/lib.rs
+++ b/crates/runtime/src/lib.rs
@@ -2,7 +2,8 @@
 //! listeners, datagrams, files and randomness. Nothing above this crate names a socket type of the system or asks the
 //! system for the time, so that all of it can be played through on another world.
 //!
-//! [`weather`] is what links do to what goes over them; [`altered::FaultyRuntime`] is a world with a part of its own.
+//! [`link_faults`] names what links do to the bytes that cross them; [`faulty_runtime::FaultyRuntime`] is another runtime with
+//! a part replaced, for tests of what happens when the system fails.
 //!
 //! [`system::System`] is the real one, on async-io and futures-lite; [`simulated_runtime::World`] has no system under it.
 
