--- a/crates/core/tests/decision_trace.rs
+++ b/crates/core/tests/decision_trace.rs
@@ -1,12 +1,13 @@
-//! A digest over every decision of simulated fleets, recorded before the code was restructured.
+//! Regression test: the decisions of simulated fleets hash to digests recorded before the code was restructured.
 //!
-//! Each scenario plays a fleet of gateways against model backends through a network that delays, loses, repeats and
-//! reorders messages. Backends start cold, drain, fail, fall silent and disappear; gateways are killed, restarted and
-//! stopped in order. Every [`Event`] occurs. Each [`Action`] that comes back is encoded by this file and hashed, so
-//! that a digest changes with any decision, and with nothing else: names of types and texts of log lines do not count.
+//! Each scenario runs a fleet of gateways against simulated backends, over a network that delays, loses, duplicates
+//! and reorders messages. Backends start cold, drain, fail, stop responding and are removed; gateways are killed,
+//! stopped gracefully and restarted. Every [`Event`] occurs. Each [`Action`] that a gateway returns is encoded by
+//! this file and hashed. Names of types and the words of log lines are not encoded, so that a digest depends on the
+//! decisions alone.
 //!
-//! A digest that differs means that the code decides differently. A change that is meant to decide differently records
-//! new digests and says so in its commit.
+//! A digest that differs means that the code decides differently. A change that is meant to decide differently
+//! records new digests, and its commit says so.
 
 use chalkgap_core::*;
 use std::cmp::Reverse;
@@ -15,57 +16,62 @@
 const SECOND: Micros = 1_000_000;
 const START: Micros = 1_000 * SECOND;
 
-/// What a scenario is made of.
+/// The size of a fleet, its traffic and its settings.
 struct Scenario {
     gateways: u16,
     backends: u64,
     customers: u64,
-    /// Requests a second, over all gateways.
+    /// Requests per second, summed over all gateways.
     request_rate: f64,
-    /// Messages a second that a gateway takes; few of them in a large fleet mean two owners for each customer.
+    /// Gossip messages per second that one gateway may receive. Where this is low for the size of the fleet, two
+    /// owners keep the quota of each customer, instead of all gateways that its requests come to.
     gossip_receive_rate: f64,
+    /// Simulated time, in microseconds.
     duration: Micros,
     settings: SettingsKind,
     seed: u64,
 }
 
-/// What the settings permit.
+/// Which features the settings enable.
 #[derive(Clone, Copy, PartialEq)]
 enum SettingsKind {
-    /// Pushed endpoint lists, hedging, capacities of endpoints.
+    /// Endpoint lists are pushed, requests are hedged, and weights are capacities.
     Hedging,
-    /// Polled endpoint lists, units settled afterwards, no hedging but cancelling.
+    /// Endpoint lists are polled, units are charged after the attempt, and attempts are cancelled but not hedged.
     Polling,
-    /// No cancelling, no hedging, no gossip, no Retry-After.
+    /// Cancellation, hedging, gossip and Retry-After are all disabled.
     Restricted,
 }
 
-/// Pseudo-random numbers for a seed (splitmix64).
+/// Pseudo-random number generator (splitmix64); holds its state.
 struct Random(u64);
 
 impl Random {
     fn next(&mut self) -> u64 {
         self.0 = self.0.wrapping_add(0x9E37_79B9_7F4A_7C15);
-        let mut z = self.0;
-        z = (z ^ (z >> 30)).wrapping_mul(0xBF58_476D_1CE4_E5B9);
-        z = (z ^ (z >> 27)).wrapping_mul(0x94D0_49BB_1331_11EB);
-        z ^ (z >> 31)
+        let mut mixed = self.0;
+        mixed = (mixed ^ (mixed >> 30)).wrapping_mul(0xBF58_476D_1CE4_E5B9);
+        mixed = (mixed ^ (mixed >> 27)).wrapping_mul(0x94D0_49BB_1331_11EB);
+        mixed ^ (mixed >> 31)
     }
 
+    /// Returns an integer from 0 up to and without `limit`.
     fn below(&mut self, limit: u64) -> u64 {
         self.next() % limit
     }
 
+    /// Returns true once in `one_in` calls on average.
     fn chance(&mut self, one_in: u64) -> bool {
         self.below(one_in) == 0
     }
 
+    /// Returns a number from 0 up to and without 1.
     fn unit(&mut self) -> f64 {
         (self.next() >> 11) as f64 / (1u64 << 53) as f64
     }
 }
 
-/// A model of a backend: a number of workers, a service time, and the faults of the moment.
+/// A simulated backend: its capacity, its load and its present faults.
 struct Backend {
     zone: u8,
     cell: u16,
@@ -73,19 +79,23 @@
     started: Micros,
     availability: Availability,
     in_flight: u32,
-    /// Multiplies service times.
+    /// Factor on service times.
     slowdown: f64,
-    /// One attempt in so many fails; 0 for none.
+    /// One attempt in `failing` fails; 0: no attempt fails.
     failing: u64,
+    /// Attempts get no response and time out.
     silent: bool,
+    /// Connections fail.
     unreachable: bool,
 }
 
-enum Happening {
+/// What happens at a scheduled time. `incarnation` is that of the gateway when the event was scheduled; events of an
+/// earlier incarnation do not reach the gateway.
+enum SimulationEvent {
     Arrival,
     AttemptEnd {
         gateway: usize,
-        life: u32,
+        incarnation: u32,
         id: RequestId,
         attempt: u16,
         backend: BackendId,
@@ -94,13 +104,13 @@
     },
     FirstByte {
         gateway: usize,
-        life: u32,
+        incarnation: u32,
         id: RequestId,
         attempt: u16,
     },
     ClientLeaves {
         gateway: usize,
-        life: u32,
+        incarnation: u32,
         id: RequestId,
     },
     Message {
@@ -110,7 +120,7 @@
     },
     Timer {
         gateway: usize,
-        life: u32,
+        incarnation: u32,
         token: u32,
     },
     EndpointList {
@@ -123,53 +133,65 @@
     },
 }
 
-/// An attempt that a gateway has started and that has not ended.
+/// An attempt that has started and has not ended.
 struct InFlight {
     backend: BackendId,
     sent: Micros,
 }
 
+/// A simulated fleet with its clock, its scheduled events and the digest of its actions.
 struct Fleet {
     scenario: Scenario,
     random: Random,
     now: Micros,
-    order: u64,
+    sequence: u64,
     queue: BinaryHeap<Reverse<(Micros, u64)>>,
-    happenings: BTreeMap<u64, Happening>,
+    scheduled: BTreeMap<u64, SimulationEvent>,
+    /// The gateways by number; `None` while a gateway is down.
     gateways: Vec<Option<Gateway>>,
-    lives: Vec<u32>,
+    /// Incarnation of each gateway; grows when it is killed or restarted.
+    incarnations: Vec<u32>,
     stopping: Vec<bool>,
     attempts: Vec<BTreeMap<(RequestId, u16), InFlight>>,
-    counts: Vec<BTreeMap<RequestId, u16>>,
+    /// Attempts started per request, by gateway.
+    attempt_counts: Vec<BTreeMap<RequestId, u16>>,
+    /// Requests without a final answer, by gateway.
     unanswered: Vec<BTreeSet<RequestId>>,
     backends: BTreeMap<u64, Backend>,
+    /// Backends that an incident drained, readied or removed; deltas list them.
     changed: BTreeSet<u64>,
     next_request: u64,
     digest: blake3::Hasher,
-    seen: BTreeMap<&'static str, u64>,
+    /// How often each kind of event and action occurred.
+    occurrences: BTreeMap<&'static str, u64>,
 }
 
-fn request_class(repeat: RetrySafety, aim: Micros, deadline: Micros, stream: bool) -> RequestClass {
+fn request_class(
+    retry_safety: RetrySafety,
+    latency_objective: Micros,
+    deadline: Micros,
+    streaming: bool,
+) -> RequestClass {
     RequestClass {
-        latency_objective: aim,
+        latency_objective,
         objective_per_work: 0.0,
         deadline,
         priority_weight: 1.0,
         late_priority_weight: 0.2,
-        retry_safety: repeat,
-        streaming: stream,
+        retry_safety,
+        streaming,
     }
 }
 
-fn plan(rate: f64, burst: f64, price: f64) -> Plan {
+fn plan(quota_rate: f64, quota_burst: f64, priority_factor: f64) -> Plan {
     Plan {
-        quota_rate: rate,
-        quota_burst: burst,
+        quota_rate,
+        quota_burst,
         max_in_flight: 0,
         hard_limit_rate: 0.0,
         hard_limit_burst: 0.0,
         hard_limit_slack: 0.0,
-        priority_factor: price,
+        priority_factor,
         over_quota_weight: 0.0,
         over_quota_penalty: 1.0,
     }
@@ -177,7 +199,7 @@
 
 fn settings(scenario: &Scenario, gateway: u16) -> Settings {
     let kind = scenario.settings;
-    let keyed = |group| RetrySafety::IdempotencyKey { scope: group, window: SECOND };
+    let keyed = |scope| RetrySafety::IdempotencyKey { scope, window: SECOND };
     let classes = vec![
         request_class(RetrySafety::Idempotent, 400_000, 2 * SECOND, false),
         request_class(keyed(DeduplicationScope::Cell), 700_000, 3 * SECOND, false),
@@ -250,92 +272,96 @@
             backends: (0..scenario.backends).map(|n| (n, backend(n))).collect(),
             random,
             now: START,
-            order: 0,
+            sequence: 0,
             queue: BinaryHeap::new(),
-            happenings: BTreeMap::new(),
+            scheduled: BTreeMap::new(),
             gateways,
-            lives: vec![0; count],
+            incarnations: vec![0; count],
             stopping: vec![false; count],
             attempts: (0..count).map(|_| BTreeMap::new()).collect(),
-            counts: (0..count).map(|_| BTreeMap::new()).collect(),
+            attempt_counts: (0..count).map(|_| BTreeMap::new()).collect(),
             unanswered: (0..count).map(|_| BTreeSet::new()).collect(),
             changed: BTreeSet::new(),
             next_request: 1,
             digest: blake3::Hasher::new(),
-            seen: BTreeMap::new(),
+            occurrences: BTreeMap::new(),
             scenario,
         }
     }
 
-    fn schedule(&mut self, delay: Micros, happening: Happening) {
-        self.order += 1;
-        self.queue.push(Reverse((self.now + delay, self.order)));
-        self.happenings.insert(self.order, happening);
+    /// Schedules an event `delay` microseconds from now.
+    fn schedule(&mut self, delay: Micros, event: SimulationEvent) {
+        self.sequence += 1;
+        self.queue.push(Reverse((self.now + delay, self.sequence)));
+        self.scheduled.insert(self.sequence, event);
     }
 
-    fn play(mut self) -> (String, BTreeMap<&'static str, u64>) {
+    /// Runs the scenario. Returns the digest and how often each kind of event and action occurred.
+    fn run(mut self) -> (String, BTreeMap<&'static str, u64>) {
         for gateway in 0..self.gateways.len() {
             let kind = if gateway % 2 == 0 { EndpointUpdate::Snapshot } else { EndpointUpdate::Cached };
-            self.schedule(1_000 + gateway as u64 * 700, Happening::EndpointList { gateway, kind });
+            self.schedule(1_000 + gateway as u64 * 700, SimulationEvent::EndpointList { gateway, kind });
         }
-        self.schedule(50_000, Happening::Arrival);
-        self.schedule(2 * SECOND, Happening::Incident);
+        self.schedule(50_000, SimulationEvent::Arrival);
+        self.schedule(2 * SECOND, SimulationEvent::Incident);
         let end = START + self.scenario.duration;
-        while let Some(Reverse((at, order))) = self.queue.pop() {
+        while let Some(Reverse((at, sequence))) = self.queue.pop() {
             if at > end {
                 break;
             }
             self.now = at;
-            let happening = self.happenings.remove(&order).expect("scheduled once");
-            self.happen(happening);
+            let event = self.scheduled.remove(&sequence).expect("scheduled once");
+            self.dispatch(event);
         }
-        (self.digest.finalize().to_hex().to_string(), self.seen)
+        (self.digest.finalize().to_hex().to_string(), self.occurrences)
     }
 
-    fn happen(&mut self, happening: Happening) {
-        match happening {
-            Happening::Arrival => self.arrival(),
-            Happening::AttemptEnd { gateway, life, id, attempt, backend, sent, outcome } => {
-                if self.lives[gateway] == life {
+    fn dispatch(&mut self, event: SimulationEvent) {
+        match event {
+            SimulationEvent::Arrival => self.arrival(),
+            SimulationEvent::AttemptEnd { gateway, incarnation, id, attempt, backend, sent, outcome } => {
+                if self.incarnations[gateway] == incarnation {
                     self.attempt_ends(gateway, id, attempt, backend, sent, outcome);
                 } else if let Some(model) = self.backends.get_mut(&backend.0) {
                     model.in_flight = model.in_flight.saturating_sub(1);
                 }
             }
-            Happening::FirstByte { gateway, life, id, attempt } => {
-                if self.lives[gateway] == life && self.attempts[gateway].contains_key(&(id, attempt)) {
+            SimulationEvent::FirstByte { gateway, incarnation, id, attempt } => {
+                if self.incarnations[gateway] == incarnation
+                    && self.attempts[gateway].contains_key(&(id, attempt))
+                {
                     self.handle(gateway, Event::FirstByte { id, attempt });
                 }
             }
-            Happening::ClientLeaves { gateway, life, id } => {
-                if self.lives[gateway] == life && self.unanswered[gateway].remove(&id) {
+            SimulationEvent::ClientLeaves { gateway, incarnation, id } => {
+                if self.incarnations[gateway] == incarnation && self.unanswered[gateway].remove(&id) {
                     self.handle(gateway, Event::ClientCancelled(id));
                 }
             }
-            Happening::Message { from, to, bytes } => {
+            SimulationEvent::Message { from, to, bytes } => {
                 self.handle(to, Event::GossipReceived { from: GatewayId(from), bytes });
             }
-            Happening::Timer { gateway, life, token } => {
-                if self.lives[gateway] == life {
+            SimulationEvent::Timer { gateway, incarnation, token } => {
+                if self.incarnations[gateway] == incarnation {
                     self.handle(gateway, Event::Timer(token));
                 }
             }
-            Happening::EndpointList { gateway, kind } => self.endpoint_list(gateway, kind),
-            Happening::Incident => self.incident(),
-            Happening::Restart { gateway } => self.restart(gateway),
+            SimulationEvent::EndpointList { gateway, kind } => self.endpoint_list(gateway, kind),
+            SimulationEvent::Incident => self.incident(),
+            SimulationEvent::Restart { gateway } => self.restart(gateway),
         }
     }
 
     fn arrival(&mut self) {
         let mean = 1e6 / self.scenario.request_rate;
-        let wait = (-(1.0 - self.random.unit()).ln() * mean) as Micros;
-        self.schedule(wait.max(1), Happening::Arrival);
+        let delay = (-(1.0 - self.random.unit()).ln() * mean) as Micros;
+        self.schedule(delay.max(1), SimulationEvent::Arrival);
         let customer =
             self.random.below(self.scenario.customers).min(self.random.below(self.scenario.customers));
         let gateways = u64::from(self.scenario.gateways);
-        let width = 1 + customer % gateways;
-        let first = customer * 7 % gateways;
-        let gateway = ((first + self.random.below(width)) % gateways) as usize;
+        let gateway_count = 1 + customer % gateways;
+        let first_gateway = customer * 7 % gateways;
+        let gateway = ((first_gateway + self.random.below(gateway_count)) % gateways) as usize;
         if self.gateways[gateway].is_none() || self.stopping[gateway] {
             return;
         }
@@ -343,22 +369,22 @@
         let id = RequestId(self.next_request);
         self.next_request += 1;
         let wait_limit = [2, 3, 2, 2, 1][usize::from(class)] * SECOND;
-        let hurried = if self.random.chance(50) { 20 } else { 1 };
+        let deadline_divisor = if self.random.chance(50) { 20 } else { 1 };
         let request = Request {
             id,
             class,
             plan: (customer % 5) as u16,
             customer: CustomerId(customer + 1),
-            deadline: self.now + wait_limit / hurried,
+            deadline: self.now + wait_limit / deadline_divisor,
             units: [1.0, 1.0, 1.5, 2.25][self.random.below(4) as usize],
-            gateway_count: width as f64,
-            first_gateway: first as f64,
+            gateway_count: gateway_count as f64,
+            first_gateway: first_gateway as f64,
         };
         self.unanswered[gateway].insert(id);
         if self.random.chance(25) {
             let delay = self.random.below(SECOND);
-            let life = self.lives[gateway];
-            self.schedule(delay, Happening::ClientLeaves { gateway, life, id });
+            let incarnation = self.incarnations[gateway];
+            self.schedule(delay, SimulationEvent::ClientLeaves { gateway, incarnation, id });
         }
         self.handle(gateway, Event::Request(request));
         if self.random.chance(200) {
@@ -383,39 +409,39 @@
         let queue = f64::from(model.in_flight.saturating_sub(4));
         let report =
             (backend.0 % 2 == 0).then(|| LoadReport { queued: Some(queue), ..LoadReport::default() });
-        let complete = outcome == Outcome::Ok;
-        if complete {
+        let answered = outcome == Outcome::Ok;
+        if answered {
             self.unanswered[gateway].remove(&id);
         }
         let charged = self.random.chance(4).then(|| 1.0 + self.random.below(3) as f64);
-        let took = self.now - sent;
-        let settled = Event::AttemptFinished {
+        let elapsed = self.now - sent;
+        let finished = Event::AttemptFinished {
             id,
             attempt,
             backend,
             outcome,
-            answered: complete,
-            elapsed: took,
+            answered,
+            elapsed,
             metered: None,
             charged_units: charged,
             report,
         };
-        self.handle(gateway, settled);
+        self.handle(gateway, finished);
     }
 
     fn endpoint_list(&mut self, gateway: usize, kind: EndpointUpdate) {
         let list: Vec<Endpoint> = match kind {
             EndpointUpdate::Failed => Vec::new(),
-            EndpointUpdate::Delta => self.changed.iter().map(|n| self.listed(*n)).collect(),
+            EndpointUpdate::Delta => self.changed.iter().map(|n| self.endpoint(*n)).collect(),
             EndpointUpdate::Snapshot | EndpointUpdate::Cached => {
                 let present = |n: &&u64| self.backends[*n].availability != Availability::Gone;
-                self.backends.keys().filter(present).map(|n| self.listed(*n)).collect()
+                self.backends.keys().filter(present).map(|n| self.endpoint(*n)).collect()
             }
         };
         self.handle(gateway, Event::Endpoints(kind, list));
     }
 
-    fn listed(&self, number: u64) -> Endpoint {
+    fn endpoint(&self, number: u64) -> Endpoint {
         let model = &self.backends[&number];
         Endpoint {
             backend: BackendId(number),
@@ -428,10 +454,10 @@
         }
     }
 
-    /// One thing goes wrong or is mended, every 300 ms on average.
+    /// Starts or ends one random fault; occurs every 300 ms on average.
     fn incident(&mut self) {
         let delay = 100_000 + self.random.below(400_000);
-        self.schedule(delay, Happening::Incident);
+        self.schedule(delay, SimulationEvent::Incident);
         let number = self.random.below(self.scenario.backends);
         let gateway = self.random.below(u64::from(self.scenario.gateways)) as usize;
         let choice = self.random.below(14);
@@ -466,9 +492,9 @@
             }
             12 => self.stop(gateway),
             _ => {
-                let there = self.random.chance(2);
+                let reachable = self.random.chance(2);
                 let peer = GatewayId(self.random.below(u64::from(self.scenario.gateways) + 1) as u16);
-                self.handle(gateway, Event::PeerReachability { peer, reachable: there });
+                self.handle(gateway, Event::PeerReachability { peer, reachable });
                 let backend = BackendId(number);
                 let probed =
                     Event::HealthChecked { backend, outcome: Outcome::Ok, elapsed: 900, report: None };
@@ -478,7 +504,8 @@
         }
     }
 
-    /// Tells every gateway of changed backends, some of them late, some by a whole list, some by a failed call first.
+    /// Schedules an endpoint update for every gateway, 5 to 305 ms from now: mostly a delta, sometimes a whole list,
+    /// and sometimes a failed call with a whole list 500 ms later.
     fn announce(&mut self) {
         for gateway in 0..self.gateways.len() {
             let delay = 5_000 + self.random.below(300_000);
@@ -487,17 +514,17 @@
                 1 => EndpointUpdate::Failed,
                 _ => EndpointUpdate::Delta,
             };
-            self.schedule(delay, Happening::EndpointList { gateway, kind });
+            self.schedule(delay, SimulationEvent::EndpointList { gateway, kind });
             if kind == EndpointUpdate::Failed {
                 self.schedule(
                     delay + 500_000,
-                    Happening::EndpointList { gateway, kind: EndpointUpdate::Snapshot },
+                    SimulationEvent::EndpointList { gateway, kind: EndpointUpdate::Snapshot },
                 );
             }
         }
     }
 
-    /// A gateway takes no new clients, or is killed outright; both come back after a while.
+    /// Either drains a gateway, which then accepts no new requests, or kills it. It restarts 0.4 to 1.4 s later.
     fn stop(&mut self, gateway: usize) {
         if self.gateways[gateway].is_none() || self.stopping[gateway] {
             return;
@@ -506,28 +533,28 @@
             self.stopping[gateway] = true;
         } else {
             self.gateways[gateway] = None;
-            self.lives[gateway] += 1;
+            self.incarnations[gateway] += 1;
         }
         let delay = 400_000 + self.random.below(SECOND);
-        self.schedule(delay, Happening::Restart { gateway });
+        self.schedule(delay, SimulationEvent::Restart { gateway });
     }
 
     fn restart(&mut self, gateway: usize) {
-        self.lives[gateway] += 1;
+        self.incarnations[gateway] += 1;
         self.stopping[gateway] = false;
         self.attempts[gateway].clear();
-        self.counts[gateway].clear();
+        self.attempt_counts[gateway].clear();
         self.unanswered[gateway].clear();
         let settings = settings(&self.scenario, gateway as u16);
         self.gateways[gateway] = Some(Gateway::new(settings, self.random.next(), self.now));
         self.endpoint_list(gateway, EndpointUpdate::Cached);
-        self.schedule(200_000, Happening::EndpointList { gateway, kind: EndpointUpdate::Snapshot });
+        self.schedule(200_000, SimulationEvent::EndpointList { gateway, kind: EndpointUpdate::Snapshot });
     }
 
     fn handle(&mut self, gateway: usize, event: Event) {
         let name = event_name(&event);
         let Some(module) = self.gateways[gateway].as_mut() else { return };
-        *self.seen.entry(name).or_default() += 1;
+        *self.occurrences.entry(name).or_default() += 1;
         let mut actions = Vec::new();
         module.handle(self.now, event, &mut actions);
         for action in actions {
@@ -540,7 +567,7 @@
         let mut bytes = Vec::new();
         bytes.extend_from_slice(&(gateway as u16).to_le_bytes());
         bytes.extend_from_slice(&self.now.to_le_bytes());
-        *self.seen.entry(encode(action, &mut bytes)).or_default() += 1;
+        *self.occurrences.entry(encode(action, &mut bytes)).or_default() += 1;
         self.digest.update(&(bytes.len() as u32).to_le_bytes());
         self.digest.update(&bytes);
     }
@@ -553,55 +580,55 @@
             }
             Action::Cancel { id, attempt } => self.cancel(gateway, id, attempt),
             Action::SetTimer { delay, token } => {
-                // One timer in two hundred is late: the process stood still.
+                // One timer in two hundred fires 200 ms late, as after a stall of the process.
                 let stall = if self.random.chance(200) { 200_000 } else { 0 };
-                let life = self.lives[gateway];
-                self.schedule(delay + stall, Happening::Timer { gateway, life, token });
+                let incarnation = self.incarnations[gateway];
+                self.schedule(delay + stall, SimulationEvent::Timer { gateway, incarnation, token });
             }
             Action::SendGossip { to, bytes } => self.deliver(gateway, to, bytes),
             Action::WatchEndpoints(_) | Action::FetchEndpoints => {
                 let kind =
                     if self.random.chance(4) { EndpointUpdate::Failed } else { EndpointUpdate::Snapshot };
-                self.schedule(20_000, Happening::EndpointList { gateway, kind });
+                self.schedule(20_000, SimulationEvent::EndpointList { gateway, kind });
             }
             Action::CheckHealth(_) | Action::CloseIdle(_) | Action::AddToCounter { .. } | Action::Log(_) => {}
         }
     }
 
     fn start_attempt(&mut self, gateway: usize, id: RequestId, backend: BackendId) {
-        let count = self.counts[gateway].entry(id).or_default();
+        let count = self.attempt_counts[gateway].entry(id).or_default();
         let attempt = *count;
         *count += 1;
         self.attempts[gateway].insert((id, attempt), InFlight { backend, sent: self.now });
-        let roll = self.random.below(1_000);
-        let spread = 0.4 - 1.2 * (1.0 - self.random.unit()).ln();
+        let draw = self.random.below(1_000);
+        let service_factor = 0.4 - 1.2 * (1.0 - self.random.unit()).ln();
         let overload = self.overload();
         let Some(model) = self.backends.get_mut(&backend.0) else { return };
         model.in_flight += 1;
-        let crowding = (f64::from(model.in_flight) / (4.0 * model.capacity)).max(1.0);
-        let service = (25_000.0 * spread * crowding * model.slowdown * overload) as Micros;
+        let load_factor = (f64::from(model.in_flight) / (4.0 * model.capacity)).max(1.0);
+        let service = (25_000.0 * service_factor * load_factor * model.slowdown * overload) as Micros;
         let (delay, outcome) = if model.unreachable || model.availability == Availability::Gone {
             (2_000, Outcome::ConnectFailed)
         } else if model.silent {
             (1_500_000, Outcome::TimedOut)
-        } else if model.failing > 0 && roll % model.failing == 0 {
-            (service / 4, if roll % 3 == 0 { Outcome::Reset } else { Outcome::Error })
+        } else if model.failing > 0 && draw % model.failing == 0 {
+            (service / 4, if draw % 3 == 0 { Outcome::Reset } else { Outcome::Error })
         } else if f64::from(model.in_flight) > 14.0 * model.capacity {
             (1_000, Outcome::Rejected)
-        } else if roll == 999 {
+        } else if draw == 999 {
             (500, Outcome::NotSent)
         } else {
             (service, Outcome::Ok)
         };
-        let (life, sent) = (self.lives[gateway], self.now);
-        if outcome == Outcome::Ok && roll % 5 == 0 {
-            self.schedule(delay / 2, Happening::FirstByte { gateway, life, id, attempt });
+        let (incarnation, sent) = (self.incarnations[gateway], self.now);
+        if outcome == Outcome::Ok && draw % 5 == 0 {
+            self.schedule(delay / 2, SimulationEvent::FirstByte { gateway, incarnation, id, attempt });
         }
-        let end = Happening::AttemptEnd { gateway, life, id, attempt, backend, sent, outcome };
+        let end = SimulationEvent::AttemptEnd { gateway, incarnation, id, attempt, backend, sent, outcome };
         self.schedule(delay.max(200), end);
     }
 
-    /// Every backend is slow for the second quarter of a scenario, so that alerts rise and end.
+    /// Returns the factor on all service times: 12 in the second quarter of a scenario, so that alerts rise and end.
     fn overload(&self) -> f64 {
         let quarter = (self.now - START) * 4 / self.scenario.duration;
         if quarter == 1 {
@@ -614,14 +641,16 @@
     fn cancel(&mut self, gateway: usize, id: RequestId, attempt: u16) {
         if let Some(attempt_in_flight) = self.attempts[gateway].get(&(id, attempt)) {
             let InFlight { backend, sent } = *attempt_in_flight;
-            let life = self.lives[gateway];
+            let incarnation = self.incarnations[gateway];
             let outcome = Outcome::Cancelled;
-            let end = Happening::AttemptEnd { gateway, life, id, attempt, backend, sent, outcome };
+            let end =
+                SimulationEvent::AttemptEnd { gateway, incarnation, id, attempt, backend, sent, outcome };
             self.schedule(300, end);
         }
     }
 
-    /// One message in twelve is lost, one in thirty comes twice, some are late.
+    /// Schedules the delivery of a message. One in 12 is lost, one in 30 is duplicated, and one copy in 15 is delayed
+    /// by up to 400 ms instead of 3 ms.
     fn deliver(&mut self, from: usize, to: Option<GatewayId>, bytes: Vec<u8>) {
         let Some(to) = to.map(|to| usize::from(to.0)).filter(|to| *to < self.gateways.len()) else { return };
         if self.random.chance(12) {
@@ -632,7 +661,7 @@
             let late = if self.random.chance(15) { 400_000 } else { 3_000 };
             let delay = 500 + self.random.below(late);
             let bytes = bytes.clone();
-            self.schedule(delay, Happening::Message { from: from as u16, to, bytes });
+            self.schedule(delay, SimulationEvent::Message { from: from as u16, to, bytes });
         }
     }
 }
@@ -655,7 +684,7 @@
     }
 }
 
-/// Appends an action's bytes and gives its name. Of a log line the numbers count, and not the words.
+/// Appends the encoding of an action and returns the name of its kind. Of a log line only the digits are encoded.
 #[expect(clippy::too_many_lines, reason = "one arm for each action")]
 fn encode(action: &Action, bytes: &mut Vec<u8>) -> &'static str {
     match action {
@@ -666,10 +695,10 @@
             }
             "action: attempt"
         }
-        Action::Reject { id, retry_after: pause } => {
+        Action::Reject { id, retry_after } => {
             bytes.push(2);
             bytes.extend_from_slice(&id.0.to_le_bytes());
-            bytes.extend_from_slice(&pause.to_le_bytes());
+            bytes.extend_from_slice(&retry_after.to_le_bytes());
             "action: reject"
         }
         Action::Fail(id) => {
@@ -728,9 +757,11 @@
     }
 }
 
-fn check(scenario: Scenario, expected: &str, absent: &[&str]) {
-    let (digest, seen) = Fleet::new(scenario).play();
-    let all = [
+/// Asserts that a scenario has the `expected` digest, and that all kinds of events and actions but the `absent` ones
+/// occurred.
+fn assert_digest(scenario: Scenario, expected: &str, absent: &[&str]) {
+    let (digest, occurrences) = Fleet::new(scenario).run();
+    let kinds = [
         "event: snapshot",
         "event: delta",
         "event: cached list",
@@ -753,10 +784,10 @@
         "action: watch",
         "action: log",
     ];
-    for name in all.iter().filter(|name| !absent.contains(name)) {
-        assert!(seen.contains_key(name), "{name} never occurred: {seen:?}");
+    for name in kinds.iter().filter(|name| !absent.contains(name)) {
+        assert!(occurrences.contains_key(name), "{name} never occurred: {occurrences:?}");
     }
-    assert_eq!(digest, expected, "{seen:?}");
+    assert_eq!(digest, expected, "{occurrences:?}");
 }
 
 #[test]
@@ -771,7 +802,11 @@
         settings: SettingsKind::Hedging,
         seed: 11,
     };
-    check(scenario, "0786a314d5cab1bc170ae875352d2054e0b93c3867a0211ce57b877259fe44ba", &["action: watch"]);
+    assert_digest(
+        scenario,
+        "0786a314d5cab1bc170ae875352d2054e0b93c3867a0211ce57b877259fe44ba",
+        &["action: watch"],
+    );
 }
 
 #[test]
@@ -786,7 +821,7 @@
         settings: SettingsKind::Polling,
         seed: 12,
     };
-    check(scenario, "458dc4cdef8bee431a67b90367e50ce6fd4aff772d8de4fd3e431b2ac2e5238f", &[]);
+    assert_digest(scenario, "458dc4cdef8bee431a67b90367e50ce6fd4aff772d8de4fd3e431b2ac2e5238f", &[]);
 }
 
 #[test]
@@ -801,7 +836,11 @@
         settings: SettingsKind::Hedging,
         seed: 13,
     };
-    check(scenario, "f643ed45d1232c549255ee85e9878e2c2e25f4a5db30f2cb4dd5405ea70695c2", &["action: watch"]);
+    assert_digest(
+        scenario,
+        "f643ed45d1232c549255ee85e9878e2c2e25f4a5db30f2cb4dd5405ea70695c2",
+        &["action: watch"],
+    );
 }
 
 #[test]
@@ -816,7 +855,7 @@
         settings: SettingsKind::Restricted,
         seed: 14,
     };
-    check(
+    assert_digest(
         scenario,
         "11745be27f2984e2a2b07fba5fecc67933da271d8b366daf0b86c116f0c0940d",
         &["action: watch", "action: cancel", "action: gossip", "event: gossip"],
