--- a/crates/core/tests/arbitrary_events.rs
+++ b/crates/core/tests/arbitrary_events.rs
@@ -1,11 +1,11 @@
-//! Properties over arbitrary sequences of events, legal and malformed, with a fixed seed.
+//! Property tests over arbitrary sequences of events, valid and malformed, from a fixed seed.
 
 use chalkgap_core::*;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use std::collections::{BTreeMap, BTreeSet};
 
-const T0: Micros = 50_000_000;
+const START: Micros = 50_000_000;
 
 fn settings() -> Settings {
     let class = |retry_safety| RequestClass {
@@ -90,7 +90,7 @@
     ]
 }
 
-/// What a host knows, to check the gateway's rules.
+/// State of the simulated host, from which it checks that the gateway keeps its rules.
 #[derive(Default)]
 struct Host {
     deadlines: BTreeMap<RequestId, Micros>,
@@ -106,6 +106,7 @@
 }
 
 impl Host {
+    /// Records the actions of one call and asserts that each of them is permitted.
     fn check(&mut self, now: Micros, actions: &[Action]) {
         for action in actions {
             self.log.push(format!("{now} {action:?}"));
@@ -116,46 +117,56 @@
                         !self.unavailable.contains(backend),
                         "an attempt at an endpoint that is draining or gone"
                     );
-                    assert!(!self.in_flight.iter().any(|o| o.0 == *id), "two attempts at once");
-                    let n = self.attempts.entry(*id).or_insert(0);
-                    assert!(*n < 3, "more attempts than allowed");
+                    assert!(!self.in_flight.iter().any(|attempt| attempt.0 == *id), "two attempts at once");
+                    let attempt = self.attempts.entry(*id).or_insert(0);
+                    assert!(*attempt < 3, "more attempts than allowed");
                     let may_have_run = self.may_have_run.entry(*id).or_insert(0);
                     assert!(
                         self.classes[id] != 2 || *may_have_run == 0,
                         "a retry of a request that is not idempotent"
                     );
                     *may_have_run += 1;
-                    self.in_flight.push((*id, *n, *backend));
-                    *n += 1;
+                    self.in_flight.push((*id, *attempt, *backend));
+                    *attempt += 1;
                     let (plan, customer, units) = self.customers[id];
-                    if plan == 1 && *n == 1 {
+                    if plan == 1 && *attempt == 1 {
                         *self.hard_limit_use.entry(customer).or_insert(0.0) += units;
                     }
                 }
                 Action::Reject { id, .. } => {
-                    assert!(self.ended.insert(*id), "a second answer");
+                    assert!(self.ended.insert(*id), "a second final answer");
                     let may_have_run = self.may_have_run.get(id).copied().unwrap_or(0);
-                    assert!(self.classes[id] == 0 || may_have_run == 0, "rejected what may have run");
+                    assert!(
+                        self.classes[id] == 0 || may_have_run == 0,
+                        "rejected a request that may have run"
+                    );
                 }
-                Action::Fail(id) => assert!(self.ended.insert(*id), "a second answer"),
+                Action::Fail(id) => assert!(self.ended.insert(*id), "a second final answer"),
                 Action::CheckHealth(_) | Action::AddToCounter { .. } => {
-                    panic!("not permitted by these settings")
+                    panic!("these settings do not permit {action:?}")
                 }
                 _ => {}
             }
         }
-        // A third of the hard_limit_use is this gateway's, from nothing at its start; widths of 2 allow a half.
-        let life = (now - T0) as f64 / 1e6;
+        // This gateway's share of the hard limit is a third, or a half for customers of two gateways. Its bucket
+        // starts empty.
+        let uptime_s = (now - START) as f64 / 1e6;
         for used in self.hard_limit_use.values() {
-            assert!(*used <= 30.0 * life + 60.0 + 1e-6, "the hard_limit_use's share is overdrawn");
+            assert!(
+                *used <= 30.0 * uptime_s + 60.0 + 1e-6,
+                "{used} units in {uptime_s} s exceed the hard limit"
+            );
         }
     }
 }
 
-#[expect(clippy::too_many_lines, reason = "one scenario in its order")]
-fn play(steps: &[Step]) -> Vec<String> {
-    let (mut gateway, mut host, mut now, mut next) =
-        (Gateway::new(settings(), 3, T0), Host::default(), T0, 0);
+/// Runs the steps against a new gateway and returns the log of its actions.
+#[expect(clippy::too_many_lines, reason = "one arm for each kind of step")]
+fn run(steps: &[Step]) -> Vec<String> {
+    let mut gateway = Gateway::new(settings(), 3, START);
+    let mut host = Host::default();
+    let mut now = START;
+    let mut next_request = 0;
     let outcomes = [
         Outcome::Ok,
         Outcome::Error,
@@ -170,45 +181,45 @@
         gateway.handle(now, event, &mut actions);
         host.check(now, &actions);
     };
-    let listed = |n: u64, state: u8, started: Micros| Endpoint {
-        backend: BackendId(n),
-        zone: (n % 2) as u8,
-        cell: (n % 2) as u16,
+    let endpoint = |number: u64, state: u8, started_at: Micros| Endpoint {
+        backend: BackendId(number),
+        zone: (number % 2) as u8,
+        cell: (number % 2) as u16,
         availability: [Availability::Ready, Availability::Draining, Availability::Gone][usize::from(state)],
         weight: 1.0,
-        started_at: started,
+        started_at,
         ..Endpoint::default()
     };
     handle(
         &mut host,
         now,
-        Event::Endpoints(EndpointUpdate::Cached, (0..5).map(|n| listed(n, 0, 0)).collect()),
+        Event::Endpoints(EndpointUpdate::Cached, (0..5).map(|n| endpoint(n, 0, 0)).collect()),
     );
     for step in steps.iter().cloned() {
         match step {
             Step::Request { class, plan, customer, units, gateway_count, time_left } => {
-                let id = RequestId(next);
-                next += 1;
+                let id = RequestId(next_request);
+                next_request += 1;
                 let deadline = now + time_left;
                 host.deadlines.insert(id, deadline);
                 host.classes.insert(id, if class < 3 { class } else { 0 });
                 host.customers.insert(id, (plan, customer, units));
                 let customer = CustomerId(customer);
-                let req =
+                let request =
                     Request { id, class, plan, customer, deadline, units, gateway_count, first_gateway: 0.0 };
-                handle(&mut host, now, Event::Request(req));
+                handle(&mut host, now, Event::Request(request));
             }
             Step::FinishAttempt { pick, outcome, unknown } => {
                 let outcome = outcomes[outcome];
-                let at = if host.in_flight.is_empty() { None } else { Some(pick % host.in_flight.len()) };
-                let (id, attempt, backend) = match at.filter(|_| !unknown) {
-                    Some(at) => host.in_flight.swap_remove(at),
+                let index = if host.in_flight.is_empty() { None } else { Some(pick % host.in_flight.len()) };
+                let (id, attempt, backend) = match index.filter(|_| !unknown) {
+                    Some(index) => host.in_flight.swap_remove(index),
                     None => (RequestId(1 << 40), 7, BackendId(77)),
                 };
                 if outcome.never_ran() {
                     host.may_have_run.entry(id).and_modify(|n| *n -= 1);
                 }
-                let complete = outcome == Outcome::Ok || host.ended.contains(&id);
+                let answered = outcome == Outcome::Ok || host.ended.contains(&id);
                 if outcome == Outcome::Ok {
                     host.ended.insert(id);
                 }
@@ -220,7 +231,7 @@
                         attempt,
                         backend,
                         outcome,
-                        answered: complete,
+                        answered,
                         elapsed: 50_000,
                         metered: None,
                         charged_units: None,
@@ -230,7 +241,7 @@
             }
             Step::ClientLeaves(pick) => {
                 let id = RequestId(pick as u64);
-                if id.0 < next {
+                if id.0 < next_request {
                     host.ended.insert(id);
                 }
                 handle(&mut host, now, Event::ClientCancelled(id));
@@ -248,16 +259,18 @@
                     EndpointUpdate::Cached,
                     EndpointUpdate::Failed,
                 ][usize::from(kind)];
-                let list: Vec<_> =
-                    (0..).zip(&states).map(|(n, s)| listed(n, *s, if starting { now } else { 0 })).collect();
+                let list: Vec<_> = (0..)
+                    .zip(&states)
+                    .map(|(n, state)| endpoint(n, *state, if starting { now } else { 0 }))
+                    .collect();
                 if kind == EndpointUpdate::Snapshot || kind == EndpointUpdate::Cached {
                     host.unavailable = (0..6).map(BackendId).collect();
                 }
                 if kind != EndpointUpdate::Failed {
-                    for l in &list {
-                        host.unavailable.remove(&l.backend);
-                        if l.availability != Availability::Ready {
-                            host.unavailable.insert(l.backend);
+                    for listed in &list {
+                        host.unavailable.remove(&listed.backend);
+                        if listed.availability != Availability::Ready {
+                            host.unavailable.insert(listed.backend);
                         }
                     }
                 }
@@ -279,12 +292,12 @@
             }
         }
     }
-    // At the end all attempts in flight time out, and every request has its answer.
+    // Finally all attempts in flight time out, and every request must have its final answer.
     for _ in 0..150 {
         now += 20_000;
         handle(&mut host, now, Event::Timer(0));
         for (id, attempt, backend) in std::mem::take(&mut host.in_flight) {
-            let complete = host.ended.contains(&id);
+            let answered = host.ended.contains(&id);
             let outcome = Outcome::TimedOut;
             handle(
                 &mut host,
@@ -294,7 +307,7 @@
                     attempt,
                     backend,
                     outcome,
-                    answered: complete,
+                    answered,
                     elapsed: 1,
                     metered: None,
                     charged_units: None,
@@ -304,7 +317,7 @@
         }
     }
     for id in host.deadlines.keys() {
-        assert!(host.ended.contains(id), "{id:?} got no answer");
+        assert!(host.ended.contains(id), "{id:?} got no final answer");
     }
     host.log
 }
@@ -315,7 +328,7 @@
     let mut runner = TestRunner::new_with_rng(config, TestRng::from_seed(RngAlgorithm::ChaCha, &[7; 32]));
     runner
         .run(&prop::collection::vec(step(), 1..150), |steps| {
-            prop_assert_eq!(play(&steps), play(&steps));
+            prop_assert_eq!(run(&steps), run(&steps));
             Ok(())
         })
         .unwrap();
--- a/crates/core/tests/common/harness.rs
+++ b/crates/core/tests/common/harness.rs
@@ -1,9 +1,9 @@
-//! A gateway and a fleet that tests drive by events: no network, no simulator.
+//! A gateway and a fleet that tests drive by events, without a network or a simulator.
 
-use super::{listed, settings, S, T0};
+use super::{endpoint, settings, SECOND, START};
 use chalkgap_core::*;
 
-/// One gateway, and the clock that it sees.
+/// One gateway and its clock.
 pub struct Harness {
     pub gateway: Gateway,
     pub now: Micros,
@@ -11,24 +11,24 @@
 }
 
 impl Harness {
-    /// A gateway with `backends` ready endpoints.
+    /// Creates a gateway with `backends` ready endpoints.
     pub fn with(settings: Settings, backends: u64) -> Harness {
-        let mut harness = Harness { gateway: Gateway::new(settings, 7, T0), now: T0, next_request: 0 };
-        harness.handle(Event::Endpoints(EndpointUpdate::Cached, (0..backends).map(listed).collect()));
+        let mut harness = Harness { gateway: Gateway::new(settings, 7, START), now: START, next_request: 0 };
+        harness.handle(Event::Endpoints(EndpointUpdate::Cached, (0..backends).map(endpoint).collect()));
         harness
     }
 
-    /// Hands the gateway an event at the current time.
+    /// Passes an event to the gateway at the current time and returns its actions.
     pub fn handle(&mut self, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
         self.gateway.handle(self.now, event, &mut actions);
         actions
     }
 
-    /// Lets time pass, and wakes the gateway as it asked.
-    pub fn advance(&mut self, span: Micros) -> Vec<Action> {
+    /// Advances the clock by `duration` and wakes the gateway every 20 ms.
+    pub fn advance(&mut self, duration: Micros) -> Vec<Action> {
         let mut actions = Vec::new();
-        let end = self.now + span;
+        let end = self.now + duration;
         while self.now < end {
             self.now += 20_000;
             actions.extend(self.handle(Event::Timer(0)));
@@ -36,12 +36,12 @@
         actions
     }
 
-    /// A request of a customer whose requests come to three gateways.
+    /// Sends a request of a customer whose requests come to three gateways.
     pub fn request(&mut self, class: u8, plan: u16, customer: u64, units: f64) -> (RequestId, Vec<Action>) {
         self.request_over(class, plan, customer, units, 3.0)
     }
 
-    /// A request of a customer whose requests come to `gateway_count` gateways.
+    /// Sends a request of a customer whose requests come to `gateway_count` gateways.
     pub fn request_over(
         &mut self,
         class: u8,
@@ -52,11 +52,11 @@
     ) -> (RequestId, Vec<Action>) {
         let id = RequestId(self.next_request);
         self.next_request += 1;
-        let deadline = self.now + 4 * S;
+        let deadline = self.now + 4 * SECOND;
         let customer = CustomerId(customer);
-        let first = if gateway_count == 6.0 { 15.0 } else { 0.0 };
-        let req = Request { id, class, plan, customer, deadline, units, gateway_count, first_gateway: first };
-        (id, self.handle(Event::Request(req)))
+        let first_gateway = if gateway_count == 6.0 { 15.0 } else { 0.0 };
+        let request = Request { id, class, plan, customer, deadline, units, gateway_count, first_gateway };
+        (id, self.handle(Event::Request(request)))
     }
 
     /// Ends an attempt after 100 ms.
@@ -70,14 +70,14 @@
         self.finish_after(id, attempt, backend, outcome, 100_000)
     }
 
-    /// Ends an attempt that took so long.
+    /// Ends an attempt that was in flight for `elapsed`.
     pub fn finish_after(
         &mut self,
         id: RequestId,
         attempt: u16,
         backend: BackendId,
         outcome: Outcome,
-        took: Micros,
+        elapsed: Micros,
     ) -> Vec<Action> {
         self.handle(Event::AttemptFinished {
             id,
@@ -85,7 +85,7 @@
             backend,
             outcome,
             answered: outcome == Outcome::Ok,
-            elapsed: took,
+            elapsed,
             metered: None,
             charged_units: None,
             report: None,
@@ -93,44 +93,46 @@
     }
 }
 
-/// The endpoints of the attempts that were started.
+/// Returns the endpoints at which attempts were started.
 pub fn attempts(actions: &[Action]) -> Vec<BackendId> {
     let to = |a: &Action| if let Action::StartAttempt { backend, .. } = a { Some(*backend) } else { None };
     actions.iter().filter_map(to).collect()
 }
 
-/// Whether a request was rejected.
+/// Returns whether a request was rejected.
 pub fn is_rejected(actions: &[Action]) -> bool {
     actions.iter().any(|a| matches!(a, Action::Reject { .. }))
 }
 
-/// Whether a request was answered as failed.
+/// Returns whether a request was answered as failed.
 pub fn has_failed(actions: &[Action]) -> bool {
     actions.iter().any(|a| matches!(a, Action::Fail(_)))
 }
 
-/// Many gateways, whose messages the test delivers.
+/// Several gateways, between which the test delivers messages.
 pub struct Fleet {
     pub gateways: Vec<Harness>,
-    pub carried: u64,
+    /// Messages that gateways sent to each other, with the lost ones.
+    pub messages_sent: u64,
 }
 
 impl Fleet {
-    /// A fleet with six endpoints.
+    /// Creates a fleet with six endpoints.
     pub fn new(gateways: u16) -> Fleet {
-        let harness = |me| Harness::with(Settings { gateways, self_id: GatewayId(me), ..settings() }, 6);
-        Fleet { gateways: (0..gateways).map(harness).collect(), carried: 0 }
+        let harness =
+            |number| Harness::with(Settings { gateways, self_id: GatewayId(number), ..settings() }, 6);
+        Fleet { gateways: (0..gateways).map(harness).collect(), messages_sent: 0 }
     }
 
-    /// Carries out the actions of gateway `from`; attempts succeed at once. Gives how many were started. Every `lossy`th
-    /// message is lost, unless that is 0.
-    pub fn carry(&mut self, from: usize, actions: Vec<Action>, lossy: u64) -> usize {
-        let mut sent = 0;
+    /// Executes the actions of gateway `from` and all that follow from them. Attempts succeed at once. Returns the
+    /// number of attempts started. One message in `loss_interval` is lost; 0: none is lost.
+    pub fn execute(&mut self, from: usize, actions: Vec<Action>, loss_interval: u64) -> usize {
+        let mut attempts_started = 0;
         let mut queue: Vec<(usize, Action)> = actions.into_iter().map(|a| (from, a)).collect();
         while let Some((at, action)) = queue.pop() {
             let (to, event) = match action {
                 Action::StartAttempt { id, backend, .. } => {
-                    sent += 1;
+                    attempts_started += 1;
                     let event = Event::AttemptFinished {
                         id,
                         attempt: 0,
@@ -145,8 +147,8 @@
                     (at, event)
                 }
                 Action::SendGossip { to: Some(to), bytes } => {
-                    self.carried += 1;
-                    if lossy > 0 && self.carried % lossy == 0 {
+                    self.messages_sent += 1;
+                    if loss_interval > 0 && self.messages_sent % loss_interval == 0 {
                         continue;
                     }
                     (usize::from(to.0), Event::GossipReceived { from: GatewayId(at as u16), bytes })
@@ -156,52 +158,61 @@
             let more = self.gateways[to].handle(event);
             queue.extend(more.into_iter().map(|a| (to, a)));
         }
-        sent
+        attempts_started
     }
 
-    /// One request at gateway `at`, and time for it.
-    pub fn request(&mut self, at: usize, plan: u16, units: f64, gateway_count: f64, lossy: u64) -> usize {
+    /// Sends a request to gateway `at`, then advances all gateways by 20 ms. Returns the number of attempts started.
+    pub fn request(
+        &mut self,
+        at: usize,
+        plan: u16,
+        units: f64,
+        gateway_count: f64,
+        loss_interval: u64,
+    ) -> usize {
         let (_, actions) = self.gateways[at].request_over(0, plan, 5, units, gateway_count);
-        let mut sent = self.carry(at, actions, lossy);
+        let mut attempts_started = self.execute(at, actions, loss_interval);
         for n in 0..self.gateways.len() {
             let actions = self.gateways[n].advance(20_000);
-            sent += self.carry(n, actions, lossy);
+            attempts_started += self.execute(n, actions, loss_interval);
         }
-        sent
+        attempts_started
     }
 
-    /// A fleet with `backends` endpoints and without hedging.
+    /// Creates a fleet with `backends` endpoints and without hedging.
     pub fn without_hedging(gateways: u16, backends: u64) -> Fleet {
-        let harness = |me| {
-            let mut s = Settings { gateways, self_id: GatewayId(me), ..settings() };
-            s.limits.hedging = false;
-            Harness::with(s, backends)
+        let harness = |number| {
+            let mut settings = Settings { gateways, self_id: GatewayId(number), ..settings() };
+            settings.limits.hedging = false;
+            Harness::with(settings, backends)
         };
-        Fleet { gateways: (0..gateways).map(harness).collect(), carried: 0 }
+        Fleet { gateways: (0..gateways).map(harness).collect(), messages_sent: 0 }
     }
 
-    /// Delivers messages alone, until there are no more; gives the other actions, by gateway.
+    /// Delivers messages until none is left. Returns all other actions, each with the number of its gateway,
+    /// unexecuted.
     pub fn deliver(&mut self, from: usize, actions: Vec<Action>) -> Vec<(usize, Action)> {
         let mut queue: Vec<(usize, Action)> = actions.into_iter().map(|a| (from, a)).collect();
-        let mut rest = Vec::new();
+        let mut other_actions = Vec::new();
         while let Some((at, action)) = queue.pop() {
             if let Action::SendGossip { to: Some(to), bytes } = action {
-                self.carried += 1;
+                self.messages_sent += 1;
                 let more = self.gateways[usize::from(to.0)]
                     .handle(Event::GossipReceived { from: GatewayId(at as u16), bytes });
                 queue.extend(more.into_iter().map(|a| (usize::from(to.0), a)));
             } else {
-                rest.push((at, action));
+                other_actions.push((at, action));
             }
         }
-        rest
+        other_actions
     }
 
-    /// A gateway that does not own the quota of customer 5: it holds a request and asks.
+    /// Finds a gateway that does not own the quota of customer 5: it holds a request and queries an owner. Returns
+    /// its number, the request and the actions.
     pub fn non_owner(&mut self) -> (usize, RequestId, Vec<Action>) {
-        let all = self.gateways.len();
-        for at in 0..all {
-            let (id, actions) = self.gateways[at].request_over(0, 0, 5, 1.0, all as f64);
+        let gateway_count = self.gateways.len();
+        for at in 0..gateway_count {
+            let (id, actions) = self.gateways[at].request_over(0, 0, 5, 1.0, gateway_count as f64);
             if attempts(&actions).is_empty() && actions.iter().any(|a| matches!(a, Action::SendGossip { .. }))
             {
                 return (at, id, actions);
@@ -211,12 +222,12 @@
     }
 }
 
-/// How many attempts were cancelled.
+/// Returns the number of attempts cancelled.
 pub fn cancellations(actions: &[Action]) -> usize {
     actions.iter().filter(|a| matches!(a, Action::Cancel { .. })).count()
 }
 
-/// The advice of the first rejection; none without one.
+/// Returns the retry-after of the first rejection; `None`: nothing was rejected.
 pub fn retry_after(actions: &[Action]) -> Option<Micros> {
     actions.iter().find_map(|action| match action {
         Action::Reject { retry_after, .. } => Some(*retry_after),
--- a/crates/core/tests/quota_gossip.rs
+++ b/crates/core/tests/quota_gossip.rs
@@ -1,35 +1,35 @@
-//! What gateways tell each other of their use, and what owners reply.
+//! Gossip between gateways: usage reports, queries to the owners of a quota, and the owners' replies.
 
 use chalkgap_core::*;
 use common::harness::{attempts, is_rejected, Fleet, Harness};
-use common::{listed, settings, S};
+use common::{endpoint, settings, SECOND};
 
 mod common;
 
-/// A customer's quota holds over many gateways, each of which sees a request now and then: none of them could know alone.
-/// Lost messages cost little, and an owner that restarts is told again.
+/// A customer's quota holds over many gateways, each of which gets only an occasional request and cannot know the
+/// total by itself. Lost messages change the total little, and an owner that restarts gets the usage reported again.
 #[test]
 fn a_quota_holds_over_many_gateways() {
-    for (lossy, restart) in [(0, false), (12, false), (0, true)] {
+    for (loss_interval, restart) in [(0, false), (12, false), (0, true)] {
         let mut fleet = Fleet::new(60);
         let mut used = 0.0;
         for step in 0..300usize {
-            used += 2.0 * fleet.request(step * 7 % 60, 1, 2.0, 60.0, lossy) as f64;
+            used += 2.0 * fleet.request(step * 7 % 60, 1, 2.0, 60.0, loss_interval) as f64;
             if restart && step == 150 {
-                for me in 0..60u16 {
-                    let s = Settings { gateways: 60, self_id: GatewayId(me), ..settings() };
-                    let harness = &mut fleet.gateways[usize::from(me)];
-                    if me % 3 == 0 {
-                        harness.gateway = Gateway::new(s, 9, harness.now);
+                for number in 0..60u16 {
+                    let settings = Settings { gateways: 60, self_id: GatewayId(number), ..settings() };
+                    let harness = &mut fleet.gateways[usize::from(number)];
+                    if number % 3 == 0 {
+                        harness.gateway = Gateway::new(settings, 9, harness.now);
                         harness
-                            .handle(Event::Endpoints(EndpointUpdate::Cached, (0..6).map(listed).collect()));
+                            .handle(Event::Endpoints(EndpointUpdate::Cached, (0..6).map(endpoint).collect()));
                     }
                 }
             }
         }
-        // 6 s at 2 units a second, and a burst of 6, half of which the first seconds may leave unused.
-        assert!((10.0..=26.0).contains(&used), "{used} units with one message in {lossy} lost");
-        assert!(fleet.carried < 300 * 8, "{} messages for 300 requests", fleet.carried);
+        // 6 s at 2 units a second, and a burst of 6, half of which may stay unused in the first seconds.
+        assert!((10.0..=26.0).contains(&used), "{used} units with one message in {loss_interval} lost");
+        assert!(fleet.messages_sent < 300 * 8, "{} messages for 300 requests", fleet.messages_sent);
     }
 }
 
@@ -37,54 +37,55 @@
 fn gossip_converges_through_loss_and_repeats() {
     let mut other = Harness::with(Settings { self_id: GatewayId(1), ..settings() }, 4);
     let mut harness = Harness::with(settings(), 4);
-    harness.advance(4 * S);
-    other.advance(4 * S);
+    harness.advance(4 * SECOND);
+    other.advance(4 * SECOND);
     harness.request(0, 1, 9, 0.5);
     other.request(0, 1, 9, 2.0);
     other.advance(200_000); // these messages are lost
     other.request(0, 1, 9, 3.0);
-    let told: Vec<Vec<u8>> = other
+    let messages: Vec<Vec<u8>> = other
         .advance(300_000)
         .into_iter()
         .filter_map(|a| if let Action::SendGossip { bytes, .. } = a { Some(bytes) } else { None })
         .collect();
-    for bytes in told.iter().chain(told.iter().rev()) {
+    for bytes in messages.iter().chain(messages.iter().rev()) {
         harness.handle(Event::GossipReceived { from: GatewayId(1), bytes: bytes.clone() });
     }
-    // 6 units less 0.5 here and 5 there: a request of 3 does not fit, though this gateway sent half a unit.
+    // Of 6 units this gateway used 0.5 and its peer 5: a request of 3 units does not fit.
     assert!(is_rejected(&harness.request(0, 1, 9, 3.0).1));
 }
 
-/// Incarnations come round every 2^32 ms: a peer that restarts just after that is heard, and its earlier life is not.
+/// Incarnation numbers wrap around every 2^32 ms. A peer that restarts just after the wrap is accepted as the newer
+/// incarnation, and late messages of its earlier incarnation are ignored.
 #[test]
-fn a_restart_is_heard_where_incarnations_come_round() {
-    let round: Micros = (1 << 32) * 1000;
-    let start = |me: u16, now: Micros| {
-        let gateway = Gateway::new(Settings { self_id: GatewayId(me), ..settings() }, 7, now);
+fn a_restart_is_recognized_when_incarnations_wrap_around() {
+    let wrap: Micros = (1 << 32) * 1000;
+    let start = |number: u16, now: Micros| {
+        let gateway = Gateway::new(Settings { self_id: GatewayId(number), ..settings() }, 7, now);
         let mut harness = Harness { gateway, now, next_request: 0 };
-        harness.handle(Event::Endpoints(EndpointUpdate::Cached, (0..4).map(listed).collect()));
+        harness.handle(Event::Endpoints(EndpointUpdate::Cached, (0..4).map(endpoint).collect()));
         harness
     };
-    let told = |harness: &mut Harness, units: f64| {
-        let asked = harness.request(0, 1, 9, units).1;
-        let actions = asked.into_iter().chain(harness.advance(300_000));
+    let messages = |harness: &mut Harness, units: f64| {
+        let first = harness.request(0, 1, 9, units).1;
+        let actions = first.into_iter().chain(harness.advance(300_000));
         actions
             .filter_map(|a| if let Action::SendGossip { bytes, .. } = a { Some(bytes) } else { None })
             .collect()
     };
-    let mut harness = start(0, round - 30 * S);
-    let mut earlier = start(1, round - 25 * S);
-    let mut again = start(1, round + S);
-    let before: Vec<Vec<u8>> = told(&mut earlier, 0.5);
-    harness.advance(25 * S);
+    let mut harness = start(0, wrap - 30 * SECOND);
+    let mut earlier = start(1, wrap - 25 * SECOND);
+    let mut restarted = start(1, wrap + SECOND);
+    let before: Vec<Vec<u8>> = messages(&mut earlier, 0.5);
+    harness.advance(25 * SECOND);
     harness.handle(Event::GossipReceived { from: GatewayId(1), bytes: before[0].clone() });
-    harness.advance(6 * S);
+    harness.advance(6 * SECOND);
     harness.request(0, 1, 9, 0.5);
-    let after: Vec<Vec<u8>> = told(&mut again, 1.0);
+    let after: Vec<Vec<u8>> = messages(&mut restarted, 1.0);
     for bytes in after.iter().chain(&before) {
         harness.handle(Event::GossipReceived { from: GatewayId(1), bytes: bytes.clone() });
     }
-    // Of 6 units, half a one went here and one there: the restarted peer's use counts.
+    // Of 6 units this gateway used 0.5 and the restarted peer 1, which counts.
     assert!(is_rejected(&harness.request(0, 1, 9, 5.0).1));
     assert!(!is_rejected(&harness.request(0, 1, 9, 3.5).1));
 }
@@ -92,7 +93,7 @@
 #[test]
 fn gossip_reports_every_customer_in_turn() {
     let mut harness = Harness::with(settings(), 4);
-    let mut told = std::collections::BTreeSet::new();
+    let mut reported = std::collections::BTreeSet::new();
     for _ in 0..20 {
         for n in 0..100 {
             let (id, actions) = harness.request(0, 0, n, 1.0);
@@ -102,106 +103,115 @@
         }
         for action in harness.advance(100_000) {
             if let Action::SendGossip { bytes, .. } = action {
-                told.extend((0..100u8).filter(|n| bytes.windows(5).any(|w| w == [*n, 0, 0, 0, 0])));
+                reported.extend((0..100u8).filter(|n| bytes.windows(5).any(|w| w == [*n, 0, 0, 0, 0])));
             }
         }
     }
-    assert_eq!(told.len(), 100, "with more changed customers than a message holds, none is left out");
+    assert_eq!(reported.len(), 100, "every customer is reported, though more changed than a message holds");
 }
 
-/// What an owner rejected it has not counted: nothing is reported after it, and losses make no more messages.
+/// An owner counts no usage for a request that it rejects, so that nothing is reported after a negative reply, and
+/// losses cause no further messages.
 #[test]
 fn a_negative_reply_needs_no_further_message() {
-    let asker = Fleet::new(60).non_owner().0;
+    let requester = Fleet::new(60).non_owner().0;
     let mut fleet = Fleet::new(60);
     for n in 0..4 {
-        fleet.request((asker + n) % 60, 1, 2.0, 60.0, 0);
+        fleet.request((requester + n) % 60, 1, 2.0, 60.0, 0);
     }
     for n in 0..60 {
         let actions = fleet.gateways[n].advance(600_000);
         fleet.deliver(n, actions);
     }
-    let before = fleet.carried;
-    let (_, actions) = fleet.gateways[asker].request_over(0, 1, 5, 6.0, 60.0);
-    let rest: Vec<Action> = fleet.deliver(asker, actions).into_iter().map(|(_, a)| a).collect();
-    assert!(is_rejected(&rest), "more than has been refilled since");
-    let more = fleet.gateways[asker].advance(300_000);
-    fleet.deliver(asker, more);
-    assert_eq!(fleet.carried - before, 2, "one query, one reply");
+    let before = fleet.messages_sent;
+    let (_, actions) = fleet.gateways[requester].request_over(0, 1, 5, 6.0, 60.0);
+    let rest: Vec<Action> = fleet.deliver(requester, actions).into_iter().map(|(_, a)| a).collect();
+    assert!(is_rejected(&rest), "the request exceeds what has been refilled since");
+    let more = fleet.gateways[requester].advance(300_000);
+    fleet.deliver(requester, more);
+    assert_eq!(fleet.messages_sent - before, 2, "one query, one reply");
 }
 
-/// A gateway of many hears from an endpoint once in many seconds: what others were answered counts for as long as it weighs,
-/// in every message.
+/// In a large fleet a gateway gets a response from an endpoint only once in many seconds and depends on the samples
+/// of its peers. A sample therefore goes into every message for as long as it carries weight.
 #[test]
 fn the_latest_samples_go_into_every_message_for_a_second() {
     let mut harness = Harness::with(Settings { gateways: 60, self_id: GatewayId(30), ..settings() }, 4);
     let (id, mut actions) = harness.request_over(0, 0, 5, 1.0, 60.0);
     actions.extend(harness.advance(180_000));
     harness.finish(id, 0, attempts(&actions)[0], Outcome::Ok);
-    let mut lessons = Vec::new();
+    let mut sample_counts = Vec::new();
     for n in 0..14 {
         for action in harness.request_over(0, 0, 50 + n, 1.0, 60.0).1 {
             if let Action::SendGossip { bytes, .. } = action {
-                lessons.push(bytes[1] >> 2);
+                sample_counts.push(bytes[1] >> 2);
             }
         }
     }
-    assert!(lessons.len() >= 12, "{lessons:?}");
-    assert!(lessons.iter().all(|n| *n == 1), "{lessons:?}");
+    assert!(sample_counts.len() >= 12, "{sample_counts:?}");
+    assert!(sample_counts.iter().all(|n| *n == 1), "{sample_counts:?}");
 }
 
-/// What the membership view knows, nobody has to find out by waiting: the second owner is asked at once, and where both are
-/// gone nothing is held for a reply that cannot come. What is admitted then is what a new customer would get.
+/// A gateway does not wait for replies of owners that are unreachable in the membership view: it queries the second
+/// owner at once, and if both are unreachable, it decides at once instead of holding the request. It then admits what
+/// a new customer would get.
 #[test]
 fn owners_that_the_membership_view_has_lost_are_not_waited_for() {
-    let asker = Fleet::new(60).non_owner().0;
-    let asked = |actions: &[Action]| -> Vec<GatewayId> {
+    let requester = Fleet::new(60).non_owner().0;
+    let queried = |actions: &[Action]| -> Vec<GatewayId> {
         actions
             .iter()
             .filter_map(|a| if let Action::SendGossip { to, .. } = a { *to } else { None })
             .collect()
     };
     let mut harness =
-        Harness::with(Settings { gateways: 60, self_id: GatewayId(asker as u16), ..settings() }, 10);
+        Harness::with(Settings { gateways: 60, self_id: GatewayId(requester as u16), ..settings() }, 10);
     let (_, actions) = harness.request_over(0, 1, 5, 1.0, 60.0);
-    let first = asked(&actions);
-    assert!(first.len() == 1 && attempts(&actions).is_empty(), "held for its first owner's reply");
-    let reach = |peer, there| Event::PeerReachability { peer, reachable: there };
-    harness.handle(reach(first[0], false));
+    let first = queried(&actions);
+    assert!(
+        first.len() == 1 && attempts(&actions).is_empty(),
+        "the request is held for the reply of the first owner"
+    );
+    let reachability = |peer, reachable| Event::PeerReachability { peer, reachable };
+    harness.handle(reachability(first[0], false));
     harness.advance(2_000_000);
     let (_, actions) = harness.request_over(0, 1, 5, 1.0, 60.0);
-    let second = asked(&actions);
+    let second = queried(&actions);
     assert!(second.len() == 1 && second != first && attempts(&actions).is_empty(), "{actions:?}");
-    harness.handle(reach(second[0], false));
+    harness.handle(reachability(second[0], false));
     harness.advance(2_000_000);
     let (_, actions) = harness.request_over(0, 1, 5, 1.0, 60.0);
     assert!(
-        asked(&actions).is_empty() && (is_rejected(&actions) || attempts(&actions).len() == 1),
+        queried(&actions).is_empty() && (is_rejected(&actions) || attempts(&actions).len() == 1),
         "{actions:?}"
     );
-    harness.handle(reach(first[0], true));
+    harness.handle(reachability(first[0], true));
     harness.advance(2_000_000);
-    assert_eq!(asked(&harness.request_over(0, 1, 5, 1.0, 60.0).1), first, "it is back");
-    harness.handle(reach(GatewayId(60), false)); // no such peer: nothing is kept of it
+    assert_eq!(
+        queried(&harness.request_over(0, 1, 5, 1.0, 60.0).1),
+        first,
+        "the first owner is reachable again"
+    );
+    harness.handle(reachability(GatewayId(60), false)); // a peer that does not exist is ignored
 }
 
-/// An owner that grants a request counts the units as used in the same turn: its reservation is not reported to it again, only
-/// to the other owner.
+/// An owner that grants a request counts its units as used at once. The requester therefore reports the usage only to
+/// the other owner.
 #[test]
 fn a_request_costs_three_messages_and_both_owners_know_of_it() {
-    let asker = Fleet::new(60).non_owner().0;
+    let requester = Fleet::new(60).non_owner().0;
     let mut fleet = Fleet::new(60);
-    let sent = fleet.request(asker, 1, 2.0, 60.0, 0);
-    assert_eq!((sent, fleet.carried), (1, 3), "query, reply, report to the other owner");
-    // The bucket of 6 held 3 requests; whichever owner is asked, no fourth is admitted before more has been refilled.
+    let sent = fleet.request(requester, 1, 2.0, 60.0, 0);
+    assert_eq!((sent, fleet.messages_sent), (1, 3), "query, reply, report to the other owner");
+    // The bucket of 6 units holds 3 requests of 2. Neither owner admits a fourth before more has been refilled.
     for n in 1..3 {
-        assert_eq!(fleet.request((asker + n) % 60, 1, 2.0, 60.0, 0), 1);
+        assert_eq!(fleet.request((requester + n) % 60, 1, 2.0, 60.0, 0), 1);
     }
     for n in 0..60 {
         let actions = fleet.gateways[n].advance(600_000);
         fleet.deliver(n, actions);
     }
-    let (_, actions) = fleet.gateways[asker].request_over(0, 1, 5, 6.0, 60.0);
+    let (_, actions) = fleet.gateways[requester].request_over(0, 1, 5, 6.0, 60.0);
     let first = actions.iter().find_map(|a| {
         if let Action::SendGossip { to: Some(to), .. } = a {
             Some(*to)
@@ -209,63 +219,66 @@
             None
         }
     });
-    let first = usize::from(first.expect("it asks its first owner").0);
-    // The first owner is gone: the second, asked after it, knows of the use and grants nothing.
+    let first = usize::from(first.expect("the first owner is queried").0);
+    // The first owner does not reply. The second owner, queried next, knows the usage and grants nothing.
     for _ in 0..2 {
-        let (_, mut actions) = fleet.gateways[asker].request_over(0, 1, 5, 6.0, 60.0);
-        actions.extend(fleet.gateways[asker].advance(100_000));
+        let (_, mut actions) = fleet.gateways[requester].request_over(0, 1, 5, 6.0, 60.0);
+        actions.extend(fleet.gateways[requester].advance(100_000));
         let to_first =
             |a: &Action| matches!(a, Action::SendGossip { to: Some(to), .. } if usize::from(to.0) == first);
         let second: Vec<Action> = actions.into_iter().filter(|a| !to_first(a)).collect();
-        let tells = second.iter().filter(|a| matches!(a, Action::SendGossip { .. })).count();
-        assert!(tells >= 1, "the second owner is asked when the first is silent");
-        let rest: Vec<Action> = fleet.deliver(asker, second).into_iter().map(|(_, a)| a).collect();
-        assert!(attempts(&rest).is_empty(), "beyond the quota");
-        fleet.gateways[asker].advance(600_000); // as long as a negative reply is valid
+        let queries = second.iter().filter(|a| matches!(a, Action::SendGossip { .. })).count();
+        assert!(queries >= 1, "the second owner is queried when the first does not reply");
+        let rest: Vec<Action> = fleet.deliver(requester, second).into_iter().map(|(_, a)| a).collect();
+        assert!(attempts(&rest).is_empty(), "admitted a request beyond the quota");
+        fleet.gateways[requester].advance(600_000); // as long as a negative reply is valid
     }
 }
 
-/// After a partition all gateways report, each when it next asks, what they admitted unheard. Most of it has been refilled: taken
-/// for new use it would hold the bucket far below zero.
+/// After a partition each gateway reports, with its next query, the usage that it admitted during the partition. Most
+/// of it has been refilled since: counted as new usage, it would keep the bucket far below zero.
 #[test]
 fn use_reported_after_a_partition_has_been_refilled() {
-    let asker = Fleet::new(60).non_owner().0;
-    let mut fleet = Fleet::without_hedging(60, 600); // endpoints enough, as no attempt ends here
+    let requester = Fleet::new(60).non_owner().0;
+    let mut fleet = Fleet::without_hedging(60, 600); // enough endpoints, as no attempt ends in this test
     let others: Vec<usize> = (0..60)
-        .filter(|n| *n != asker)
+        .filter(|n| *n != requester)
         .filter(|n| {
             let (_, actions) = fleet.gateways[*n].request_over(0, 1, 5, 0.25, 60.0);
-            let home = !actions.iter().any(|a| matches!(a, Action::SendGossip { .. }));
-            fleet.deliver(*n, actions); // all are heard once
-            !home
+            let is_owner = !actions.iter().any(|a| matches!(a, Action::SendGossip { .. }));
+            fleet.deliver(*n, actions); // every gateway sends its owners a message
+            !is_owner
         })
         .collect();
-    let pass = |fleet: &mut Fleet, span: Micros, cut: bool| {
+    let advance_all = |fleet: &mut Fleet, duration: Micros, partitioned: bool| {
         for n in 0..60 {
-            let actions = fleet.gateways[n].advance(span);
-            if !cut {
+            let actions = fleet.gateways[n].advance(duration);
+            if !partitioned {
                 fleet.deliver(n, actions);
             }
         }
     };
-    pass(&mut fleet, 3 * S, false);
-    // Cut off: each lets one try of half a unit through on its own, and nobody hears of it.
-    let mut blind = 0;
+    advance_all(&mut fleet, 3 * SECOND, false);
+    // During the partition each gateway admits a request of half a unit on its own, and its report is lost.
+    let mut admitted_alone = 0;
     for n in &others {
         let (_, mut actions) = fleet.gateways[*n].request_over(0, 1, 5, 0.5, 60.0);
         actions.extend(fleet.gateways[*n].advance(200_000));
         fleet.gateways[*n].now -= 200_000;
-        blind += attempts(&actions).len();
+        admitted_alone += attempts(&actions).len();
     }
-    assert!(blind > 20, "{blind}: far beyond a quota of 2 a second with a burst of 6");
-    pass(&mut fleet, 10 * S, true);
-    // PeerUsage again, within a second: the store has been full for long.
+    assert!(
+        admitted_alone > 20,
+        "{admitted_alone} admitted: too few to exceed 2 units a second with a burst of 6"
+    );
+    advance_all(&mut fleet, 10 * SECOND, true);
+    // After the partition all gateways query within a second. The bucket has been full for a long time.
     for n in &others {
         let (_, actions) = fleet.gateways[*n].request_over(0, 1, 5, 0.25, 60.0);
         fleet.deliver(*n, actions);
     }
-    pass(&mut fleet, 3 * S, false);
-    let (_, actions) = fleet.gateways[asker].request_over(0, 1, 5, 2.0, 60.0);
-    let rest: Vec<Action> = fleet.deliver(asker, actions).into_iter().map(|(_, a)| a).collect();
-    assert_eq!(attempts(&rest).len(), 1, "3 s at 2 a second have filled since");
+    advance_all(&mut fleet, 3 * SECOND, false);
+    let (_, actions) = fleet.gateways[requester].request_over(0, 1, 5, 2.0, 60.0);
+    let rest: Vec<Action> = fleet.deliver(requester, actions).into_iter().map(|(_, a)| a).collect();
+    assert_eq!(attempts(&rest).len(), 1, "3 s at 2 units a second have been refilled since");
 }
--- a/crates/core/tests/retry.rs
+++ b/crates/core/tests/retry.rs
@@ -2,7 +2,7 @@
 
 use chalkgap_core::*;
 use common::harness::{attempts, cancellations, has_failed, is_rejected, Fleet, Harness};
-use common::{listed, settings, S};
+use common::{endpoint, settings, SECOND};
 
 mod common;
 
@@ -11,8 +11,8 @@
     let mut harness = Harness::with(settings(), 4);
     let (id, actions) = harness.request(2, 0, 1, 1.0);
     let backend = attempts(&actions)[0];
-    let later = harness.advance(2 * S);
-    assert!(attempts(&later).is_empty(), "no hedged request where it is not idempotent");
+    let later = harness.advance(2 * SECOND);
+    assert!(attempts(&later).is_empty(), "a request that is not idempotent was hedged");
     let end = harness.finish(id, 0, backend, Outcome::TimedOut);
     assert!(has_failed(&end) && !is_rejected(&end) && attempts(&end).is_empty());
 }
@@ -21,9 +21,9 @@
 fn a_request_that_is_not_idempotent_is_retried_on_proof_that_it_never_ran() {
     let mut harness = Harness::with(settings(), 4);
     let (id, actions) = harness.request(2, 0, 1, 1.0);
-    let again = harness.finish(id, 0, attempts(&actions)[0], Outcome::Rejected);
-    assert_eq!(attempts(&again).len(), 1);
-    let end = harness.finish(id, 1, attempts(&again)[0], Outcome::Reset);
+    let retried = harness.finish(id, 0, attempts(&actions)[0], Outcome::Rejected);
+    assert_eq!(attempts(&retried).len(), 1);
+    let end = harness.finish(id, 1, attempts(&retried)[0], Outcome::Reset);
     assert!(has_failed(&end) && !is_rejected(&end), "the second attempt may have run");
 }
 
@@ -32,17 +32,17 @@
     let mut harness = Harness::with(settings(), 6);
     let (id, actions) = harness.request(1, 0, 1, 1.0);
     let first = attempts(&actions)[0];
-    let again = harness.finish(id, 0, first, Outcome::Error);
-    assert_eq!(attempts(&again).len(), 1);
-    assert_eq!(attempts(&again)[0].0 % 2, first.0 % 2, "the same cell");
+    let retried = harness.finish(id, 0, first, Outcome::Error);
+    assert_eq!(attempts(&retried).len(), 1);
+    assert_eq!(attempts(&retried)[0].0 % 2, first.0 % 2, "the same cell");
 
-    let mut s = settings();
-    s.classes[1].latency_objective = 4 * S;
-    s.limits.hedging = false;
-    s.limits.cancellation = false;
-    let mut harness = Harness::with(s, 6);
+    let mut settings = settings();
+    settings.classes[1].latency_objective = 4 * SECOND;
+    settings.limits.hedging = false;
+    settings.limits.cancellation = false;
+    let mut harness = Harness::with(settings, 6);
     let (id, actions) = harness.request(1, 0, 1, 1.0);
-    harness.advance(2 * S);
+    harness.advance(2 * SECOND);
     let end = harness.finish(id, 0, attempts(&actions)[0], Outcome::Reset);
     assert!(attempts(&end).is_empty() && has_failed(&end) && !is_rejected(&end), "outside the window");
 }
@@ -52,66 +52,73 @@
     let mut harness = Harness::with(settings(), 6);
     let (id, actions) = harness.request(1, 0, 1, 1.0);
     let first = attempts(&actions)[0];
-    let gone: Vec<Endpoint> = (0..6).map(listed).filter(|l| l.cell != (first.0 % 2) as u16).collect();
-    harness.handle(Event::Endpoints(EndpointUpdate::Snapshot, gone));
+    let other_cell: Vec<Endpoint> =
+        (0..6).map(endpoint).filter(|endpoint| endpoint.cell != (first.0 % 2) as u16).collect();
+    harness.handle(Event::Endpoints(EndpointUpdate::Snapshot, other_cell));
     let end = harness.finish(id, 0, first, Outcome::Reset);
-    assert!(attempts(&end).is_empty() && has_failed(&end), "no endpoint is left that knows the key");
+    assert!(
+        attempts(&end).is_empty() && has_failed(&end),
+        "retried at an endpoint that does not know the key"
+    );
 }
 
-/// Ten retries saved up at each of hundreds of gateways would be a storm: the budget is the fleet's.
+/// A budget of ten retries at each of hundreds of gateways would allow a retry storm. The budget is therefore for the
+/// whole fleet, and each gateway has a share.
 #[test]
-fn the_retry_budget_is_the_fleets() {
-    let at_once = |gateways: u16| {
+fn the_retry_budget_is_shared_by_the_fleet() {
+    let retries_at_once = |gateways: u16| {
         let mut harness = Harness::with(Settings { gateways, ..settings() }, 4 * u64::from(gateways));
         let ids: Vec<(RequestId, Vec<Action>)> =
             (0..12).map(|n| harness.request_over(0, 0, n, 1.0, 1.0)).collect();
-        let mut again = 0;
+        let mut retries = 0;
         for (id, actions) in ids {
             for backend in attempts(&actions) {
-                again += attempts(&harness.finish(id, 0, backend, Outcome::Rejected)).len();
+                retries += attempts(&harness.finish(id, 0, backend, Outcome::Rejected)).len();
             }
         }
-        again
+        retries
     };
-    assert_eq!(at_once(3), 10);
-    assert!((1..=2).contains(&at_once(150)), "{}", at_once(150));
+    assert_eq!(retries_at_once(3), 10);
+    assert!((1..=2).contains(&retries_at_once(150)), "{}", retries_at_once(150));
 }
 
-/// An attempt that fails early does little work, and its retry takes its place. An endpoint's rejection and a late failure
-/// cost in full: that is where retries feed an overload.
+/// The retry of an attempt that failed early costs little of the budget, as the attempt had done little work. The
+/// retry of a rejection by the endpoint or of a late failure costs in full, as such retries add to an overload.
 #[test]
 fn a_retry_costs_what_the_failed_attempt_had_done() {
-    let again = |outcome: Outcome, took: Micros| {
+    let retries = |outcome: Outcome, elapsed: Micros| {
         let mut harness = Harness::with(settings(), 24);
         let ids: Vec<(RequestId, Vec<Action>)> =
             (0..36).map(|n| harness.request_over(0, 0, n, 1.0, 1.0)).collect();
         let sent = ids.into_iter().filter_map(|(id, a)| Some((id, *attempts(&a).first()?)));
         let own = |id: RequestId, a: &Action| matches!(a, Action::StartAttempt { id: of, .. } if *of == id);
-        sent.filter(|(id, to)| harness.finish_after(*id, 0, *to, outcome, took).iter().any(|a| own(*id, a)))
-            .count()
+        sent.filter(|(id, to)| {
+            harness.finish_after(*id, 0, *to, outcome, elapsed).iter().any(|a| own(*id, a))
+        })
+        .count()
     };
-    assert_eq!(again(Outcome::Reset, S), 10, "late");
-    assert_eq!(again(Outcome::Rejected, 1000), 10, "rejected by the endpoint");
-    assert!(again(Outcome::Reset, 1000) > 30, "{}", again(Outcome::Reset, 1000));
-    assert!(again(Outcome::Reset, 75_000) < 25, "{}", again(Outcome::Reset, 75_000));
+    assert_eq!(retries(Outcome::Reset, SECOND), 10, "late failure");
+    assert_eq!(retries(Outcome::Rejected, 1000), 10, "rejected by the endpoint");
+    assert!(retries(Outcome::Reset, 1000) > 30, "{}", retries(Outcome::Reset, 1000));
+    assert!(retries(Outcome::Reset, 75_000) < 25, "{}", retries(Outcome::Reset, 75_000));
 }
 
-/// The check that ends the hold of a request stays due after an owner's reply admitted it. It must not take the attempt, 0.1 s
-/// old, for a silent one.
+/// The timeout that ends the hold of a request stays scheduled after an owner's reply admitted the request. When it
+/// fires, it must not cancel the attempt, which is 0.1 s old by then, as unresponsive.
 #[test]
-fn the_check_of_a_held_request_judges_no_attempt() {
+fn the_timeout_of_a_held_request_cancels_no_attempt() {
     let mut fleet = Fleet::without_hedging(60, 4);
     let (at, _, actions) = fleet.non_owner();
     let rest = fleet.deliver(at, actions);
     assert!(
         rest.iter().any(|(n, a)| *n == at && matches!(a, Action::StartAttempt { .. })),
-        "admitted by an owner's reply"
+        "the reply of an owner admits the request"
     );
     assert_eq!(cancellations(&fleet.gateways[at].advance(300_000)), 0);
-    // Nor does that of an earlier attempt, in a fleet of any size.
-    let mut s = settings();
-    s.limits.hedging = false;
-    let mut harness = Harness::with(s, 4);
+    // The timeout of an earlier attempt cancels no later one, in a fleet of any size.
+    let mut settings = settings();
+    settings.limits.hedging = false;
+    let mut harness = Harness::with(settings, 4);
     for n in 0..60 {
         let (id, actions) = harness.request(0, 0, n, 1.0); // fills the retry budget
         harness.finish(id, 0, attempts(&actions)[0], Outcome::Ok);
@@ -123,28 +130,28 @@
     assert_eq!(
         cancellations(&harness.advance(240_000)),
         0,
-        "0.44 s after the first, 0.24 s after the second"
+        "cancelled 0.44 s after the first attempt and 0.24 s after the second"
     );
-    assert_eq!(cancellations(&harness.advance(160_000)), 1, "it has a check of its own");
+    assert_eq!(cancellations(&harness.advance(160_000)), 1, "the second attempt has its own timeout");
 }
 
-/// One of many gateways hears from an endpoint once in many seconds: its own slow attempt is no evidence. It is cancelled only
-/// where peers found the endpoint silent, too.
+/// In a large fleet a gateway gets a response from an endpoint only once in many seconds, so that a slow attempt of
+/// its own is no evidence. It cancels the attempt only if peers found the endpoint unresponsive as well.
 #[test]
-fn silence_counts_in_a_large_fleet_only_with_what_peers_found() {
+fn a_large_fleet_cancels_a_slow_attempt_only_if_peers_found_the_endpoint_unresponsive() {
     for hung in [false, true] {
-        let (_, _, asked) = Fleet::without_hedging(60, 1).non_owner();
-        let to = |a: &Action| {
+        let (_, _, query) = Fleet::without_hedging(60, 1).non_owner();
+        let receiver = |a: &Action| {
             if let Action::SendGossip { to: Some(to), .. } = a {
                 Some(usize::from(to.0))
             } else {
                 None
             }
         };
-        let homes: Vec<usize> = asked.iter().filter_map(to).collect();
+        let owners: Vec<usize> = query.iter().filter_map(receiver).collect();
         let mut fleet = Fleet::without_hedging(60, 1);
         for _ in 0..2 {
-            for n in (0..30).filter(|n| !homes.contains(n)) {
+            for n in (0..30).filter(|n| !owners.contains(n)) {
                 let (_, actions) = fleet.gateways[n].request_over(0, 0, 5, 1.0, 60.0);
                 for (at, action) in fleet.deliver(n, actions) {
                     if let (Action::StartAttempt { id, backend, .. }, false) = (action, hung) {
@@ -158,11 +165,11 @@
                 fleet.deliver(n, actions);
             }
         }
-        // The owner sent nothing yet: it knows nothing of its own.
-        let home = homes[0];
-        let (_, mut all) = fleet.gateways[home].request_over(0, 0, 5, 1.0, 60.0);
-        all.extend(fleet.gateways[home].advance(400_000));
-        assert_eq!(attempts(&all).len(), 1);
-        assert_eq!(cancellations(&all) > 0, hung, "hung: {hung}");
+        // The owner has sent no attempt yet and has no samples of its own.
+        let owner = owners[0];
+        let (_, mut actions) = fleet.gateways[owner].request_over(0, 0, 5, 1.0, 60.0);
+        actions.extend(fleet.gateways[owner].advance(400_000));
+        assert_eq!(attempts(&actions).len(), 1);
+        assert_eq!(cancellations(&actions) > 0, hung, "hung: {hung}");
     }
 }
