--- a/crates/deployment-config/src/config.rs
+++ b/crates/deployment-config/src/config.rs
@@ -1,4 +1,4 @@
-//! The settings object as a whole, and its two sources.
+//! The settings object as a whole and its two formats.
 
 use crate::error::SettingsError;
 use crate::json;
@@ -10,38 +10,38 @@
 /// The settings of a deployment.
 #[derive(Clone, Debug, Default)]
 pub struct DeploymentConfig {
-    /// What the decision module is configured with.
+    /// Settings of the decision module.
     pub settings: Settings,
-    /// The names of the values in a load report, in their order; empty where backends send none.
+    /// Names of the values in a load report, in their order; empty if backends send no load reports.
     pub load_report_fields: Vec<String>,
-    /// The names of the request classes, in the order of [`Settings::classes`].
+    /// Names of the request classes, in the order of [`Settings::classes`].
     pub class_names: Vec<String>,
-    /// The names of the plans, in the order of [`Settings::plans`].
+    /// Names of the plans, in the order of [`Settings::plans`].
     pub plan_names: Vec<String>,
-    /// The names of the zones, by their index.
+    /// Names of the zones, by index.
     pub zone_names: Vec<String>,
-    /// The names of the machine types, by their index.
+    /// Names of the machine types, by index.
     pub machine_kinds: Vec<String>,
-    /// The most quota units that one request may count.
+    /// Maximum quota units of one request.
     pub max_units: f64,
-    /// Backends close a connection that has been idle for this long, at the latest.
+    /// Time after which backends close an idle connection, at the latest; in microseconds.
     pub keepalive: Micros,
-    /// A connection that is not established within this time counts as failed.
+    /// Maximum time to establish a connection, in microseconds; a slower one counts as failed.
     pub connect_timeout: Micros,
 }
 
-/// Reads lines of `path=value`, the form that the simulator sends.
+/// Reads lines of `path=value`, the format that the simulator sends.
 ///
 /// # Errors
-/// A line or key that is missing or malformed, by name; see [`SettingsError`].
+/// Returns a [`SettingsError`] that names the line without `=`, or the key that is missing or malformed.
 pub fn parse(text: &str) -> Result<DeploymentConfig, SettingsError> {
     read(&KeyValues::from_lines(text)?)
 }
 
-/// Reads nested JSON, the form in the platform's configuration file.
+/// Reads nested JSON, the format of the platform's configuration file.
 ///
 /// # Errors
-/// A key that is missing or malformed, by name; see [`SettingsError`].
+/// Returns a [`SettingsError`] that names the key that is missing, malformed or nested too deep.
 pub fn from_json(value: &Value) -> Result<DeploymentConfig, SettingsError> {
     read(&json::flatten(value)?)
 }
--- a/crates/deployment-config/src/error.rs
+++ b/crates/deployment-config/src/error.rs
@@ -1,4 +1,4 @@
-//! Why a settings object is rejected.
+//! Errors in settings objects.
 
 /// A settings object that cannot be read. Each variant names the key or the line at fault.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
@@ -6,7 +6,7 @@
     /// A line of text is not of the form `path=value`.
     #[error("line {line} of the settings has no '='")]
     NoSeparator {
-        /// The line, counted from 1.
+        /// Number of the line, from 1.
         line: usize,
     },
     /// A required key is absent.
@@ -15,7 +15,7 @@
         /// The key.
         key: String,
     },
-    /// The value is not a finite number from 0 up.
+    /// The value is negative, not finite or not a number.
     #[error("setting {key} is not a number from 0 up: {value}")]
     NotANumber {
         /// The key.
@@ -54,7 +54,7 @@
     ItemBeyondCount {
         /// The list.
         list: String,
-        /// Its stated length.
+        /// The list's stated length.
         count: u64,
         /// The key of the surplus item.
         key: String,
--- a/crates/deployment-config/src/json.rs
+++ b/crates/deployment-config/src/json.rs
@@ -1,17 +1,18 @@
-//! Nested JSON turned into the flat table that the settings are read from.
+//! Converts nested JSON into the flat table from which settings are read.
 
 use crate::error::SettingsError;
 use crate::key_values::KeyValues;
 use serde_json::Value;
 
-/// No setting lies deeper than this; bounds the recursion on foreign input.
+/// Maximum depth of JSON objects and arrays. No setting is nested deeper; bounds the recursion on untrusted input.
 const MAX_DEPTH: usize = 8;
 
-/// Flattens a settings object. Objects join their keys by dots; lists of objects give their length under `.count` and
-/// their items by index; lists of plain values are joined by commas; `null` counts as absent.
+/// Flattens a settings object. The keys of nested objects are joined by dots. A list of objects becomes its length
+/// under `.count` and its items under their indexes. The items of any other list are joined by commas. `null` counts
+/// as absent.
 ///
 /// # Errors
-/// [`SettingsError::TooDeep`].
+/// Returns [`SettingsError::TooDeep`] if values are nested deeper than [`MAX_DEPTH`].
 pub(crate) fn flatten(settings: &Value) -> Result<KeyValues, SettingsError> {
     let mut key_values = KeyValues::default();
     flatten_into(&mut key_values, settings, String::new(), 0)?;
@@ -59,7 +60,7 @@
     }
 }
 
-/// A string without its quotes, anything else as JSON writes it.
+/// Returns a string without its quotes, and any other value as JSON.
 fn plain_text(value: &Value) -> String {
     value.as_str().map_or_else(|| value.to_string(), String::from)
 }
--- a/crates/deployment-config/src/key_values.rs
+++ b/crates/deployment-config/src/key_values.rs
@@ -4,21 +4,21 @@
 use chalkgap_core::Micros;
 use std::collections::HashMap;
 
-/// Leaves room for sums and multiples of durations in 64 bits.
+/// Maximum duration in microseconds; leaves room for sums and multiples of durations in 64 bits.
 const MAX_MICROS: Micros = u64::MAX >> 12;
-/// Lists hold at most as many items as their 16-bit indexes can name.
+/// Maximum length of a list, as items have 16-bit indexes.
 const MAX_LIST_ITEMS: u64 = u16::MAX as u64;
 
-/// Settings by dotted path, for example `grades.0.worth`. An item of a list of objects has its index in the path, and
-/// the list's length stands under `.count`.
+/// Settings by dotted path, for example `grades.0.worth`. The path of an item in a list of objects contains its
+/// index; the length of the list is under `.count`.
 #[derive(Debug, Default)]
 pub(crate) struct KeyValues(HashMap<String, String>);
 
 impl KeyValues {
-    /// Reads lines of `path=value`; empty lines are skipped, and the last of several equal paths wins.
+    /// Reads lines of `path=value`. Empty lines are skipped, and the last of several lines with the same path counts.
     ///
     /// # Errors
-    /// [`SettingsError::NoSeparator`].
+    /// Returns [`SettingsError::NoSeparator`] if a line has no `=`.
     pub(crate) fn from_lines(text: &str) -> Result<Self, SettingsError> {
         let mut key_values = KeyValues::default();
         for (index, line) in text.lines().enumerate().filter(|(_, line)| !line.is_empty()) {
@@ -29,18 +29,18 @@
         Ok(key_values)
     }
 
-    /// Sets a value, in place of an earlier one with the same key.
+    /// Sets a value and replaces an earlier one with the same key.
     pub(crate) fn insert(&mut self, key: String, value: String) {
         self.0.insert(key, value);
     }
 
-    /// The value as it stands.
+    /// Returns the value as text.
     pub(crate) fn text(&self, key: &str) -> Result<&str, SettingsError> {
         let value = self.0.get(key).map(String::as_str);
         value.ok_or_else(|| SettingsError::Missing { key: key.to_owned() })
     }
 
-    /// A finite number from 0 up.
+    /// Returns a finite number that is not negative.
     pub(crate) fn number(&self, key: &str) -> Result<f64, SettingsError> {
         let text = self.text(key)?;
         match text.parse::<f64>() {
@@ -49,7 +49,7 @@
         }
     }
 
-    /// A finite number from 0 up; `default` where the key is absent.
+    /// Returns a finite number that is not negative, or `default` if the key is absent.
     pub(crate) fn number_or(&self, key: &str, default: f64) -> Result<f64, SettingsError> {
         if self.0.contains_key(key) {
             self.number(key)
@@ -58,27 +58,27 @@
         }
     }
 
-    /// An integer that fits into 8 bits.
+    /// Returns an integer of at most 8 bits.
     pub(crate) fn u8(&self, key: &str) -> Result<u8, SettingsError> {
         self.integer(key, u64::from(u8::MAX)).map(|value| value as u8)
     }
 
-    /// An integer that fits into 16 bits.
+    /// Returns an integer of at most 16 bits.
     pub(crate) fn u16(&self, key: &str) -> Result<u16, SettingsError> {
         self.integer(key, u64::from(u16::MAX)).map(|value| value as u16)
     }
 
-    /// An integer that fits into 32 bits.
+    /// Returns an integer of at most 32 bits.
     pub(crate) fn u32(&self, key: &str) -> Result<u32, SettingsError> {
         self.integer(key, u64::from(u32::MAX)).map(|value| value as u32)
     }
 
-    /// A duration in microseconds.
+    /// Returns a duration in microseconds.
     pub(crate) fn micros(&self, key: &str) -> Result<Micros, SettingsError> {
         self.integer(key, MAX_MICROS)
     }
 
-    /// `true` or `false`.
+    /// Returns a boolean, written as `true` or `false`.
     pub(crate) fn flag(&self, key: &str) -> Result<bool, SettingsError> {
         match self.text(key)? {
             "true" => Ok(true),
@@ -87,15 +87,16 @@
         }
     }
 
-    /// A list of plain values, joined by commas. Empty values are skipped.
+    /// Returns the items of a comma-separated list. Empty items are skipped.
     pub(crate) fn list(&self, key: &str) -> Result<Vec<String>, SettingsError> {
         Ok(self.text(key)?.split(',').filter(|value| !value.is_empty()).map(String::from).collect())
     }
 
-    /// The length of a list of objects.
+    /// Returns the length of a list of objects.
     ///
     /// # Errors
-    /// Also [`SettingsError::ItemBeyondCount`], where the list holds more items than its length says.
+    /// Returns [`SettingsError::ItemBeyondCount`] if an item has an index beyond the stated length, and the errors of
+    /// an integer for the length itself.
     pub(crate) fn list_length(&self, list: &str) -> Result<u64, SettingsError> {
         let count = self.integer(&format!("{list}.count"), MAX_LIST_ITEMS)?;
         let prefix = format!("{list}.");
@@ -113,12 +114,13 @@
         Ok(count)
     }
 
-    /// The value under `name` of each item in a list of objects.
+    /// Returns the value under `name` of each item in a list of objects.
     pub(crate) fn column(&self, list: &str, name: &str) -> Result<Vec<String>, SettingsError> {
         let indexes = 0..self.list_length(list)?;
         indexes.map(|index| self.text(&format!("{list}.{index}.{name}")).map(String::from)).collect()
     }
 
+    /// Returns an integer from 0 to `max`.
     fn integer(&self, key: &str, max: u64) -> Result<u64, SettingsError> {
         let text = self.text(key)?;
         match text.parse::<u64>() {
--- a/crates/deployment-config/src/lib.rs
+++ b/crates/deployment-config/src/lib.rs
@@ -1,8 +1,8 @@
 //! The settings object that a deployment gives a gateway at its start, read into the types of `chalkgap-core`.
 //!
 //! The simulator sends it as lines of `path=value` ([`parse`]), the platform as nested JSON ([`from_json`]), with the
-//! same names and units. Both are turned into a flat table of keys and read by the same code. Unknown keys are skipped;
-//! a key that is missing or malformed is named by the error.
+//! same names and units. Both are converted into a flat table of keys and read by the same code. Unknown keys are
+//! skipped. The error for a missing or malformed key names the key.
 
 mod config;
 mod error;
--- a/crates/deployment-config/src/load_report.rs
+++ b/crates/deployment-config/src/load_report.rs
@@ -1,4 +1,4 @@
-//! Load reports of backends, by the names that the settings give their values.
+//! Load reports of backends, whose values are named in the settings.
 
 use chalkgap_core::LoadReport;
 
--- a/crates/deployment-config/src/sections.rs
+++ b/crates/deployment-config/src/sections.rs
@@ -1,5 +1,5 @@
-//! The sections of the settings object, each read into its type of `chalkgap-core`. This is the one place that maps
-//! the names of the settings to those of the code.
+//! Reads each section of the settings object into its type of `chalkgap-core`. Only this file maps the names of
+//! settings to those of the code.
 
 use crate::error::SettingsError;
 use crate::key_values::KeyValues;
@@ -8,12 +8,12 @@
     WeightMeaning,
 };
 
-/// The list of request classes.
+/// Key of the list of request classes.
 pub(crate) const CLASSES: &str = "grades";
-/// The list of plans.
+/// Key of the list of plans.
 pub(crate) const PLANS: &str = "contracts";
 
-/// Reads everything that the decision module needs.
+/// Reads the settings of the decision module.
 pub(crate) fn settings(values: &KeyValues) -> Result<Settings, SettingsError> {
     let class_indexes = 0..values.list_length(CLASSES)?;
     let classes = class_indexes.map(|index| request_class(values, index)).collect::<Result<_, _>>()?;
@@ -35,7 +35,7 @@
     })
 }
 
-/// The names of the values in load reports; none where backends send no reports.
+/// Returns the names of the values in load reports; empty if backends send no load reports.
 pub(crate) fn load_report_fields(values: &KeyValues) -> Result<Vec<String>, SettingsError> {
     match values.text("reporting.how")? {
         "none" => Ok(Vec::new()),
