--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,7 +1,8 @@
-//! The adapter between the simulator's wire and the decision module: it translates and decides nothing.
+//! Adapter between the simulator's wire protocol and the decision module. It translates and makes no decisions.
 //!
-//! Batches come on standard input; each is answered by one reply on standard output. The process ends with success at
-//! the end of its input, and with a message on standard error after a malformed batch.
+//! It reads batches of events from standard input and answers each with one reply on standard output. At the end of
+//! its input it exits with success; after a malformed batch it exits with failure and an error message on standard
+//! error.
 
 mod error;
 mod wire;
@@ -13,7 +14,7 @@
 use std::process::ExitCode;
 use wire::{Batch, Decoded, FieldError, Record, Reply, WireError};
 
-/// A running gateway, and how to read the load reports that are sent to it.
+/// A running gateway and the names of the values in its load reports.
 struct Instance {
     gateway: Gateway,
     load_report_fields: Vec<String>,
@@ -32,21 +33,21 @@
 #[derive(Default)]
 struct Adapter {
     instances: BTreeMap<u16, Instance>,
-    /// The actions of one event, held here to reuse their memory.
+    /// Buffer for the actions of one event, kept to reuse its memory.
     actions: Vec<Action>,
 }
 
 impl Adapter {
     /// Handles the events of a batch in their order and returns the reply.
-    fn answer(&mut self, batch: &Batch) -> Result<Reply, WireError> {
+    fn handle_batch(&mut self, batch: &Batch) -> Result<Reply, WireError> {
         let mut reply = Reply::new(batch.number);
         for record in batch.records() {
-            self.handle(&record, batch.clock, &mut reply)?;
+            self.handle_record(&record, batch.clock, &mut reply)?;
         }
         Ok(reply)
     }
 
-    fn handle(&mut self, record: &Record, now: Micros, reply: &mut Reply) -> Result<(), WireError> {
+    fn handle_record(&mut self, record: &Record, now: Micros, reply: &mut Reply) -> Result<(), WireError> {
         let number = record.instance();
         let instance = self.instances.get_mut(&number);
         let fields = instance.as_ref().map_or(&[][..], |instance| &instance.load_report_fields);
@@ -72,7 +73,7 @@
     }
 }
 
-/// Reads a whole frame; `None` at the end of the input.
+/// Reads one frame, with its header. Returns `None` at the end of the input.
 fn read_frame(input: &mut impl Read) -> Result<Option<Vec<u8>>, AdapterError> {
     let mut frame = vec![0; wire::BATCH_HEADER_BYTES];
     let mut read = 0;
@@ -86,7 +87,7 @@
         }
     }
     let expected = (wire::frame_length(&frame)? - wire::BATCH_HEADER_BYTES) as u64;
-    // Memory grows with the bytes that arrive, so that a false length cannot claim any.
+    // The buffer grows with the bytes that arrive, so that a false length alone allocates no memory.
     let read = input.take(expected).read_to_end(&mut frame).map_err(AdapterError::ReadBatch)? as u64;
     if read < expected {
         return Err(AdapterError::IncompleteBatch { read, expected });
@@ -99,7 +100,7 @@
     let mut output = io::stdout().lock();
     let mut adapter = Adapter::default();
     while let Some(frame) = read_frame(&mut input)? {
-        let reply = adapter.answer(&Batch::parse(&frame)?)?;
+        let reply = adapter.handle_batch(&Batch::parse(&frame)?)?;
         output.write_all(&reply.finish()).map_err(AdapterError::WriteReply)?;
         output.flush().map_err(AdapterError::WriteReply)?;
     }
--- a/crates/simulator-adapter/src/wire/batch.rs
+++ b/crates/simulator-adapter/src/wire/batch.rs
@@ -1,14 +1,14 @@
-//! Frames of events: splitting a batch into its records, and ranges of its tail.
+//! Batches of events: splits a frame into its records and resolves ranges of its tail.
 
 use super::bytes::{u16_at, u32_at, u64_at};
 use super::error::{FieldError, WireError};
 use super::layout::{header, record, BATCH_HEADER_BYTES, EVENT_BYTES};
 use chalkgap_core::Micros;
 
-/// The length in bytes of the whole frame that begins with this header.
+/// Returns the length in bytes of the whole frame that begins with this header.
 ///
 /// # Errors
-/// [`WireError::FrameTooShort`].
+/// Returns [`WireError::FrameTooShort`] if the length in the header is too short for its number of records.
 pub fn frame_length(batch_header: &[u8]) -> Result<usize, WireError> {
     let records = u32_at(batch_header, header::RECORD_COUNT);
     let length = u32_at(batch_header, header::FRAME_LENGTH) as usize;
@@ -19,21 +19,21 @@
     Ok(length)
 }
 
-/// Events that happened at one time.
+/// Events that happened at the same time.
 pub struct Batch<'a> {
-    /// Its number, which the reply repeats.
+    /// Number of the batch, which the reply repeats.
     pub number: u32,
-    /// The time of its events, in microseconds.
+    /// Time of the events, in microseconds.
     pub clock: Micros,
     records: &'a [u8],
     tail: &'a [u8],
 }
 
 impl<'a> Batch<'a> {
-    /// Splits a whole frame, of the length that [`frame_length`] gives.
+    /// Splits a whole frame, whose length is that of [`frame_length`].
     ///
     /// # Errors
-    /// [`WireError::FrameTooShort`].
+    /// Returns [`WireError::FrameTooShort`] if the length in the header is too short for its number of records.
     pub fn parse(frame: &'a [u8]) -> Result<Self, WireError> {
         let length = frame_length(frame)?;
         let record_count = u32_at(frame, header::RECORD_COUNT) as usize;
@@ -46,7 +46,7 @@
         })
     }
 
-    /// Its records, in order.
+    /// Returns the records in their order.
     pub fn records(&self) -> impl Iterator<Item = Record<'a>> {
         let batch = self.number;
         let tail = self.tail;
@@ -64,17 +64,17 @@
 }
 
 impl<'a> Record<'a> {
-    /// The gateway that the event is for.
+    /// Returns the number of the gateway that the event is for.
     pub fn instance(&self) -> u16 {
         u16_at(self.body, record::INSTANCE)
     }
 
-    /// An error that says where in the batch it was found; `field` is the wire's name.
+    /// Creates an error that names the batch, this record and a field; `field` is the protocol's name of it.
     pub fn error(&self, field: &'static str, error: FieldError) -> WireError {
         WireError::Field { batch: self.batch, record: self.index, field, error }
     }
 
-    /// The range of the tail whose offset and count stand at `at`; the count is in items of `item_bytes`.
+    /// Returns the range of the tail whose offset and count are at `at`. The count is in items of `item_bytes` bytes.
     pub(super) fn tail_range(
         &self,
         at: usize,
--- a/crates/simulator-adapter/src/wire/bytes.rs
+++ b/crates/simulator-adapter/src/wire/bytes.rs
@@ -1,7 +1,7 @@
-//! Little-endian numbers at an offset. A caller checks the length of its bytes first.
+//! Reads little-endian numbers at an offset. Callers check the length of the bytes first.
 //!
 //! # Panics
-//! Each function panics where the number does not lie within the bytes.
+//! Each function panics if the number extends beyond the bytes.
 
 use super::layout::BACKEND_BYTES;
 use chalkgap_core::BackendId;
@@ -24,7 +24,7 @@
     u64::from_le_bytes(array(bytes, at))
 }
 
-/// The wire's numbers with a fraction have 32 bits.
+/// Reads a float, which has 32 bits on the wire.
 pub fn f64_at(bytes: &[u8], at: usize) -> f64 {
     f64::from(f32::from_le_bytes(array(bytes, at)))
 }
--- a/crates/simulator-adapter/src/wire/decode.rs
+++ b/crates/simulator-adapter/src/wire/decode.rs
@@ -1,4 +1,4 @@
-//! Events of the wire, decoded into those of the decision module.
+//! Decodes records into events of the decision module.
 
 use super::batch::Record;
 use super::bytes::{backend_at, f64_at, u16_at, u32_at, u64_at};
@@ -13,28 +13,28 @@
     RequestId,
 };
 
-/// What a record says of the gateway that it is for.
+/// The content of a record.
 #[derive(Debug)]
 pub enum Decoded<'a> {
-    /// It starts, in place of an earlier one.
+    /// The gateway starts. It replaces an earlier gateway with the same number.
     Start {
-        /// The seed of its random numbers.
+        /// Seed of the gateway's random numbers.
         seed: u64,
-        /// Its settings, as lines of `path=value`.
+        /// The gateway's settings, as lines of `path=value`.
         settings: &'a str,
     },
-    /// It was killed.
+    /// The gateway was killed.
     Stop,
-    /// Something for it to handle.
+    /// An event for the gateway to handle.
     Event(Event),
 }
 
 impl<'a> Record<'a> {
-    /// Decodes the record; `None` for a code that this adapter does not know. `load_report_fields` names the values of
-    /// load reports in the settings of the record's gateway.
+    /// Decodes the record. Returns `None` if the adapter does not know its code. `load_report_fields` are the names
+    /// of the values in load reports, from the settings of the record's gateway.
     ///
     /// # Errors
-    /// [`WireError::Field`].
+    /// Returns [`WireError::Field`] if a field is invalid.
     pub fn decode(&self, load_report_fields: &[String]) -> Result<Option<Decoded<'a>>, WireError> {
         let body = self.body;
         let event = match body[record::CODE] {
@@ -128,7 +128,7 @@
         }
     }
 
-    /// None where the record says that it holds no values. Values that are not finite are skipped.
+    /// Decodes the load report at `at`. Returns `None` if it has no values. Values that are not finite are skipped.
     fn load_report(&self, at: usize, fields: &[String]) -> Option<LoadReport> {
         let count = usize::from(self.body[at]).min(MAX_REPORT_VALUES);
         if count == 0 {
--- a/crates/simulator-adapter/src/wire/layout.rs
+++ b/crates/simulator-adapter/src/wire/layout.rs
@@ -1,37 +1,38 @@
-//! Sizes, codes and offsets of the wire. The wire's own name stands first in the comment where it differs.
+//! Sizes, codes and field offsets of the simulator's wire protocol. Where the protocol has another name for an item,
+//! the comment on the item begins with that name in backticks.
 //!
-//! Offsets count from the first byte of a header, record or row. A range of the tail is an offset and a count, 32 bits
-//! each; a load report is a count of values and [`MAX_REPORT_VALUES`] numbers.
+//! Offsets count from the first byte of a header, record or row. A range of the tail is an offset and a count, 32
+//! bits each. A load report is one byte with the number of its values, and then [`MAX_REPORT_VALUES`] 32-bit floats.
 
-/// Bytes of a batch's header.
+/// Length of a batch header.
 pub const BATCH_HEADER_BYTES: usize = 20;
-/// Bytes of an event's record.
+/// Length of an event record.
 pub const EVENT_BYTES: usize = 48;
-/// Bytes of a reply's header.
+/// Length of a reply header.
 pub const REPLY_HEADER_BYTES: usize = 12;
-/// Bytes of an action's record.
+/// Length of an action record.
 pub const ACTION_BYTES: usize = 32;
-/// Bytes of a row in an endpoint update.
+/// Length of a row in an endpoint update.
 pub const ENDPOINT_BYTES: usize = 24;
-/// Bytes of a backend: an address and a port.
+/// Length of a backend's identity: an address and a port.
 pub const BACKEND_BYTES: usize = 6;
-/// The most values that a load report holds.
+/// Maximum number of values in a load report.
 pub const MAX_REPORT_VALUES: usize = 4;
-/// The receiver that stands for all gateways.
+/// Receiver number that addresses all gateways.
 pub const ALL_GATEWAYS: u16 = u16::MAX;
 
 /// Header of a batch; the first two fields of a reply's header are the same.
 pub mod header {
-    pub const RECORD_COUNT: usize = 0; // How many records follow
-    pub const FRAME_LENGTH: usize = 4; // Bytes of the whole frame
+    pub const RECORD_COUNT: usize = 0; // Number of records that follow
+    pub const FRAME_LENGTH: usize = 4; // Length of the whole frame in bytes
     pub const CLOCK: usize = 8; // The clock of a batch, in microseconds
     pub const BATCH_NUMBER: usize = 16; // The number of a batch
 }
 
 /// Fields that all records have.
 pub mod record {
-    pub const CODE: usize = 0; // The code of an event or action
-    pub const INSTANCE: usize = 1; // The gateway that it concerns
+    pub const CODE: usize = 0; // Code of the event or action
+    pub const INSTANCE: usize = 1; // Number of the gateway
 }
 
 /// Codes of events.
@@ -41,9 +42,9 @@
     pub const HEALTH_CHECKED: u8 = 30; // `ProbeDone`: a health check ended
     pub const COUNTER_UPDATED: u8 = 40; // `Reckoned`: a call to the shared counter ended
     pub const START: u8 = 50; // `Provision`: a gateway starts
-    pub const ENDPOINTS: u8 = 60; // `RosterChange`: discovery's list of endpoints, or a change of it
+    pub const ENDPOINTS: u8 = 60; // `RosterChange`: a list of endpoints from discovery, or changes to it
     pub const TIMER: u8 = 70; // `DeadlineHit`: a timer fired
-    pub const GOSSIP_RECEIVED: u8 = 80; // `NeighbourSays`: a message of another gateway
+    pub const GOSSIP_RECEIVED: u8 = 80; // `NeighbourSays`: a message from another gateway arrived
     pub const CLIENT_CANCELLED: u8 = 90; // `Withdrawn`: the client cancelled its request
     pub const FIRST_BYTE: u8 = 100; // `FirstByte`: a streamed response began
     pub const STOP: u8 = 110; // `PowerOff`: a gateway was killed
@@ -102,9 +103,9 @@
     pub const OUTCOME: usize = 15; // `outcome`
     pub const ANSWERED: usize = 17; // `complete`
     pub const ATTEMPT: usize = 18; // `round_no`
-    pub const METERED: usize = 20; // `metered`: 1 more than a percentage, 0 for none
+    pub const METERED: usize = 20; // `metered`: a percentage plus 1; 0: not metered
     pub const BACKEND: usize = 22; // `backend`
-    pub const CHARGED_UNITS: usize = 28; // `charged`: 0 for none
+    pub const CHARGED_UNITS: usize = 28; // `charged`: in units; 0: not stated
     pub const LOAD_REPORT: usize = 30; // `usage`: a load report
 }
 
@@ -125,7 +126,7 @@
 
 /// Fields of [`event_code::ENDPOINTS`].
 pub mod endpoints {
-    pub const UPDATE_KIND: usize = 3; // `scope`: how the rows are to be read
+    pub const UPDATE_KIND: usize = 3; // `scope`: the kind of update
     pub const ROWS: usize = 12; // `rows`: a range of the tail, counted in rows
 }
 
@@ -172,7 +173,7 @@
 /// Fields of [`action_code::REJECT`] and [`action_code::FAIL`].
 pub mod final_answer {
     pub const REQUEST_ID: usize = 3; // `op_id`
-    pub const RETRY_AFTER: usize = 11; // `pause_us`, of a rejection
+    pub const RETRY_AFTER: usize = 11; // `pause_us`, only in a rejection
 }
 
 /// Fields of [`action_code::CANCEL`].
--- a/crates/simulator-adapter/src/wire/mod.rs
+++ b/crates/simulator-adapter/src/wire/mod.rs
@@ -1,8 +1,8 @@
-//! The simulator's wire: batches of events in, one reply with actions for each batch out.
+//! The simulator's wire protocol: batches of events come in, and each is answered by one reply with actions.
 //!
 //! A frame is a header, records of a fixed size, and one tail that holds everything of variable length. Numbers are
-//! little-endian. Every length and offset is checked before it is used. This module alone knows the wire's names; the
-//! rest of the code uses the types of `chalkgap-core`.
+//! little-endian. Every length and offset is checked before it is used. Only this module uses the protocol's
+//! names; the rest of the code uses the types of `chalkgap-core`.
 
 mod batch;
 mod bytes;
--- a/crates/simulator-adapter/src/wire/reply.rs
+++ b/crates/simulator-adapter/src/wire/reply.rs
@@ -1,4 +1,4 @@
-//! Replies: the actions that answer a batch, encoded.
+//! Encodes replies: the actions that answer a batch.
 
 use super::layout::{
     action_code, add_to_counter, backend_action, cancel, final_answer, log, record, send_gossip, set_timer,
@@ -14,7 +14,7 @@
 }
 
 impl Reply {
-    /// An empty reply to the batch with this number.
+    /// Creates an empty reply to the batch with this number.
     pub fn new(batch_number: u32) -> Self {
         Reply { batch_number, records: Vec::new(), tail: Vec::new() }
     }
@@ -27,7 +27,7 @@
         }
     }
 
-    /// The whole frame.
+    /// Returns the whole frame.
     #[must_use]
     pub fn finish(self) -> Vec<u8> {
         let length = REPLY_HEADER_BYTES + self.records.len() + self.tail.len();
@@ -84,7 +84,7 @@
         }
     }
 
-    /// Appends bytes to the tail and puts their offset and length into the record at `at`.
+    /// Appends bytes to the tail and writes their offset and length to `at` in the record.
     fn append_to_tail(&mut self, record: ActionRecord, at: usize, bytes: &[u8]) -> ActionRecord {
         let offset = self.tail.len() as u32;
         self.tail.extend_from_slice(bytes);
@@ -92,12 +92,12 @@
     }
 }
 
-/// Times that do not fit the wire's 32 bits become the longest that do.
+/// Converts a duration to the protocol's 32 bits; a longer one becomes `u32::MAX` microseconds.
 fn saturate(micros: Micros) -> u32 {
     u32::try_from(micros).unwrap_or(u32::MAX)
 }
 
-/// The record of an action; bytes that no field takes are zero.
+/// The record of an action. Bytes outside its fields are zero.
 struct ActionRecord([u8; ACTION_BYTES]);
 
 impl ActionRecord {
--- a/crates/simulator-adapter/src/wire/tests.rs
+++ b/crates/simulator-adapter/src/wire/tests.rs
@@ -1,4 +1,4 @@
-//! Offsets and codes of the wire, in both directions.
+//! Codes and field offsets of events and actions.
 
 use super::bytes::{u16_at, u32_at};
 use super::layout::{ACTION_BYTES, EVENT_BYTES, REPLY_HEADER_BYTES};
@@ -7,7 +7,8 @@
 
 #[test]
 fn every_action_is_encoded_with_its_code_and_fields() {
-    let (id, backend) = (RequestId(0x0a_0b0c), BackendId(0x0605_0403_0201));
+    let id = RequestId(0x0a_0b0c);
+    let backend = BackendId(0x0605_0403_0201);
     let actions = [
         (
             10,
@@ -38,8 +39,8 @@
     assert_eq!(u32_at(&frame, 0) as usize, actions.len());
     assert_eq!(u32_at(&frame, 4) as usize, frame.len());
     assert_eq!(&frame[REPLY_HEADER_BYTES + ACTION_BYTES * actions.len()..], b"\x08\x09\x07abc");
-    for (n, (code, action, fields)) in actions.iter().enumerate() {
-        let record = &frame[REPLY_HEADER_BYTES + ACTION_BYTES * n..][..ACTION_BYTES];
+    for (index, (code, action, fields)) in actions.iter().enumerate() {
+        let record = &frame[REPLY_HEADER_BYTES + ACTION_BYTES * index..][..ACTION_BYTES];
         assert_eq!((record[0], u16_at(record, 1)), (*code, 3), "{action:?}");
         for (at, value) in fields {
             assert_eq!(record[*at], *value, "{action:?} at {at}");
@@ -49,7 +50,7 @@
 
 #[test]
 fn events_are_decoded_from_their_offsets() {
-    let read = |body: [u8; EVENT_BYTES]| {
+    let decode = |body: [u8; EVENT_BYTES]| {
         let record = Record { batch: 1, index: 0, body: &body, tail: &[4, 5, 6] };
         assert_eq!(record.instance(), 1);
         match record.decode(&["depth".to_string()]) {
@@ -58,17 +59,18 @@
         }
     };
     let body = |code: u8, parts: &[(usize, &[u8])]| {
-        let mut b = [0; EVENT_BYTES];
-        (b[0], b[1]) = (code, 1);
-        parts.iter().for_each(|(at, bytes)| b[*at..*at + bytes.len()].copy_from_slice(bytes));
-        b
+        let mut body = [0; EVENT_BYTES];
+        body[0] = code;
+        body[1] = 1;
+        parts.iter().for_each(|(at, bytes)| body[*at..*at + bytes.len()].copy_from_slice(bytes));
+        body
     };
-    let float = |x: f32| x.to_le_bytes();
+    let float = |value: f32| value.to_le_bytes();
     let request = body(
         10,
         &[(3, &[9]), (11, &[2]), (12, &[3]), (14, &[4]), (22, &[5]), (30, &float(2.0)), (34, &float(3.0))],
     );
-    let text = read(request);
+    let text = decode(request);
     assert!(text.contains("RequestId(9), class: 2, plan: 3, customer: CustomerId(4), deadline: 5"), "{text}");
     assert!(text.contains("units: 2.0, gateway_count: 3.0, first_gateway: 0.0"), "{text}");
     let attempt_finished = body(
@@ -86,7 +88,7 @@
             (31, &float(6.0)),
         ],
     );
-    let text = read(attempt_finished);
+    let text = decode(attempt_finished);
     for part in [
         "attempt: 2",
         "BackendId(8)",
@@ -96,15 +98,15 @@
         "metered: Some(0.5)",
         "queued: Some(6.0)",
     ] {
-        assert!(text.contains(part), "{part} in {text}");
+        assert!(text.contains(part), "'{part}' not in: {text}");
     }
-    assert_eq!(read(body(90, &[(3, &[6])])), "ClientCancelled(RequestId(6))");
-    assert_eq!(read(body(70, &[(3, &[6])])), "Timer(6)");
-    assert_eq!(read(body(100, &[(3, &[6]), (11, &[2])])), "FirstByte { id: RequestId(6), attempt: 2 }");
+    assert_eq!(decode(body(90, &[(3, &[6])])), "ClientCancelled(RequestId(6))");
+    assert_eq!(decode(body(70, &[(3, &[6])])), "Timer(6)");
+    assert_eq!(decode(body(100, &[(3, &[6]), (11, &[2])])), "FirstByte { id: RequestId(6), attempt: 2 }");
     let gossip = body(80, &[(3, &[2]), (5, &[1]), (9, &[2])]);
-    assert_eq!(read(gossip), "GossipReceived { from: GatewayId(2), bytes: [5, 6] }");
-    let health_checked = read(body(30, &[(3, &[8]), (9, &[0x99, 1]), (11, &[7])]));
+    assert_eq!(decode(gossip), "GossipReceived { from: GatewayId(2), bytes: [5, 6] }");
+    let health_checked = decode(body(30, &[(3, &[8]), (9, &[0x99, 1]), (11, &[7])]));
     assert!(health_checked.contains("NotSent") && health_checked.contains("elapsed: 7"), "{health_checked}");
-    let counter_updated = read(body(40, &[(3, &[5]), (11, &[200]), (13, &float(38.0))]));
+    let counter_updated = decode(body(40, &[(3, &[5]), (11, &[200]), (13, &float(38.0))]));
     assert!(counter_updated.contains("name: 5") && counter_updated.contains("38.0"), "{counter_updated}");
 }
--- a/crates/simulator-adapter/tests/simulator_adapter.rs
+++ b/crates/simulator-adapter/tests/simulator_adapter.rs
@@ -1,4 +1,4 @@
-//! The built adapter, driven by frames on standard input.
+//! Runs the adapter's binary with frames on standard input.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
@@ -16,22 +16,22 @@
 }
 
 fn batch(number: u32, clock: u64, records: &[[u8; 48]], tail: &[u8]) -> Vec<u8> {
-    let size = 20 + records.len() * 48 + tail.len();
+    let length = 20 + records.len() * 48 + tail.len();
     let mut frame = Vec::new();
     frame.extend_from_slice(&(records.len() as u32).to_le_bytes());
-    frame.extend_from_slice(&(size as u32).to_le_bytes());
+    frame.extend_from_slice(&(length as u32).to_le_bytes());
     frame.extend_from_slice(&clock.to_le_bytes());
     frame.extend_from_slice(&number.to_le_bytes());
-    records.iter().for_each(|r| frame.extend_from_slice(r));
+    records.iter().for_each(|record| frame.extend_from_slice(record));
     frame.extend_from_slice(tail);
     frame
 }
 
 fn record(code: u8, fields: &[u8]) -> [u8; 48] {
-    let mut r = [0; 48];
-    r[0] = code;
-    r[1..1 + fields.len()].copy_from_slice(fields);
-    r
+    let mut record = [0; 48];
+    record[0] = code;
+    record[1..1 + fields.len()].copy_from_slice(fields);
+    record
 }
 
 fn assert_rejected(output: &Output, parts: &[&str]) {
@@ -64,7 +64,7 @@
 
 #[test]
 fn bad_fields_are_named_by_batch_record_and_field() {
-    // A message whose bytes leave the tail.
+    // A message that extends beyond the tail.
     let gossip = record(80, &[0, 0, 1, 0, 200, 0, 0, 0, 9, 0, 0, 0]);
     assert_rejected(
         &run(&batch(4, 5, &[record(70, &[0; 6]), gossip], b"abc")),
