--- a/crates/core/src/admission.rs
+++ b/crates/core/src/admission.rs
@@ -1,14 +1,15 @@
-//! Admission: what becomes of a request when it arrives.
+//! Admission: rejects, holds or queues a request when it arrives.
 //!
 //! In order:
-//! 1. A malformed request, or one whose deadline is too close to serve it, is rejected.
-//! 2. Under an alert, load shedding rejects some customers for an epoch (see [`load_shedding`](crate::load_shedding)).
-//! 3. A request whose customer's quota is not known here, or that needs more of the hard limit than this gateway holds, is
-//!    held for a short while, until an owner replies (see [`quota_gossip`](crate::quota_gossip)); without a reply it is
-//!    decided by what is known here.
-//! 4. A request over its quota or hard limit ("red") is rejected, with the time until there may be enough.
-//! 5. A request within them is rejected if the queue is too long for its customer; else it is charged and queued for an
-//!    endpoint (see [`load_balancing`](crate::load_balancing)).
+//! 1. A malformed request, or one whose deadline is too close for it to be served, is rejected.
+//! 2. Under an alert, load shedding rejects the requests of some customers for an epoch (see
+//!    [`load_shedding`](crate::load_shedding)).
+//! 3. If this gateway has no recent view of the customer's quota, or holds too few hard-limit units for the request,
+//!    the request is held for a short time until an owner of the quota replies (see
+//!    [`quota_gossip`](crate::quota_gossip)). Without a reply it is decided from local state.
+//! 4. A request over its quota or hard limit ("red") is rejected, with the time until its limits may allow it.
+//! 5. A request within its limits is rejected if the queue is too long for its customer; otherwise its units are
+//!    charged and it is queued for an endpoint (see [`load_balancing`](crate::load_balancing)).
 
 use crate::customer::{Customer, OwnerQuery};
 use crate::decay::to_micros;
@@ -19,42 +20,44 @@
 use crate::{FleetSize, Gateway};
 use std::cmp::Reverse;
 
-/// An owner's reply that is younger than this need not be asked for again.
+/// Maximum age of an owner's reply that is used without another query.
 const REPLY_VALIDITY: Micros = 100_000;
-/// The same where the reply says that the quota is used up: retries of a red customer would ask without end.
+/// Maximum age of an owner's reply that is used without another query if the quota is used up. It is longer, so that
+/// not every retry of a red customer causes a query.
 const NEGATIVE_REPLY_VALIDITY: Micros = 500_000;
-/// A query to the owners that is younger than this serves requests that come meanwhile.
+/// Maximum age of a query to the owners that also serves requests that arrive after it.
 const QUERY_VALIDITY: Micros = 100_000;
-/// Share of the wait for owners after which the second one is asked as well.
+/// Share of the maximum wait for owners after which the second owner is queried as well.
 const SECOND_OWNER_DELAY_SHARE: f64 = 0.4;
-/// Requests in the queue for each attempt that may be in flight. A longer queue would not be served within the longest wait.
+/// Maximum queue length as a multiple of the concurrency limit. A longer queue would not be served within the maximum
+/// wait.
 const MAX_QUEUE_PER_LIMIT: f64 = 0.3;
-/// Queries without a reply after which an owner's second is asked at once.
+/// Number of unanswered queries to the first owner above which the second owner is queried at once.
 const MAX_UNANSWERED_QUERIES: u32 = 2;
 
-/// Whether more replies of owners may come for a held request.
+/// Whether further replies of owners are expected for a held request.
 #[derive(Clone, Copy, PartialEq)]
 pub(crate) enum OwnerReplies {
-    /// Yes: a request without quota stays held.
+    /// Replies are still expected: a request without quota stays held.
     Pending,
-    /// No: the request is decided now.
+    /// No further reply is expected: the request is decided now.
     Complete,
 }
 
-/// Which owners count a request as used already.
+/// Owners that count a request's units as used.
 #[derive(Default)]
 struct Reservations {
-    /// They said so.
+    /// Owners whose reply confirmed the reservation.
     confirmed: Vec<GatewayId>,
-    /// They have not replied.
+    /// Owners that were queried and have not replied.
     unknown: Vec<GatewayId>,
 }
 
 impl Gateway {
-    /// A client sent a request.
+    /// Handles a client's request: rejects it, holds it, or decides it from local state.
     pub(crate) fn on_request(&mut self, request: Request, actions: &mut Vec<Action>) {
         if self.requests.contains_key(&request.id) {
-            return; // the same event twice: the first one gets the answer
+            return; // duplicate event: the first one determines the answer
         }
         if !self.is_well_formed(&request) || !self.has_time_to_wait(request.deadline, self.now) {
             return self.reject(request.id, 0, actions);
@@ -68,7 +71,7 @@
         }
         let wait = self.quota_wait(&request);
         let customer = &self.customers[&request.customer];
-        // The quota suffices and this gateway's part of the hard limit does not: its owners may transfer units.
+        // The quota suffices but this gateway's part of the hard limit does not: owners may transfer units.
         let lacks_hard_limit = wait.hard_limit.is_some()
             && wait.quota.is_none()
             && customer.hard_limit_owners != [self.settings.self_id; 2];
@@ -87,7 +90,8 @@
         class_exists && plan_exists && request.units.is_finite() && request.units >= 0.0
     }
 
-    /// Whether a customer's quota is known well enough to decide here: this gateway owns it, or an owner replied lately.
+    /// Returns whether this gateway can decide on a customer's quota itself: it is an owner, or an owner replied
+    /// recently.
     fn is_quota_known(&self, customer: &Customer, wait: &QuotaWait, request: &Request) -> bool {
         let counts_attempts = self.settings.plans[usize::from(request.plan)].max_in_flight > 0;
         let has_no_tokens = wait.quota.is_some() && !counts_attempts;
@@ -101,7 +105,7 @@
         owners.any(|owner| *owner != self.settings.self_id && !self.is_unreachable(*owner))
     }
 
-    /// Holds a request until owners reply, and asks them.
+    /// Holds a request and queries the owners of its customer's quota.
     fn hold(
         &mut self,
         held: InFlightRequest,
@@ -119,7 +123,7 @@
         customer.awaiting_owner.push(request.id);
         let is_first = customer.awaiting_owner.len() == 1;
         if !is_first && now - customer.owner_query.started_at <= QUERY_VALIDITY && !lacks_hard_limit {
-            return; // the query that is under way serves this request as well
+            return; // the query in progress serves this request as well
         }
         customer.owner_query = OwnerQuery {
             started_at: now,
@@ -129,8 +133,9 @@
         };
         let [first, second] = customer.hard_limit_owners;
         self.query_owner(request.customer, first, actions);
-        // In a large fleet all ask the first owner, which so knows the bucket; what it admits is reported to the second,
-        // for when the first fails. Asking both costs six messages for each request. Both hold hard-limit units.
+        // In a large fleet all gateways query the first owner, so that it knows the state of the bucket. Admitted units
+        // are reported to the second owner, which takes over if the first one fails. Querying both would cost six
+        // messages per request. Hard-limit units are requested from both, because each holds a part of them.
         let peer = self.peers.get(&first);
         let is_silent = peer.is_some_and(|peer| peer.unanswered > MAX_UNANSWERED_QUERIES || peer.unreachable);
         if lacks_hard_limit || self.fleet_size == FleetSize::Small || is_silent {
@@ -138,8 +143,8 @@
         }
     }
 
-    /// Admits a request if its limits and the queue allow it, else rejects it; without quota it stays held while replies
-    /// are pending.
+    /// Admits a request if its limits and the queue allow it, otherwise rejects it. A request over its limits stays
+    /// held while owner replies are pending.
     pub(crate) fn admit(&mut self, id: RequestId, replies: OwnerReplies, actions: &mut Vec<Action>) {
         let Some(held) = self.requests.get(&id) else { return };
         let request = held.request;
@@ -165,15 +170,17 @@
         if was_held {
             self.release_hold(request.customer, id);
         }
-        // Owners that reserved the units know of them.
+        // Owners that confirmed a reservation have already counted the units.
         self.report(request.customer, |owner| !reservations.confirmed.contains(&owner));
         self.queue.push_back(id);
         self.dispatch(actions);
         self.give_up(id, actions);
     }
 
-    /// Rejects a request that is over its limits, for as long as `wait` says in seconds, or that finds the queue full.
-    /// Owners that count it as used, or may, are told.
+    /// Rejects a request that is over its limits or finds the queue full, and reports the customer's use to the owners
+    /// that have reserved the request's units or may have.
+    ///
+    /// `wait` is the time in seconds until the limits may allow the request; `None` if the queue is full.
     fn reject_without_capacity(
         &mut self,
         request: &Request,
@@ -195,17 +202,17 @@
         });
     }
 
-    /// Whether the queue has no place for a customer's request: the longer it is the fewer customers may join it, the
-    /// same ones for an epoch, as in load shedding.
+    /// Returns whether the queue is full for a customer. The longer the queue, the fewer customers may join it; as in
+    /// load shedding, the same customers may join for a whole epoch.
     fn is_queue_full_for(&self, customer: CustomerId) -> bool {
         let limit = self.max_in_flight();
         let queue_utilization = self.queue.len() as f64 / (limit * MAX_QUEUE_PER_LIMIT);
-        let has_no_place = f64::from(self.in_flight) >= limit;
-        has_no_place && shedding_draw(customer, self.now) >= 1.0 - queue_utilization
+        let limit_reached = f64::from(self.in_flight) >= limit;
+        limit_reached && shedding_draw(customer, self.now) >= 1.0 - queue_utilization
     }
 
-    /// The owners that count a held request as used. The units that they reserved are for a request of the query's size
-    /// alone, and for one only.
+    /// Takes the owners that reserved units for a held request or may have. A reservation is valid for one request
+    /// only, and only for a request of the queried size.
     fn take_reservations(&mut self, request: &Request) -> Reservations {
         let Some(customer) = self.customers.get_mut(&request.customer) else {
             return Reservations::default();
@@ -218,7 +225,8 @@
         Reservations { confirmed, unknown }
     }
 
-    /// A request is held no longer. Hard-limit units that were transferred for held requests lapse with the last of them.
+    /// Removes a request from the held ones. Transferred hard-limit units lapse when the customer has no held request
+    /// left.
     pub(crate) fn release_hold(&mut self, customer: CustomerId, id: RequestId) {
         if let Some(customer) = self.customers.get_mut(&customer) {
             customer.awaiting_owner.retain(|held| *held != id);
@@ -228,7 +236,8 @@
         }
     }
 
-    /// Rejects a request, with the advice to come back after `retry_after` where the deployment allows advice.
+    /// Rejects a request. If the deployment permits retry advice, the rejection tells the client to wait for
+    /// `retry_after`, at most `max_retry_after`.
     pub(crate) fn reject(&self, id: RequestId, retry_after: Micros, actions: &mut Vec<Action>) {
         let limits = &self.settings.limits;
         let max_retry_after = if limits.retry_after { limits.max_retry_after } else { 0 };
--- a/crates/core/src/completion.rs
+++ b/crates/core/src/completion.rs
@@ -1,4 +1,4 @@
-//! Completion: what happens when an attempt ends, and the one final answer of each request.
+//! Completion: handles the end of an attempt and gives each request its one final answer.
 
 use crate::interface::{
     Action, BackendId, DeduplicationScope, LoadReport, Micros, Outcome, RequestId, RetrySafety,
@@ -7,12 +7,13 @@
 use crate::retry::retry_cost;
 use crate::Gateway;
 
-/// Share of the useful lifetime that a request may wait in the queue: an answer after a longer wait would come late.
+/// Maximum share of the useful lifetime that a request waits in the queue: after a longer wait its answer would be
+/// late.
 const MAX_QUEUE_WAIT_SHARE: f64 = 0.3;
-/// Wake-ups that a request needs before its deadline to be held, watched or sent.
+/// Minimum number of wake-ups before a request's deadline; with fewer, there is no time to hold, check or send it.
 const MIN_WAKEUPS_BEFORE_DEADLINE: u64 = 2;
 
-/// How an attempt ended: [`Event::AttemptFinished`](crate::Event::AttemptFinished) by its parts.
+/// The fields of [`Event::AttemptFinished`](crate::Event::AttemptFinished) that decisions depend on.
 pub(crate) struct FinishedAttempt {
     pub id: RequestId,
     pub attempt: u16,
@@ -25,7 +26,7 @@
 }
 
 impl Gateway {
-    /// An attempt ended: learns from it, and answers, retries or gives up its request.
+    /// Handles the end of an attempt: records its outcome, and answers or retries its request.
     pub(crate) fn on_attempt_finished(&mut self, finished: &FinishedAttempt, actions: &mut Vec<Action>) {
         let FinishedAttempt { id, backend, outcome, elapsed, .. } = *finished;
         let class = self.requests.get(&id).map(|request| usize::from(request.request.class));
@@ -47,8 +48,8 @@
         if request.finished {
             self.close(id, actions);
         } else if request.attempts_in_flight() == 0 {
-            let unloaded = class.map_or(0.0, |class| self.latency_baselines[class].unloaded);
-            if !self.retry(id, retry_cost(outcome, elapsed, unloaded), actions) {
+            let unloaded_latency = class.map_or(0.0, |class| self.latency_baselines[class].unloaded);
+            if !self.retry(id, retry_cost(outcome, elapsed, unloaded_latency), actions) {
                 self.answer_unserved(id, actions);
             }
         }
@@ -58,7 +59,7 @@
         self.dispatch(actions);
     }
 
-    /// Takes an attempt out of flight; false if it is unknown or was settled before.
+    /// Marks an attempt as ended. Returns false if it is unknown or was already marked.
     fn settle_attempt(&mut self, finished: &FinishedAttempt) -> bool {
         let Some(request) = self.requests.get_mut(&finished.id) else { return false };
         let Some(attempt) = request.attempts.get_mut(usize::from(finished.attempt)) else { return false };
@@ -74,8 +75,7 @@
         true
     }
 
-    /// Gives a request its final answer without having been served: rejected where a retry by the client is harmless,
-    /// else failed.
+    /// Ends a request that was not served: rejects it if the client may safely send it again, otherwise fails it.
     pub(crate) fn answer_unserved(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get(&id) else { return };
         let class = request.request.class;
@@ -87,7 +87,7 @@
         self.close(id, actions);
     }
 
-    /// Whether the client may send the request again, to any gateway and so to any endpoint.
+    /// Returns whether the client may safely send the request again, to any gateway and therefore to any endpoint.
     fn is_retry_harmless(&self, request: &InFlightRequest) -> bool {
         let class = &self.settings.classes[usize::from(request.request.class)];
         let is_safe_anywhere = matches!(
@@ -97,8 +97,8 @@
         is_safe_anywhere || request.first_that_may_have_run().is_none()
     }
 
-    /// A request has its final answer, or its client left: cancels its attempts, and forgets it once all of them are
-    /// settled. What was charged for a request that was never sent is refunded.
+    /// Closes a request that has its final answer or whose client left: cancels its attempts, and removes the request
+    /// once all of them have ended. A request that was charged but never sent is refunded.
     pub(crate) fn close(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         request.finished = true;
@@ -118,12 +118,13 @@
         }
     }
 
-    /// Whether there is the time to hold a request until its deadline is looked at again.
+    /// Returns whether a deadline is far enough away to hold a request until the next check.
     pub(crate) fn has_time_to_wait(&self, deadline: Micros, now: Micros) -> bool {
         now + MIN_WAKEUPS_BEFORE_DEADLINE * crate::gateway::WAKEUP_TICKS * self.settings.tick <= deadline
     }
 
-    /// Ends a queued request that has waited as long as it may; true if it need not stay in the queue.
+    /// Ends a queued request that has waited for the maximum time or whose deadline is too close. Returns whether the
+    /// request must leave the queue.
     pub(crate) fn give_up(&mut self, id: RequestId, actions: &mut Vec<Action>) -> bool {
         let Some(request) = self.requests.get(&id) else { return true };
         if request.finished || request.attempts_in_flight() > 0 {
--- a/crates/core/src/load_shedding.rs
+++ b/crates/core/src/load_shedding.rs
@@ -1,8 +1,9 @@
 //! Load shedding: the steps of an alert, and which customers each step rejects.
 //!
-//! A customer is *green* if it has not sent a request for a while, *red* if its quota is used up, else *amber*; those of
-//! the highest priority are *preferred*. Red requests are rejected at any step, 0 included, by the quota and not here (see
-//! [`admission`](crate::admission)).
+//! A customer is *green* if it has sent no request for a while, *red* if its quota is used up, and otherwise *amber*.
+//! Customers of the highest priority are *preferred*. Requests of red customers are rejected at every step, including
+//! 0, but by the quota and not by this module (see [`admission`](crate::admission)).
+//!
 //! An alert sheds load by steps:
 //!
 //! | step | green | amber | preferred |
@@ -13,57 +14,57 @@
 //! | 3 | 50% pass | 50% pass | pass |
 //! | 4 | rejected | rejected | pass |
 //!
-//! Where no plan has a higher priority than the others nobody is preferred, and step 4 is like step 3.
+//! If all plans have the same priority, no customer is preferred and step 4 is the same as step 3.
 
 use crate::concurrency::{Pressure, ALERT_PRESSURE, CLEAR_PRESSURE};
 use crate::interface::{Action, CustomerId, Micros, Plan};
 use crate::random::unit_hash;
 use crate::Gateway;
 
-/// The share of green and amber customers that passes at steps 0 to 3.
+/// Share of green and amber customers whose requests pass at steps 0 to 3.
 const PASSING_SHARES: [f64; 4] = [1.0, 0.9, 0.7, 0.5];
-/// The step from which green customers are shed as well.
+/// First step at which green customers are shed as well.
 const FIRST_STEP_FOR_GREEN: usize = 2;
-/// The last step: only preferred customers pass.
+/// Last step: only preferred customers pass.
 const LAST_STEP: usize = 4;
-/// A step is held at least this long before the next one, so that its effect shows.
+/// Minimum time at a step before the next step up, so that the effect of the step is visible.
 const MIN_STEP_UP_INTERVAL: Micros = 1_500_000;
-/// A step is held at least this long before it is taken back.
+/// Minimum time at a step before the next step down.
 const MIN_STEP_DOWN_INTERVAL: Micros = 2_000_000;
-/// The same customers are shed for this long: longer than clients retry.
+/// Time for which the same customers are shed; longer than clients keep retrying.
 pub const SHEDDING_EPOCH: Micros = 10_000_000;
-/// Share of requests within quota, rejected for want of capacity, that raises an alert while the pressure is not low.
+/// Rejection rate above which the alert goes up a step, provided that the pressure is above [`CLEAR_PRESSURE`].
 const ALERT_REJECTION_RATE: f64 = 0.05;
 /// Weight of one request in the rejection rate.
 const REJECTION_SAMPLE_WEIGHT: f64 = 0.05;
 
-/// The state of the alert.
+/// The current step of the alert and the rejection rate.
 #[derive(Default)]
 pub struct LoadShedding {
     step: usize,
     step_since: Micros,
-    /// Recent share of requests within quota that were rejected for want of capacity.
+    /// Recent share of requests within quota that were rejected for lack of capacity.
     rejection_rate: f64,
 }
 
-/// A customer's place among the customers, from 0 to 1, the same at all gateways and for a whole epoch.
+/// Returns a pseudo-random number from 0 to 1 for a customer, the same at all gateways and for a whole epoch.
 ///
-/// Whoever is shed stays shed for the epoch: a draw for each request would admit some retries of rejected clients, too
-/// late to be of use, and they would cause the next rejections.
+/// A customer that is shed therefore stays shed for the epoch. A draw for each request would admit some retries of
+/// rejected clients too late to be useful, and these would cause further rejections.
 pub fn shedding_draw(customer: CustomerId, now: Micros) -> f64 {
     let epoch = now / SHEDDING_EPOCH;
     unit_hash(customer.0 ^ epoch << 33)
 }
 
 impl LoadShedding {
-    /// The current step, 0 without an alert.
+    /// Returns the current step; 0 without an alert.
     pub fn step(&self) -> usize {
         self.step
     }
 
-    /// Whether a customer's requests pass the current step.
+    /// Returns whether a customer's requests pass the current step.
     ///
-    /// `plan` is the customer's and `plans` are all of them; `is_green` says that the customer sent nothing lately.
+    /// `plan` is the customer's plan and `plans` are all plans; `is_green` is true if the customer is green.
     pub fn passes(
         &self,
         now: Micros,
@@ -86,19 +87,20 @@
         is_preferred || shedding_draw(customer, now) < passing_share
     }
 
-    /// Counts a request within quota that was rejected for want of capacity.
+    /// Records the rejection of a request within quota for lack of capacity.
     pub fn record_rejection(&mut self) {
         self.rejection_rate += REJECTION_SAMPLE_WEIGHT * (1.0 - self.rejection_rate);
     }
 
-    /// Counts a request that was admitted.
+    /// Records the admission of a request.
     pub fn record_admission(&mut self) {
         self.rejection_rate -= REJECTION_SAMPLE_WEIGHT * self.rejection_rate;
     }
 
-    /// Goes a step up or down by the pressure; gives the step before if it changed.
+    /// Moves the alert a step up or down according to the pressure and the rejection rate. Returns the previous step if
+    /// the step changed.
     ///
-    /// Rejections alone hold no alert up: shedding causes rejections, and the fleet may be idle behind them.
+    /// Rejections alone do not keep up an alert, because load shedding causes rejections even while the fleet is idle.
     fn update(&mut self, now: Micros, pressure: f64) -> Option<usize> {
         let held_for = now - self.step_since;
         let previous = self.step;
@@ -117,8 +119,8 @@
     }
 }
 
-/// Clears a pressure that nothing renews: a gateway that rejects everything has no answers, and the latest ones must not
-/// hold its alert up for ever.
+/// Clears a pressure that is no longer updated. A gateway that rejects all requests gets no answers, and the last
+/// answers must not keep its alert up indefinitely.
 fn clear_stale_pressure(pressure: &mut Pressure, now: Micros, in_flight: u32) {
     if in_flight == 0 && now > pressure.updated_at() + MIN_STEP_DOWN_INTERVAL {
         pressure.clear();
@@ -126,7 +128,7 @@
 }
 
 impl Gateway {
-    /// Updates the alert and the concurrency limit by the pressure.
+    /// Updates the alert and the concurrency limit according to the pressure.
     pub(crate) fn update_alert(&mut self, actions: &mut Vec<Action>) {
         clear_stale_pressure(&mut self.pressure, self.now, self.in_flight);
         let pressure = self.pressure.value();
--- a/crates/core/src/load_shedding/tests.rs
+++ b/crates/core/src/load_shedding/tests.rs
@@ -1,4 +1,4 @@
-//! The steps of an alert, and whom they reject.
+//! The steps of an alert, and which customers they reject.
 
 use super::*;
 
@@ -18,29 +18,29 @@
     }
 }
 
-/// The share of a thousand customers that passes a step.
-fn passing(step: usize, plan: &Plan, plans: &[Plan], is_green: bool) -> f64 {
+/// Returns the share of 1000 customers whose requests pass a step.
+fn passing_share(step: usize, plan: &Plan, plans: &[Plan], is_green: bool) -> f64 {
     let alert = LoadShedding { step, ..LoadShedding::default() };
     let passes = |n: &u64| alert.passes(0, CustomerId(*n), plan, plans, is_green);
     (0..1_000).filter(passes).count() as f64 / 1_000.0
 }
 
 #[test]
-fn each_step_rejects_as_the_table_says() {
+fn each_step_passes_the_documented_share_of_customers() {
     let plans = [plan(0.5), plan(1.0)];
     let (ordinary, preferred) = (&plans[0], &plans[1]);
     for (step, green, amber) in [(0, 1.0, 1.0), (1, 1.0, 0.9), (2, 0.7, 0.7), (3, 0.5, 0.5), (4, 0.0, 0.0)] {
-        assert!((passing(step, ordinary, &plans, true) - green).abs() < 0.05, "green at step {step}");
-        assert!((passing(step, ordinary, &plans, false) - amber).abs() < 0.05, "amber at step {step}");
-        assert_eq!(passing(step, preferred, &plans, false), 1.0, "preferred at step {step}");
+        assert!((passing_share(step, ordinary, &plans, true) - green).abs() < 0.05, "green at step {step}");
+        assert!((passing_share(step, ordinary, &plans, false) - amber).abs() < 0.05, "amber at step {step}");
+        assert_eq!(passing_share(step, preferred, &plans, false), 1.0, "preferred at step {step}");
     }
 }
 
 #[test]
-fn without_priorities_nobody_is_preferred_and_the_last_step_is_like_the_one_before() {
+fn without_priorities_no_customer_is_preferred_and_step_4_is_like_step_3() {
     let plans = [plan(1.0), plan(1.0)];
-    let last = passing(4, &plans[0], &plans, false);
-    assert_eq!(last, passing(3, &plans[0], &plans, false));
+    let last = passing_share(4, &plans[0], &plans, false);
+    assert_eq!(last, passing_share(3, &plans[0], &plans, false));
     assert!((last - 0.5).abs() < 0.05);
 }
 
@@ -57,7 +57,7 @@
     assert_eq!(alert.update(10 * SECOND, 1.5), Some(0));
     assert_eq!(alert.update(11 * SECOND, 1.5), None);
     assert_eq!(alert.update(11 * SECOND + 500_001, 1.5), Some(1));
-    assert_eq!(alert.update(15 * SECOND, 0.9), None, "between the two pressures nothing changes");
+    assert_eq!(alert.update(15 * SECOND, 0.9), None, "no change between the clear and the alert pressure");
     assert_eq!(alert.update(15 * SECOND, 0.7), Some(2));
     assert_eq!(alert.step(), 1);
 }
--- a/crates/core/src/quota.rs
+++ b/crates/core/src/quota.rs
@@ -1,46 +1,48 @@
-//! Quotas: the token bucket of a customer's plan, its hard limit, and what is charged and refunded.
+//! Quotas: the token bucket of a customer's plan, its hard limit, and how requests are charged and refunded.
 //!
-//! A customer's quota holds for all gateways together. Owners keep its token bucket (see
-//! [`ownership`](crate::ownership)); other gateways estimate it from the owners' latest reply. As nobody knows the others'
-//! latest use, what peers have likely admitted since they reported is taken off what is left.
+//! A customer's quota applies to all gateways together. Its owners keep the token bucket (see
+//! [`ownership`](crate::ownership)); other gateways estimate the bucket from the owners' latest reply. No gateway knows
+//! the latest use at its peers, so each deducts what the peers have probably admitted since their last reports.
 
 use crate::customer::Customer;
 use crate::decay::{decay_factor, to_seconds, MICROS_PER_SECOND};
 use crate::interface::{CustomerId, Micros, Plan, Request};
 use crate::{FleetSize, Gateway};
 
-/// Time constant of all rates of use, in seconds: longer than pauses of a customer, shorter than shifts of its traffic
-/// between gateways.
+/// Time constant of all usage rates, in seconds: longer than a customer's pauses between requests, shorter than the
+/// time in which its traffic shifts between gateways.
 pub const RATE_TIME_CONSTANT: f64 = 2.0;
-/// How long a peer's use stays unreported, besides the report period: loss and chance.
+/// Time beyond the report period for which a peer's use may stay unreported: an allowance for lost messages and random
+/// variation.
 const REPORT_DELAY: Micros = 350_000;
-/// The least share of its fair part of the quota that a gateway takes itself to use, once owners count the rest.
+/// Minimum usage rate that a gateway assumes for itself, as a share of its equal part of the quota's rate. It applies
+/// once owners count the use of the other gateways.
 const MIN_SHARE_OF_FAIR_PART: f64 = 0.1;
-/// Rounding errors of the buckets, in units.
+/// Tolerance for rounding errors of the buckets, in units.
 const ROUNDING: f64 = 1e-9;
-/// The least units that one unreported attempt of a peer is taken to use.
+/// Minimum number of units that one unreported attempt of a peer is assumed to use.
 const MIN_UNITS_PER_ATTEMPT: f64 = 0.1;
-/// The least part of the hard limit by which the wait for it is computed.
+/// Minimum share of the hard limit that is assumed when the wait for it is computed.
 const MIN_HARD_LIMIT_SHARE: f64 = 0.01;
 
-/// How long until a customer's buckets may hold enough for a request, in seconds; none where they do now.
+/// Time until a request may fit its customer's limits, in seconds; `None` if it fits now.
 #[derive(Clone, Copy)]
 pub struct QuotaWait {
-    /// For the quota and the limit on attempts in flight.
+    /// Wait for the quota and the limit on attempts in flight.
     pub quota: Option<f64>,
-    /// For the hard limit.
+    /// Wait for the hard limit.
     pub hard_limit: Option<f64>,
 }
 
 impl QuotaWait {
-    /// The longer of the two.
+    /// Returns the longer of the two waits.
     pub fn longest(self) -> Option<f64> {
         self.quota.into_iter().chain(self.hard_limit).reduce(f64::max)
     }
 }
 
 impl Customer {
-    /// This gateway's share of the customer's use, from 0 to 1.
+    /// Returns this gateway's share of the customer's use at all gateways, from 0 to 1.
     fn use_share(&self, plan: &Plan) -> f64 {
         let owners_count_the_rest = self.is_owner || self.owner_reply_at > 0;
         let floor = if owners_count_the_rest { MIN_SHARE_OF_FAIR_PART } else { 1.0 };
@@ -49,7 +51,7 @@
         own_rate / (own_rate + self.peer_rate).max(1e-9)
     }
 
-    /// Refills both buckets up to now, and lets the rates decay.
+    /// Refills both buckets up to `now` and lets the usage rates decay.
     pub fn refill(&mut self, plan: &Plan, now: Micros) {
         let elapsed = to_seconds(now - self.refilled_at);
         let decay = decay_factor(self.refilled_at, now, RATE_TIME_CONSTANT);
@@ -58,7 +60,7 @@
             self.peer_rate *= decay;
             plan.quota_rate
         } else {
-            // Between two replies of an owner the peers' use goes on and is taken off the refill.
+            // Peers keep using the quota between two replies of an owner: their rate is deducted from the refill.
             (plan.quota_rate - self.peer_rate).max(plan.quota_rate * self.use_share(plan))
         };
         self.tokens = (self.tokens + refill_rate * elapsed).min(plan.quota_burst);
@@ -68,9 +70,10 @@
         self.refilled_at = now;
     }
 
-    /// How long until a request of so many units fits the plan's limits. The buckets are refilled up to now.
+    /// Returns the time until a request of `units` fits the plan's limits. The buckets must be refilled up to `now`.
     ///
-    /// `report_period` is how often peers report; `unloaded_latency` of the request's class is in microseconds.
+    /// `report_period` is the time between two reports of a peer, and `unloaded_latency` the latency of the request's
+    /// class on unloaded endpoints; both are in microseconds.
     fn wait_for(
         &self,
         plan: &Plan,
@@ -82,14 +85,15 @@
         let unreported = self.unreported_by_peers(now, report_period);
         let mut quota = None;
         if plan.quota_rate > 0.0 {
-            // The peers' part of what is left is no more than what they admit unreported.
+            // The deduction for unreported use is limited to the peers' part of the remaining tokens.
             let peers_part = self.tokens.max(0.0) * (1.0 - self.use_share(plan));
             let available = self.tokens - unreported.min(peers_part);
             if available + ROUNDING < units {
                 quota = Some((units - available) / plan.quota_rate);
             }
         }
-        // Heavy users wait at every gateway for the same free place: attempts that peers likely started count.
+        // A customer at its limit waits at every gateway for the same free slot: attempts that peers have probably
+        // started count as well.
         let unreported_attempts = (unreported / units.max(MIN_UNITS_PER_ATTEMPT)) as u32;
         let in_flight = self.in_flight + self.peers_in_flight + unreported_attempts;
         if plan.max_in_flight > 0 && in_flight >= plan.max_in_flight {
@@ -107,8 +111,8 @@
         Some((units - available) / refill_rate)
     }
 
-    /// Units that peers have likely admitted and not reported. After an owner's reply only as many as since then: others
-    /// ask it as well.
+    /// Estimates the units that peers have admitted and not yet reported. At a gateway that does not own the quota,
+    /// only the time since the latest owner reply counts, because the peers query the owners as well.
     fn unreported_by_peers(&self, now: Micros, report_period: Micros) -> f64 {
         let mut delay = report_period + REPORT_DELAY;
         if !self.is_owner {
@@ -117,9 +121,9 @@
         self.peer_rate * delay as f64 / MICROS_PER_SECOND
     }
 
-    /// Takes units from both buckets, transferred hard-limit units first. A negative number gives units back.
+    /// Deducts units from both buckets, transferred hard-limit units first. Negative `units` are refunded.
     ///
-    /// `min_tokens` is how far below 0 the quota's bucket may go.
+    /// `min_tokens` is the lowest level of the quota's bucket, 0 or less.
     fn charge(&mut self, plan: &Plan, units: f64, min_tokens: f64) {
         self.tokens = (self.tokens - units).clamp(min_tokens, plan.quota_burst);
         let transferred = units.clamp(0.0, self.transferred_tokens);
@@ -131,8 +135,9 @@
     }
 }
 
-/// How far below 0 a quota's bucket may go. In a small fleet use beyond the quota draws nothing; in a large one gateways
-/// owe what owners have reserved for them, used or not.
+/// Returns the lowest level of a quota's bucket, 0 or less. In a small fleet use beyond the quota is not deducted. In a
+/// large fleet the bucket may go below 0, because gateways owe the units that owners have reserved for them, used or
+/// not.
 pub(crate) fn min_tokens(plan: &Plan, fleet_size: FleetSize) -> f64 {
     match fleet_size {
         FleetSize::Small => 0.0,
@@ -141,14 +146,14 @@
 }
 
 impl Gateway {
-    /// Refills a known customer's buckets; none for an unknown one.
+    /// Refills the buckets of a customer and returns it; `None` if the customer is unknown.
     pub(crate) fn refill(&mut self, id: CustomerId) -> Option<&mut Customer> {
         let customer = self.customers.get_mut(&id)?;
         customer.refill(&self.settings.plans[customer.plan], self.now);
         Some(customer)
     }
 
-    /// How long until a request of a known customer fits its limits.
+    /// Returns the time until a request of a known customer fits its limits.
     pub(crate) fn quota_wait(&mut self, request: &Request) -> QuotaWait {
         self.refill(request.customer);
         let customer = &self.customers[&request.customer];
@@ -157,12 +162,12 @@
         customer.wait_for(plan, request.units, self.now, self.report_period, unloaded_latency)
     }
 
-    /// Charges a request that is admitted.
+    /// Charges the units of an admitted request.
     pub(crate) fn charge(&mut self, request: &Request) {
         self.charge_units(request, request.units);
     }
 
-    /// Gives back what was charged for a request that was never sent.
+    /// Refunds the units of a request that was never sent.
     pub(crate) fn refund(&mut self, request: &Request) {
         self.charge_units(request, -request.units);
     }
@@ -173,8 +178,8 @@
         customer.charge(plan, units, min_tokens(plan, self.fleet_size));
     }
 
-    /// An attempt ended: it is in flight no longer, and what was charged is corrected by the units that the endpoint counted,
-    /// where the deployment settles units afterwards. Returns true if the owners must get a report.
+    /// Updates a customer after one of its attempts ended. If the deployment settles units afterwards, the charge of
+    /// `units` is corrected to the units that the endpoint counted. Returns true if the owners must get a report.
     pub(crate) fn settle_attempt_usage(&mut self, id: CustomerId, units: f64, counted: Option<f64>) -> bool {
         let settles = self.settings.post_paid;
         let correction = counted.filter(|_| settles).map_or(0.0, |counted| counted - units);
--- a/crates/core/src/quota/tests.rs
+++ b/crates/core/src/quota/tests.rs
@@ -1,4 +1,4 @@
-//! Buckets of one customer.
+//! Token buckets of one customer.
 
 use super::*;
 
@@ -18,7 +18,7 @@
     }
 }
 
-/// An owner's view of a customer that only this gateway serves.
+/// A customer that sends requests to this gateway only, which owns its quota.
 fn customer(tokens: f64) -> Customer {
     Customer { tokens, is_owner: true, gateway_count: 1.0, hard_limit_share: 1.0, ..Customer::default() }
 }
@@ -41,24 +41,24 @@
 }
 
 #[test]
-fn use_that_peers_have_not_reported_is_taken_off() {
+fn unreported_use_of_peers_is_deducted() {
     let shared = Customer { peer_rate: 2.0, gateway_count: 2.0, ..customer(1.0) };
     let wait = shared.wait_for(&plan(), 1.0, SECOND, 150_000, 0.0);
     assert!(
         wait.quota.is_some(),
-        "half a second of their use is under way, and half of the bucket is theirs"
+        "0.5 s of the peer's use is unreported, and half of the bucket is the peer's part"
     );
 }
 
 #[test]
 fn the_limit_on_attempts_in_flight_counts_those_of_peers() {
     let plan = Plan { quota_rate: 0.0, max_in_flight: 3, ..plan() };
-    let busy = |peers_in_flight| {
+    let quota_wait = |peers_in_flight| {
         let customer = Customer { in_flight: 1, peers_in_flight, ..customer(0.0) };
         customer.wait_for(&plan, 1.0, SECOND, 0, 50_000.0).quota
     };
-    assert_eq!(busy(1), None);
-    assert_eq!(busy(2), Some(0.05), "one recent latency");
+    assert_eq!(quota_wait(1), None);
+    assert_eq!(quota_wait(2), Some(0.05), "the wait is the unloaded latency");
 }
 
 #[test]
--- a/crates/core/src/retry.rs
+++ b/crates/core/src/retry.rs
@@ -1,16 +1,16 @@
-//! Retries and hedged requests: when a further attempt is made, and when never.
+//! Retries and hedged requests: the conditions for a further attempt.
 //!
-//! A retry is made after an attempt failed, a hedged request while one is still in flight. Both need that
-//! - the request may run again: it is idempotent, or has an idempotency key that the endpoint still knows, or no earlier
-//!   attempt can have run;
-//! - an answer would still be of full value: the latency objective and the deadline are not over;
-//! - fewer than `max_attempts` were made;
-//! - the retry budget covers it, so that retries cannot feed an overload.
+//! A retry is made after an attempt failed, a hedged request while one is still in flight. Both require that
+//! - the request may run again: it is idempotent, or has an idempotency key that the endpoint still remembers, or no
+//!   earlier attempt can have run;
+//! - an answer would still have its full value: neither the latency objective nor the deadline has passed;
+//! - fewer than `max_attempts` have been made;
+//! - the retry budget covers the attempt, so that retries cannot amplify an overload.
 //!
-//! Which endpoints still know an idempotency key is in [`load_balancing`](crate::load_balancing).
+//! The endpoints that still remember an idempotency key are determined in [`load_balancing`](crate::load_balancing).
 //!
-//! A hedged request needs in addition that the deployment allows hedging, and that no alert is on or the endpoint is
-//! likely to have failed. A request that is not idempotent is never hedged.
+//! A hedged request also requires that the deployment allows hedging, and that no alert is active or the endpoint has
+//! probably failed. A request that is not idempotent is never hedged.
 
 use crate::endpoints::{AnswerSample, SampleSource};
 use crate::interface::{Action, BackendId, Micros, Outcome, RequestId, RetrySafety};
@@ -19,21 +19,23 @@
 use crate::{FleetSize, Gateway};
 use std::cmp::Reverse;
 
-/// Retries for each first attempt.
+/// Number of retries that each first attempt adds to the budget.
 const RETRIES_PER_REQUEST: f64 = 0.1;
-/// Retries that the whole fleet may save up: ten at each of many gateways would be a storm.
+/// Maximum number of retries saved up in the budgets of all gateways together. With ten at each gateway, a fleet of
+/// many gateways could start a retry storm.
 const FLEET_RETRY_BURST: f64 = 30.0;
-/// The least cost of a retry after an attempt that failed early.
+/// Minimum cost of a retry after an attempt that failed early.
 const MIN_RETRY_COST: f64 = 0.2;
-/// The cost of a retry after an attempt that may have done all its work, and of a hedged request.
+/// Cost of a retry after an attempt that may have done all its work, and of a hedged request.
 const FULL_RETRY_COST: f64 = 1.0;
-/// Share of the useful lifetime after which an endpoint that has answered nothing since the attempt started is
-/// suspected to have failed.
+/// Share of the useful lifetime after which an endpoint that has sent no answer since the attempt started is suspected
+/// to have failed.
 const SILENCE_TIMEOUT_SHARE: f64 = 0.35;
-/// Share of the useful lifetime after which a request is hedged if the endpoint does answer others.
+/// Share of the useful lifetime after which a request is hedged although its endpoint answers other requests.
 const HEDGING_DELAY_SHARE: f64 = 0.6;
 
-/// How long an endpoint may be silent, for a request with this useful lifetime; both in microseconds.
+/// Returns the time without any answer after which an endpoint is suspected, for a request with the given useful
+/// lifetime; both in microseconds.
 pub fn silence_timeout(useful_lifetime: f64) -> Micros {
     (useful_lifetime * SILENCE_TIMEOUT_SHARE) as Micros
 }
@@ -50,30 +52,34 @@
 }
 
 impl RetryBudget {
-    /// A full budget of one of `gateways`.
+    /// Creates a full budget for one of `gateways` gateways.
     pub fn new(gateways: u64) -> Self {
         let capacity = (FLEET_RETRY_BURST / gateways as f64).max(1.0);
         RetryBudget { balance: capacity, capacity }
     }
 
-    /// A first attempt was made.
+    /// Credits the budget for a first attempt.
     pub fn deposit(&mut self) {
         self.balance = (self.balance + RETRIES_PER_REQUEST).min(self.capacity);
     }
 
-    /// Whether there is enough for a retry of this cost.
+    /// Returns whether the balance is enough for a retry of this cost.
     pub fn covers(&self, cost: f64) -> bool {
         self.balance >= cost
     }
 
-    /// A retry of this cost was made.
+    /// Deducts the cost of a retry.
     pub fn withdraw(&mut self, cost: f64) {
         self.balance -= cost;
     }
 }
 
-/// The cost of a retry, in full retries. An attempt that failed early did little work, and its retry takes its place
-/// rather than adding to the load; otherwise a network that breaks one attempt in six would use up the budget.
+/// Returns the cost of a retry as a multiple of a full retry. An attempt that failed early did little work, and its
+/// retry replaces it rather than adding to the load; at full cost, a network that breaks one attempt in six would use
+/// up the budget.
+///
+/// `elapsed` is how long the failed attempt took and `unloaded_latency` the latency of the class on unloaded endpoints,
+/// both in microseconds.
 pub fn retry_cost(outcome: Outcome, elapsed: Micros, unloaded_latency: f64) -> f64 {
     let failed_early = matches!(outcome, Outcome::Error | Outcome::Reset | Outcome::ConnectFailed);
     if !failed_early {
@@ -82,20 +88,20 @@
     (elapsed as f64 / unloaded_latency.max(1.0)).clamp(MIN_RETRY_COST, FULL_RETRY_COST)
 }
 
-/// What is known of the latest attempt in flight when it is checked.
-struct Overdue {
+/// A request's latest attempt in flight, found to have exceeded the silence timeout.
+struct OverdueAttempt {
     backend: BackendId,
     class: usize,
-    /// When a hedged request is due.
+    /// Time at which a hedged request may be sent.
     hedge_at: Micros,
-    /// The endpoint has answered nothing since the attempt started.
+    /// Whether the endpoint has sent no answer since the attempt started.
     is_silent: bool,
-    /// The endpoint is believed to have failed.
+    /// Whether the endpoint is believed to have failed.
     is_suspect: bool,
 }
 
 impl Gateway {
-    /// Makes a further attempt of this cost if the rules above allow it; whether it was made.
+    /// Starts a further attempt of this cost if the module's rules allow it. Returns whether it was started.
     pub(crate) fn retry(&mut self, id: RequestId, cost: f64, actions: &mut Vec<Action>) -> bool {
         if !self.may_retry(&self.requests[&id]) || !self.retry_budget.covers(cost) {
             return false;
@@ -119,7 +125,8 @@
         is_safe && is_useful && has_attempts_left && may_overlap
     }
 
-    /// Looks at an attempt that takes long: suspects its endpoint, and hedges the request.
+    /// Checks a request's latest attempt. If it is overdue, records the endpoint's silence and hedges the request if
+    /// allowed.
     pub(crate) fn check_attempt(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(overdue) = self.find_overdue(id) else { return };
         let now = self.now;
@@ -135,12 +142,12 @@
             && may_cancel
             && self.retry_budget.covers(FULL_RETRY_COST)
         {
-            // Two attempts at once are not allowed: the attempt is cancelled, and its end decides whether a retry is made.
+            // Hedging is not allowed: the attempt is cancelled, and the request may be retried once it has ended.
             if let Some(request) = self.requests.get_mut(&id) {
                 request.cancel_attempts(None, actions);
             }
         }
-        self.judge_silence(&overdue);
+        self.record_silence(&overdue);
         if !overdue.is_suspect && now < overdue.hedge_at {
             self.checks.push(Reverse((overdue.hedge_at, id)));
             return;
@@ -150,8 +157,8 @@
         }
     }
 
-    /// The latest attempt in flight of a request, if its endpoint has had the time to answer.
-    fn find_overdue(&self, id: RequestId) -> Option<Overdue> {
+    /// Returns the latest attempt in flight of a request if it has exceeded the silence timeout.
+    fn find_overdue(&self, id: RequestId) -> Option<OverdueAttempt> {
         let request = self.requests.get(&id)?;
         if request.finished || request.streaming {
             return None;
@@ -160,24 +167,30 @@
         let lifetime = request.useful_lifetime(self.settings.classes[class].latency_objective);
         let is_running = |attempt: &&Attempt| attempt.in_flight && !attempt.cancelled;
         let attempt = request.attempts.iter().rev().find(is_running)?;
-        // A check that was set for an earlier attempt comes too early for this one, which has its own.
+        // This check was scheduled for an earlier attempt; the latest attempt has its own check.
         if self.now < attempt.sent_at + silence_timeout(lifetime) {
             return None;
         }
         let backend = attempt.endpoint.backend;
         let detector = self.outlier_detector(backend, class)?;
         let is_silent = detector.last_answer_at < attempt.sent_at;
-        // A gateway of a large fleet hears from each endpoint too seldom to tell by its silence alone.
+        // In a large fleet each gateway gets answers from an endpoint too rarely to infer a failure from silence alone.
         let is_known_to_fail = match self.fleet_size {
             FleetSize::Small => true,
             FleetSize::Large => detector.failure_rate(self.now) > OUTLIER_FAILURE_RATE,
         };
         let hedge_at = attempt.sent_at + hedging_delay(lifetime);
-        Some(Overdue { backend, class, hedge_at, is_silent, is_suspect: is_silent && is_known_to_fail })
+        Some(OverdueAttempt {
+            backend,
+            class,
+            hedge_at,
+            is_silent,
+            is_suspect: is_silent && is_known_to_fail,
+        })
     }
 
-    /// Counts the silence of an endpoint as a failure, and ejects it if it is suspect.
-    fn judge_silence(&mut self, overdue: &Overdue) {
+    /// Records the silence of an endpoint as a failure, and ejects the endpoint if it is suspected to have failed.
+    fn record_silence(&mut self, overdue: &OverdueAttempt) {
         let now = self.now;
         let is_due = overdue.is_silent && (overdue.is_suspect || now < overdue.hedge_at);
         let states = &mut self.endpoints.states;
--- a/crates/core/src/retry/tests.rs
+++ b/crates/core/src/retry/tests.rs
@@ -1,4 +1,4 @@
-//! The retry budget and what a retry costs.
+//! The retry budget and the cost of a retry.
 
 use super::*;
 
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn the_burst_is_the_fleets_and_at_least_one_retry_each() {
+fn the_burst_is_divided_among_gateways_with_at_least_one_retry_each() {
     let burst = |gateways| {
         let mut budget = RetryBudget::new(gateways);
         (0..1_000).for_each(|_| budget.deposit());
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn a_retry_costs_what_the_failed_attempt_did() {
+fn the_cost_of_a_retry_depends_on_how_its_attempt_failed() {
     let cost = |outcome, elapsed| retry_cost(outcome, elapsed, 100_000.0);
     assert_eq!(cost(Outcome::Reset, 1_000), MIN_RETRY_COST);
     assert_eq!(cost(Outcome::Error, 50_000), 0.5);
