--- a/crates/core/src/load_balancing.rs
+++ b/crates/core/src/load_balancing.rs
@@ -1,9 +1,9 @@
-//! Load balancing: which endpoint gets the next attempt, and when it is sent.
+//! Load balancing: chooses the endpoint for the next attempt and the time to send it.
 //!
-//! A few endpoints are sampled by their weight, and the one with the lowest cost is chosen ("power of two choices"). The
-//! cost is the expected queue there, raised for failures, for ejected endpoints and for those that this request has
-//! tried. A gateway samples the more endpoints the more of the load is its own: what many gateways see as the least loaded
-//! endpoint would get the requests of all of them.
+//! A few endpoints are sampled by weight, and the one with the lowest cost is chosen ("power of two choices"). The cost
+//! is the expected queue at the endpoint, raised for failures, for ejected endpoints and for those that this request
+//! has been sent to before. The larger a gateway's share of the load, the more endpoints it samples: if each of many
+//! gateways compared all endpoints, all of them would send to the one that looks least loaded.
 
 use crate::concurrency::PRESSURE_TIME_CONSTANT;
 use crate::decay::decay_factor;
@@ -17,34 +17,35 @@
 use crate::Gateway;
 use std::cmp::Reverse;
 
-/// Endpoints that every gateway compares.
+/// Minimum number of endpoints that a gateway compares.
 const MIN_CANDIDATES: usize = 2;
-/// Endpoints that a gateway compares in addition, times its share of the endpoints.
+/// Additional number of endpoints that a gateway compares, for each endpoint in its equal share of the endpoints.
 const CANDIDATES_PER_ENDPOINT_SHARE: usize = 3;
-/// A sample draws at most this many times as many endpoints as there are to choose from.
+/// Maximum number of draws in a sample, for each endpoint to choose from.
 const MAX_DRAWS_PER_ENDPOINT: usize = 4;
-/// Outliers that are looked at for each healthy candidate that is wanted.
+/// Maximum number of outliers that are evaluated for each healthy candidate wanted.
 const OUTLIERS_PER_CANDIDATE: usize = 4;
-/// Cost factor for each unit of the failure rate.
+/// Increase of the cost factor from a failure rate of 0 to one of 1.
 const FAILURE_COST: f64 = 10.0;
-/// Cost factor of an endpoint that this request has been sent to.
+/// Cost factor of an endpoint that this request has already been sent to.
 const REPEATED_ENDPOINT_COST: f64 = 8.0;
-/// Cost factor of an ejected endpoint: it comes last, but where most are ejected the rest must not be overloaded.
+/// Cost factor of an ejected endpoint. Such an endpoint is used last but not excluded: where most endpoints are
+/// ejected, the others must not be overloaded.
 const EJECTED_COST: f64 = 10.0;
 /// Cost factor of an endpoint in another zone.
 const OTHER_ZONE_COST: f64 = 1.05;
-/// The cost is spread by up to this share, so that equal endpoints take turns.
+/// Maximum random increase of the cost, as a share of it, so that equal endpoints take turns.
 const COST_JITTER: f64 = 0.1;
-/// Successive multiples of the golden ratio, modulo 1, spread evenly.
+/// Fractional part of the golden ratio; its successive multiples modulo 1 are evenly spread.
 const GOLDEN_RATIO: f64 = 0.618_034;
-/// A reported queue is shared among so many gateways at the most.
+/// Maximum number of gateways that a reported queue is divided among.
 const MAX_QUEUE_SHARES: u64 = 4;
 
-/// Which endpoints a retry may go to.
+/// The endpoints that an attempt may go to.
 enum RetryTargets {
-    /// Any.
+    /// All endpoints.
     Any,
-    /// Those that know the idempotency key: in the scope around the endpoint that may have run the request.
+    /// Endpoints that know the idempotency key: those in the scope around the endpoint that may have run the request.
     Scope(DeduplicationScope, Endpoint),
 }
 
@@ -58,18 +59,18 @@
     }
 }
 
-/// One choice of an endpoint for a request.
+/// The state of one choice of an endpoint for a request.
 struct Selection<'a> {
     request: &'a InFlightRequest,
     targets: RetryTargets,
-    /// Endpoints are drawn by weight; otherwise each is looked at, and its weight divides its cost.
+    /// Whether endpoints are drawn by weight. Otherwise every endpoint is evaluated, and its weight divides its cost.
     is_sampled: bool,
-    /// Randomness of this choice, from 0 to 1.
+    /// Pseudo-random number of this choice, from 0 to 1.
     noise: f64,
     slow_start: SlowStart<'a>,
 }
 
-/// An endpoint that a request may go to.
+/// An endpoint that a request may go to, with the cost of sending it there.
 struct Candidate {
     backend: BackendId,
     cost: f64,
@@ -77,7 +78,7 @@
 }
 
 impl Gateway {
-    /// Sends queued requests, in their order, as long as the concurrency limit and the endpoints take them.
+    /// Sends queued requests in order, as long as the concurrency limit and the endpoints allow it.
     pub(crate) fn dispatch(&mut self, actions: &mut Vec<Action>) {
         while let Some(id) = self.queue.front().copied() {
             let is_waiting =
@@ -91,7 +92,7 @@
         }
     }
 
-    /// Starts a request's next attempt; false if no endpoint may take it now.
+    /// Starts a request's next attempt. Returns false if no endpoint may take it now.
     pub(crate) fn start_attempt(&mut self, id: RequestId, actions: &mut Vec<Action>) -> bool {
         let now = self.now;
         let Some(backend) = self.choose_endpoint(id) else { return false };
@@ -121,8 +122,8 @@
         true
     }
 
-    /// When the next attempt must have started, as its connection may come up long after the choice: while endpoints
-    /// remember the idempotency key. 0 for no limit.
+    /// Returns the time by which the next attempt must have started, so that the endpoint still remembers the
+    /// idempotency key; 0 for no limit. The connection may be established long after the endpoint is chosen.
     fn latest_start(&self, request: &InFlightRequest) -> Micros {
         let class = &self.settings.classes[usize::from(request.request.class)];
         match (class.retry_safety, request.first_that_may_have_run()) {
@@ -133,19 +134,19 @@
         }
     }
 
-    /// Which endpoints the next attempt may go to; none if no endpoint may get it any more.
+    /// Returns the endpoints that the next attempt may go to; `None` if the idempotency key is no longer remembered.
     fn retry_targets(&self, request: &InFlightRequest) -> Option<RetryTargets> {
         let class = &self.settings.classes[usize::from(request.request.class)];
         match (class.retry_safety, request.first_that_may_have_run()) {
             (RetrySafety::IdempotencyKey { scope, window }, Some(first)) => {
-                let is_forgotten = self.now + self.settings.tick >= first.sent_at + window;
-                (!is_forgotten).then_some(RetryTargets::Scope(scope, first.endpoint))
+                let is_key_forgotten = self.now + self.settings.tick >= first.sent_at + window;
+                (!is_key_forgotten).then_some(RetryTargets::Scope(scope, first.endpoint))
             }
             _ => Some(RetryTargets::Any),
         }
     }
 
-    /// The endpoint for a request's next attempt; none if none may take it now.
+    /// Chooses the endpoint for a request's next attempt; `None` if no endpoint may take it now.
     fn choose_endpoint(&mut self, id: RequestId) -> Option<BackendId> {
         self.random_state = self.random_state.wrapping_add(1);
         let noise = unit_hash(self.random_state);
@@ -155,7 +156,8 @@
         let wanted =
             MIN_CANDIDATES + CANDIDATES_PER_ENDPOINT_SHARE * endpoint_count / self.gateway_count as usize;
         let is_sampled = wanted < endpoint_count;
-        // A retry within a scope needs all of its endpoints; others use the same few, whose connections stay open.
+        // A retry within a scope considers all endpoints. Other attempts use the preferred ones, whose connections stay
+        // open.
         let prefers_few = is_sampled && matches!(targets, RetryTargets::Any);
         let pool = if prefers_few { endpoint_count.min(PREFERRED_ENDPOINTS) } else { endpoint_count };
         let selection = Selection { request, targets, is_sampled, noise, slow_start: self.slow_start() };
@@ -167,8 +169,8 @@
         self.choose_by_cost(&selection, pool, wanted)
     }
 
-    /// A warming-up endpoint that this gateway has drawn the right to send to. It is used at once: a right that is seldom
-    /// used would leave the endpoint idle.
+    /// Returns a warming-up endpoint that slow start permits this gateway to send to. It is chosen ahead of all others:
+    /// if permissions were rarely used, the endpoint would stay idle.
     fn choose_warming_up(&self, selection: &Selection) -> Option<BackendId> {
         let class = usize::from(selection.request.request.class);
         let may_send = |id: &&BackendId| {
@@ -182,7 +184,7 @@
         self.endpoints.warming_up.iter().find(may_send).copied()
     }
 
-    /// The candidate with the lowest cost among those sampled from the first `pool` endpoints.
+    /// Returns the candidate with the lowest cost among those sampled from the first `pool` endpoints.
     fn choose_by_cost(&self, selection: &Selection, pool: usize, wanted: usize) -> Option<BackendId> {
         let mut healthy = 0;
         let mut outliers = 0;
@@ -210,7 +212,8 @@
         chosen
     }
 
-    /// What sending the request to an endpoint would cost; none if it may not go there or the draw passes it over.
+    /// Computes the cost of sending the request to an endpoint; `None` if it may not go there or the draw by weight
+    /// skips the endpoint.
     fn evaluate(&self, selection: &Selection, state: &EndpointState, draw: usize) -> Option<Candidate> {
         let request = selection.request;
         let permission = selection.slow_start.permission(state);
@@ -229,23 +232,23 @@
         let backend = state.endpoint.backend;
         let is_repeated = request.attempts.iter().any(|attempt| attempt.endpoint.backend == backend);
         let jitter = 1.0 + COST_JITTER * ((selection.noise + draw as f64 * GOLDEN_RATIO) % 1.0);
-        let distance = if state.endpoint.zone == self.settings.zone { 1.0 } else { OTHER_ZONE_COST };
-        let repetition = if is_repeated { REPEATED_ENDPOINT_COST } else { 1.0 };
-        let failures = (1.0 + FAILURE_COST * failure_rate) * repetition;
+        let zone_factor = if state.endpoint.zone == self.settings.zone { 1.0 } else { OTHER_ZONE_COST };
+        let repetition_factor = if is_repeated { REPEATED_ENDPOINT_COST } else { 1.0 };
+        let failure_factor = (1.0 + FAILURE_COST * failure_rate) * repetition_factor;
         let divisor = if selection.is_sampled { 1.0 } else { weight };
-        let cost = self.expected_queue(state) * jitter * distance * failures / divisor;
+        let cost = self.expected_queue(state) * jitter * zone_factor * failure_factor / divisor;
         let cost = cost * if is_ejected { EJECTED_COST } else { 1.0 };
         Some(Candidate { backend, cost, is_outlier: is_ejected || failure_rate > OUTLIER_FAILURE_RATE })
     }
 
-    /// An endpoint's share of the load: 0.5 for one of average weight and latency.
+    /// Returns an endpoint's share of the load: 0.5 for an endpoint of average weight and latency.
     fn relative_weight(&self, state: &EndpointState, capacity: f64) -> f64 {
         let endpoint_count = self.endpoints.sampling_order.len() as f64;
         state.weight * capacity / state.relative_latency * endpoint_count / self.endpoints.ready_weight / 2.0
     }
 
-    /// Requests that one more would meet at an endpoint: this gateway's, and its part of the queue that the endpoint
-    /// reported, which decays.
+    /// Returns the expected number of requests at an endpoint once one more is sent: this gateway's attempts in flight,
+    /// the new one, and the gateway's share of the queue that the endpoint reported, which decays.
     fn expected_queue(&self, state: &EndpointState) -> f64 {
         let decay = decay_factor(state.queued_at, self.now, PRESSURE_TIME_CONSTANT);
         let shares = self.gateway_count.min(MAX_QUEUE_SHARES) as f64;
--- a/crates/core/src/slow_start/tests.rs
+++ b/crates/core/src/slow_start/tests.rs
@@ -1,4 +1,4 @@
-//! What a starting endpoint may be sent.
+//! The limits on attempts to a starting endpoint.
 
 use super::*;
 use crate::interface::BackendId;
@@ -28,7 +28,7 @@
     state
 }
 
-/// One of `gateways` that admits so many requests a second, for ten endpoints.
+/// Slow start at one of `gateways` gateways, which admits `admission_rate` requests per second for ten endpoints.
 fn slow_start(rules: &Rules, gateways: u64, gateway: u16, admission_rate: f64) -> SlowStart<'_> {
     SlowStart {
         now: NOW,
@@ -47,25 +47,27 @@
     assert_eq!(warming_capacity(&started(0), &rules, NOW), Some(0.2));
     assert_eq!(warming_capacity(&started(5 * SECOND), &rules, NOW), Some(0.2 + 0.4));
     assert_eq!(warming_capacity(&started(10 * SECOND), &rules, NOW), None);
-    let long_ago = Endpoint { started_at: 0, ..started(0) };
-    assert_eq!(warming_capacity(&long_ago, &rules, NOW), None);
+    let started_long_ago = Endpoint { started_at: 0, ..started(0) };
+    assert_eq!(warming_capacity(&started_long_ago, &rules, NOW), None);
 }
 
 #[test]
 fn a_gateway_spends_its_part_of_the_budget() {
     let rules = rules();
-    // 100 requests a second over ten endpoints: 10 in a window, of which 0.6 times 3 times 0.6 may be sent.
+    // 100 requests per second over ten endpoints are 10 in a window: 10 * 3 (overload factor) * 0.6 (capacity) * 0.6
+    // (share of the budget) = 10.8 may be sent.
     let budget = |sent| slow_start(&rules, 3, 0, 100.0).permission(&state(5 * SECOND, sent)).may_send;
     assert!(budget(10));
     assert!(!budget(11));
 }
 
 #[test]
-fn a_part_of_less_than_one_request_is_drawn() {
+fn a_share_of_less_than_one_request_per_window_is_decided_by_a_draw() {
     let rules = rules();
-    // 0.1 requests in a window for each of a thousand gateways, at a fifth of the capacity: some twenty of them.
+    // Each of 1000 gateways would send 0.1 requests per window; at a fifth of the capacity about 20 of them may send
+    // one.
     let permission = |gateway, sent| slow_start(&rules, 1_000, gateway, 1.0).permission(&state(0, sent));
     let winners = (0..1_000).filter(|gateway| permission(*gateway, 0).may_send).count();
     assert!((8..40).contains(&winners), "{winners}");
-    assert!(!(0..1_000).any(|gateway| permission(gateway, 1).may_send), "one request each at the most");
+    assert!(!(0..1_000).any(|gateway| permission(gateway, 1).may_send), "at most one request per gateway");
 }
