--- a/crates/core/src/decay.rs
+++ b/crates/core/src/decay.rs
@@ -5,19 +5,19 @@
 /// Microseconds in a second.
 pub const MICROS_PER_SECOND: f64 = 1e6;
 
-/// A span of time in seconds.
+/// Converts a span of time to seconds.
 pub fn to_seconds(span: Micros) -> f64 {
     span as f64 / MICROS_PER_SECOND
 }
 
-/// A number of seconds in microseconds, rounded down; a negative number gives 0.
+/// Converts seconds to microseconds, rounded down; a negative number gives 0.
 pub fn to_micros(seconds: f64) -> Micros {
     (seconds * MICROS_PER_SECOND) as Micros
 }
 
-/// The share of a value that is left after the time between two instants; 1 if none has passed.
+/// Returns the share of a value that remains after the time from `from` to `to`; 1 if no time has passed.
 ///
-/// `time_constant` is in seconds: after one of them 37% is left.
+/// `time_constant` is in seconds: after one time constant 37% remains.
 pub fn decay_factor(from: Micros, to: Micros, time_constant: f64) -> f64 {
     if from >= to {
         return 1.0;
--- a/crates/core/src/endpoints.rs
+++ b/crates/core/src/endpoints.rs
@@ -1,4 +1,4 @@
-//! The endpoints that discovery lists, and what this gateway has learned of each of them.
+//! The endpoints that discovery lists, and the state that this gateway keeps for each of them.
 
 use crate::concurrency::REJECTION_PRESSURE;
 use crate::decay::decay_factor;
@@ -14,52 +14,53 @@
 use crate::{FleetSize, Gateway};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Endpoints that a gateway of a large fleet sends most of its requests to: each once in a few seconds at least, so that
-/// connections stay open.
+/// Number of endpoints that a gateway of a large fleet sends most of its requests to. Each of them gets a request at
+/// least every few seconds, so that connections stay open.
 pub const PREFERRED_ENDPOINTS: usize = 32;
 /// Weight of an answer in an endpoint's relative latency.
 const RELATIVE_LATENCY_SAMPLE_WEIGHT: f64 = 0.1;
 /// Time constant of the relative latency in a large fleet, in seconds: answers are rare there.
 const RELATIVE_LATENCY_TIME_CONSTANT: f64 = 2.0;
-/// The relative latency of one answer counts up to this.
+/// Maximum relative latency of one answer.
 const MAX_RELATIVE_LATENCY_SAMPLE: f64 = 4.0;
-/// The relative latency falls to this at the least.
+/// Minimum of an endpoint's relative latency.
 const MIN_RELATIVE_LATENCY: f64 = 0.3;
-/// Weight of a failed connection in the reachability of its zone; a connection that was made counts in full.
+/// Weight of a failed connection in the failure rate of its zone; a successful connection has the weight 1.
 const ZONE_FAILURE_WEIGHT: f64 = 0.3;
-/// The queue that an endpoint may report; more is cut to this.
+/// Maximum queue that an endpoint may report; longer ones count as this.
 const MAX_REPORTED_QUEUE: f64 = 1_000.0;
-/// A polled list is fetched this often within the longest interval that the deployment allows.
+/// Number of polls of discovery within the longest interval that the deployment allows.
 const POLLS_PER_INTERVAL: u64 = 2;
-/// After a failed poll the next one comes sooner, so often within the longest interval.
+/// Number of polls of discovery within the longest interval while polls fail.
 const RETRIES_PER_INTERVAL: u64 = 8;
 
-/// An endpoint as this gateway knows it.
+/// The state of an endpoint at this gateway.
 #[derive(Default)]
 pub struct EndpointState {
-    /// Its latest entry in the list.
+    /// Its latest entry in the list of endpoints.
     pub endpoint: Endpoint,
-    /// Its weight in load balancing: its capacity, or 1 where the list tells none.
+    /// Its weight in load balancing: its capacity, or 1 if the list gives none.
     pub weight: f64,
-    /// It takes new attempts.
+    /// Whether it accepts new attempts.
     pub ready: bool,
-    /// Attempts in flight from this gateway.
+    /// Number of attempts in flight from this gateway.
     pub in_flight: u32,
-    /// The mean of its latencies over the recent ones of their class; 1 is as fast as the others.
+    /// Mean of its latencies, each divided by the recent latency of its class; 1 is as fast as the other endpoints.
     pub relative_latency: f64,
     relative_latency_at: Micros,
-    /// A detector for each request class: an endpoint may fail at one class alone.
+    /// One outlier detector per request class: an endpoint may fail for one class only.
     pub outlier_detectors: Vec<OutlierDetector>,
-    /// Requests that wait there, as last reported.
+    /// Number of requests in its queue, as last reported.
     pub queued: f64,
-    /// When that was reported.
+    /// When the queue was last reported.
     pub queued_at: Micros,
-    /// When recent attempts started, oldest first.
+    /// Start times of recent attempts, oldest first.
     pub recent_sends: VecDeque<Micros>,
 }
 
 impl EndpointState {
-    /// Adds the latency of an answer; `expected` is the recent latency of its class.
+    /// Adds the latency of an answer. `elapsed` is that latency and `expected` the recent latency of its class, both in
+    /// microseconds.
     fn record_latency(&mut self, now: Micros, elapsed: f64, expected: f64, fleet_size: FleetSize) {
         let weight = match fleet_size {
             FleetSize::Small => RELATIVE_LATENCY_SAMPLE_WEIGHT,
@@ -74,7 +75,7 @@
         self.relative_latency_at = now;
     }
 
-    /// Notes an attempt that starts now, and forgets those that started more than `window` ago.
+    /// Records an attempt that starts now, and drops the start times that are more than `window` ago.
     pub fn record_send(&mut self, now: Micros, window: Micros) {
         self.in_flight += 1;
         while self.recent_sends.front().is_some_and(|sent_at| *sent_at + window <= now) {
@@ -83,7 +84,8 @@
         self.recent_sends.push_back(now);
     }
 
-    /// Takes a new entry of the list. A process that started anew has a new record.
+    /// Applies a new entry of the list. If the endpoint's process has restarted, its latency, failures and queue are
+    /// reset.
     fn update(&mut self, endpoint: Endpoint, settings: &Settings) {
         if self.outlier_detectors.is_empty() || endpoint.started_at != self.endpoint.started_at {
             self.relative_latency = 1.0;
@@ -102,32 +104,32 @@
 /// All endpoints that are listed or still have attempts in flight.
 #[derive(Default)]
 pub struct Endpoints {
-    /// By identity.
+    /// Endpoint states by id.
     pub states: BTreeMap<BackendId, EndpointState>,
-    /// The ready ones, in an order of this gateway's own, so that gateways prefer different ones.
+    /// Ready endpoints, in an order specific to this gateway, so that gateways prefer different endpoints.
     pub sampling_order: Vec<BackendId>,
-    /// Those of the preferred ones that started lately.
+    /// Preferred endpoints that started recently.
     pub warming_up: Vec<BackendId>,
-    /// The sum of the weights of the ready ones.
+    /// Sum of the weights of the ready endpoints.
     pub ready_weight: f64,
-    /// Whether the connections to a zone fail.
+    /// Failure rate of the connections to each zone.
     pub zones: BTreeMap<u8, OutlierDetector>,
-    /// Ready endpoints by the short names that gossip has for them.
+    /// Ready endpoints by the tag that gossip uses for them.
     by_tag: BTreeMap<u32, BackendId>,
 }
 
 impl Endpoints {
-    /// The ready endpoint with a tag.
+    /// Returns the ready endpoint with a tag.
     pub fn by_tag(&self, tag: u32) -> Option<BackendId> {
         self.by_tag.get(&tag).copied()
     }
 
-    /// The failure rate of connections to a zone, which may be cut off with all that is in it.
+    /// Returns the failure rate of connections to a zone, all of whose endpoints may be cut off at once.
     pub fn zone_failure_rate(&self, zone: u8, now: Micros) -> f64 {
         self.zones.get(&zone).map_or(0.0, |detector| detector.failure_rate(now))
     }
 
-    /// Takes a list or changes to it. An endpoint that a whole list does not name is gone.
+    /// Applies a full list or a delta. A full list removes the endpoints that it does not contain.
     fn apply(&mut self, update: EndpointUpdate, list: Vec<Endpoint>, settings: &Settings) {
         if update != EndpointUpdate::Delta {
             self.states.values_mut().for_each(|state| state.ready = false);
@@ -145,7 +147,7 @@
         self.sampling_order.sort_by(|left, right| rank(left).total_cmp(&rank(right)));
     }
 
-    /// Notes which of the preferred endpoints are warming up.
+    /// Determines which of the preferred endpoints are warming up.
     fn find_warming_up(&mut self, now: Micros, settings: &Settings) {
         let states = &self.states;
         let is_warming_up = |id: &&BackendId| {
@@ -158,26 +160,26 @@
     }
 }
 
-/// The latency of an answer, or that the attempt failed.
+/// The result of an attempt: the latency of its answer, or a failure.
 #[derive(Clone, Copy)]
 pub(crate) enum AnswerSample {
-    /// An answer after so many microseconds.
+    /// An answer, with its latency in microseconds.
     Answered(f64),
     /// An error, or no answer.
     Failed,
 }
 
-/// Whose attempt an answer belongs to.
+/// Which gateway made the attempt that a result belongs to.
 #[derive(Clone, Copy, PartialEq)]
 pub(crate) enum SampleSource {
-    /// This gateway's.
+    /// This gateway.
     Own,
-    /// A peer's, as it gossiped.
+    /// A peer, which reported the result by gossip.
     Peer,
 }
 
 impl Gateway {
-    /// Discovery has a new list, or a call to it failed.
+    /// Handles a new list of endpoints, changes to it, or a failed call to discovery.
     pub(crate) fn on_endpoints(
         &mut self,
         update: EndpointUpdate,
@@ -194,7 +196,7 @@
         self.dispatch(actions);
     }
 
-    /// Polls discovery where it does not push, when it is time.
+    /// Requests the list of endpoints when a poll is due, if discovery sends no updates by itself.
     pub(crate) fn poll_discovery(&mut self, actions: &mut Vec<Action>) {
         let must_poll = self.settings.discovery == Discovery::Poll;
         if must_poll && self.now >= self.next_poll {
@@ -204,7 +206,7 @@
         }
     }
 
-    /// Notes the queue that an endpoint reported with an answer.
+    /// Records the queue that an endpoint reported with an answer.
     pub(crate) fn record_queue(&mut self, backend: BackendId, queued: f64) {
         if let Some(state) = self.endpoints.states.get_mut(&backend) {
             state.queued = queued.clamp(0.0, MAX_REPORTED_QUEUE);
@@ -212,8 +214,8 @@
         }
     }
 
-    /// Learns from how an attempt of this gateway ended: the reachability of the zone, the health of the endpoint, the
-    /// pressure. Outcomes that say nothing of the endpoint are passed over.
+    /// Records the outcome of an attempt of this gateway in the reachability of the zone, the health of the endpoint
+    /// and the pressure. Outcomes that say nothing about the endpoint are ignored.
     pub(crate) fn record_outcome(
         &mut self,
         backend: BackendId,
@@ -233,17 +235,17 @@
         let detector = &mut state.outlier_detectors[class];
         detector.last_answer_at = now;
         if outcome == Outcome::Rejected {
-            // Its queue is full, and all gateways send to it.
+            // Its queue is full, and all gateways send to it: one more queued request is assumed for each gateway.
             state.queued += self.gateway_count as f64;
             return self.record_pressure(REJECTION_PRESSURE);
         }
-        detector.judge(now, failed);
+        detector.update_ejection(now, failed);
         let sample = if failed { AnswerSample::Failed } else { AnswerSample::Answered(elapsed as f64) };
         self.record_answer(backend, class, sample, SampleSource::Own);
     }
 
-    /// Adds an answer to the endpoint's failure rate and latency, the class's baseline and the pressure. What a peer
-    /// reported counts as well, but ejects nobody.
+    /// Adds a result to the endpoint's failure rate and latency, the class's latency baseline and the pressure. Results
+    /// that peers report count as well, but do not eject an endpoint.
     pub(crate) fn record_answer(
         &mut self,
         backend: BackendId,
@@ -262,7 +264,7 @@
         }
         let AnswerSample::Answered(elapsed) = sample else { return };
         if now == self.resumed_at {
-            return; // the process stood still: what it measured is its own pause
+            return; // the process was stalled: the latency includes the stall
         }
         let Some(state) = self.endpoints.states.get_mut(&backend) else { return };
         let baseline: &mut LatencyBaseline = &mut self.latency_baselines[class];
@@ -272,7 +274,7 @@
         self.record_pressure(pressure);
     }
 
-    /// Gateways of a large fleet tell each other how their latest attempts went.
+    /// Queues the result of an attempt for gossip. Only gateways of a large fleet send each other their latest results.
     fn queue_sample_for_peers(
         &mut self,
         backend: BackendId,
--- a/crates/core/src/gateway.rs
+++ b/crates/core/src/gateway.rs
@@ -1,4 +1,5 @@
-//! One gateway's state, and the order in which an event is handled. The decisions are in the modules that it calls.
+//! The state of one gateway, and the order in which it handles an event. The decisions are made in the modules that it
+//! calls.
 
 use crate::completion::FinishedAttempt;
 use crate::concurrency::{ConcurrencyLimit, Pressure};
@@ -15,63 +16,63 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap, VecDeque};
 
-/// Clock ticks between two wake-ups, which look at deadlines, queues and gossip; more of them save processor time.
+/// Clock ticks between two wake-ups, which check deadlines, queues and gossip. A longer interval saves processor time.
 pub(crate) const WAKEUP_TICKS: u64 = 5;
-/// Wake-ups that were missed when the process stood still.
+/// Number of missed wake-ups after which the process is considered to have been stalled.
 const STALL_WAKEUPS: u64 = 4;
-/// The reports of all peers together use one part in this of the messages that a gateway receives.
+/// All peers together send reports to a gateway at no more than its permitted receive rate, divided by this.
 const GOSSIP_HEADROOM: f64 = 1.5;
-/// Report period in seconds up to which all gateways of a customer can own its quota.
+/// Maximum report period, in seconds, at which all gateways of a customer can own its quota.
 const MAX_REPORT_PERIOD_OF_SMALL_FLEET: f64 = 0.35;
-/// The least report period: more messages would cost more than they tell.
+/// Minimum report period: more frequent messages would cost more than newer data is worth.
 const MIN_REPORT_PERIOD: Micros = 50_000;
 
-/// Whether a fleet is small enough for every gateway to hear of all others' use.
+/// Whether a fleet is small enough for every gateway to receive the usage reports of all others.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum FleetSize {
-    /// All gateways of a customer own its quota, and report to each other periodically.
+    /// All gateways of a customer own its quota and report to each other periodically.
     Small,
-    /// Two of them own it, and are asked on demand.
+    /// Two gateways own a customer's quota and are queried on demand.
     Large,
 }
 
-/// One gateway's decisions. Feed it [`Event`]s, carry out the [`Action`]s that it asks for.
+/// The decisions of one gateway. The host passes it [`Event`]s and carries out the [`Action`]s that it returns.
 pub struct Gateway {
     pub(crate) settings: Settings,
     pub(crate) now: Micros,
     pub(crate) started_at: Micros,
     pub(crate) fleet_size: FleetSize,
-    /// How many gateways there are, 1 or more.
+    /// Number of gateways in the fleet, 1 or more.
     pub(crate) gateway_count: u64,
-    /// The least time between two messages with reports to a peer. 0 in a large fleet, where reports go with queries or at the
-    /// next wake-up.
+    /// Minimum time between two messages with reports to a peer. 0 in a large fleet, where reports are sent with
+    /// queries or at the next wake-up.
     pub(crate) report_period: Micros,
     pub(crate) random_state: u64,
     pub(crate) next_wakeup: Micros,
-    /// The process stood still until then: latencies that are measured at that time tell nothing.
+    /// When the process last resumed after a stall: latencies measured at that time include the stall.
     pub(crate) resumed_at: Micros,
     pub(crate) next_maintenance: Micros,
     pub(crate) next_poll: Micros,
 
     pub(crate) requests: BTreeMap<RequestId, InFlightRequest>,
-    /// Admitted requests that wait for an endpoint, in their order.
+    /// Admitted requests that wait for an endpoint, in order of admission.
     pub(crate) queue: VecDeque<RequestId>,
-    /// When to look at a request next: held ones, and attempts that may be overdue.
+    /// Times of the next checks of requests: those that are held, and those whose attempt may be overdue.
     pub(crate) checks: BinaryHeap<Reverse<(Micros, RequestId)>>,
-    /// Attempts in flight.
+    /// Number of attempts in flight.
     pub(crate) in_flight: u32,
 
     pub(crate) customers: BTreeMap<CustomerId, Customer>,
     pub(crate) peers: BTreeMap<GatewayId, Peer>,
-    /// Peers with something in their outbox.
+    /// Peers with reports in their outbox.
     pub(crate) peers_to_notify: BTreeSet<GatewayId>,
-    /// Whether a peer was heard that started well before this gateway.
+    /// Whether a message has come from a peer that started well before this gateway.
     pub(crate) older_peer_seen: bool,
-    /// How the latest attempts went, and when, for peers; newest first.
+    /// Outcomes of the latest attempts with their times, to be sent to peers; newest first.
     pub(crate) samples: VecDeque<(Micros, Sample)>,
 
     pub(crate) endpoints: Endpoints,
-    /// By class.
+    /// Latency baselines by request class.
     pub(crate) latency_baselines: Vec<LatencyBaseline>,
     pub(crate) pressure: Pressure,
     pub(crate) concurrency_limit: ConcurrencyLimit,
@@ -81,7 +82,8 @@
 }
 
 impl Gateway {
-    /// A gateway that starts now and knows nothing yet. The seed is for its random choices.
+    /// Creates a gateway that starts at `now` and knows no endpoints, customers or peers. `seed` determines its
+    /// pseudo-random choices.
     #[must_use]
     pub fn new(settings: Settings, seed: u64, now: Micros) -> Self {
         let gateway_count = u64::from(settings.gateways.max(1));
@@ -121,9 +123,9 @@
         }
     }
 
-    /// Takes one event and appends what the host is to do.
+    /// Handles one event and appends the actions that the host is to carry out.
     ///
-    /// `now` is the host's clock; a time before the latest one counts as the latest.
+    /// `now` is the time on the host's clock. A time before the latest one is taken as the latest one.
     pub fn handle(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
         let wakeup_interval = (WAKEUP_TICKS * self.settings.tick).max(1);
         if self.next_wakeup > 0 && now > self.next_wakeup + STALL_WAKEUPS * wakeup_interval {
@@ -177,8 +179,9 @@
         }
     }
 
-    /// The process stood still for several wake-ups. Requests whose deadline is too close by now are answered first; all
-    /// that came meanwhile is handled before attempts and peers are judged by their silence.
+    /// Resumes after the process was stalled for several wake-ups. Requests whose deadline is too close by now are
+    /// answered first. The next wake-up is postponed, so that events that arrived during the stall are handled before
+    /// attempts and peers are checked for missing answers.
     fn resume_after_stall(&mut self, now: Micros, wakeup_interval: Micros, actions: &mut Vec<Action>) {
         let is_overdue = |request: &&InFlightRequest| {
             request.attempts.is_empty() && !self.has_time_to_wait(request.request.deadline, now)
@@ -191,7 +194,7 @@
         actions.push(Action::SetTimer { delay: wakeup_interval, token: 0 });
     }
 
-    /// An answer begins to stream: other attempts are cancelled, and the request is not hedged any more.
+    /// Handles the start of a streamed answer: other attempts are cancelled, and the request is not hedged any more.
     fn on_first_byte(&mut self, id: RequestId, attempt: u16, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         if self.settings.limits.cancellation {
@@ -200,7 +203,7 @@
         request.streaming = true;
     }
 
-    /// Time has passed: checks requests, sends what waits, updates the alert, gossips and polls.
+    /// Runs the periodic work: checks requests, sends queued ones, updates the alert, sends gossip and polls discovery.
     fn on_tick(&mut self, actions: &mut Vec<Action>) {
         while let Some(Reverse((at, id))) = self.checks.peek().copied() {
             if at > self.now {
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,26 +1,28 @@
-//! The decisions of an admission gateway for services sold by plan: which requests to admit, which endpoint gets them, when
-//! to retry, what to tell the peers. Nothing here does input or output or reads a clock: the host feeds [`Event`]s with
-//! the time, and carries out the [`Action`]s that come back, in their order. Equal events give equal actions.
+//! The decisions of an admission gateway for services sold by plan: which requests to admit, which endpoint gets them,
+//! when to retry, and what to report to peers. This crate does no input or output and reads no clock: the host passes
+//! [`Event`]s with the current time, and carries out the returned [`Action`]s in order. The same events produce the
+//! same actions.
 //!
-//! [`Gateway::handle`] orders the steps; each rule is in one module. Retry safety alone is used in three: `retry` (may the
-//! request run again), `load_balancing` (which endpoints know its key), `completion` (may the client send it again).
+//! [`Gateway::handle`] orders the steps; each rule is in one module. Only retry safety is used in three: `retry` (may
+//! the request run again), `load_balancing` (which endpoints know its idempotency key), `completion` (may the client
+//! send it again).
 //!
 //! | module | rule |
 //! | --- | --- |
-//! | `admission` | what becomes of a request when it arrives |
+//! | `admission` | whether an arriving request is rejected, held or queued |
 //! | `quota`, `ownership` | token buckets and hard limits; which gateways keep them |
 //! | `quota_gossip` | reports of use to the owners of a quota, and their replies |
-//! | `load_shedding` | the steps of an alert, and whom they reject |
+//! | `load_shedding` | the steps of an alert, and which customers they reject |
 //! | `concurrency`, `latency` | the pressure on the endpoints, and the limit on attempts in flight |
 //! | `load_balancing` | the choice of an endpoint |
-//! | `slow_start` | what an endpoint that started lately may be sent |
+//! | `slow_start` | limits for endpoints that started recently |
 //! | `outlier` | failure rates, and ejection |
 //! | `retry` | retries and hedged requests |
 //! | `completion` | the one final answer of each request |
-//! | `endpoints` | the list of endpoints, and what is learned of each |
+//! | `endpoints` | the list of endpoints, and the state of each |
 //!
-//! `customer` and `request` are records that these share, `gossip` is the format of messages, `interface` holds the types of
-//! this crate's border, `random` and `decay` are arithmetic.
+//! `customer` and `request` are records that these modules share, `gossip` is the format of messages, `interface` holds
+//! the public types, `random` and `decay` are arithmetic.
 //!
 //! One request, from its arrival to its answer:
 //!
@@ -61,7 +63,7 @@
 //! let backend = BackendId(7);
 //! let list = vec![Endpoint { backend, weight: 1.0, ..Endpoint::default() }];
 //! gateway.handle(start, Event::Endpoints(EndpointUpdate::Snapshot, list), &mut actions);
-//! // The gateway asks to be woken; the host answers each `SetTimer` with an `Event::Timer` when it is due.
+//! // The gateway requests a wake-up; the host sends an `Event::Timer` when the timer is due.
 //! assert!(matches!(actions[..], [Action::SetTimer { .. }]));
 //!
 //! actions.clear();
@@ -84,7 +86,7 @@
 //!     report: None,
 //! };
 //! gateway.handle(start + 16_000, answer, &mut actions);
-//! assert!(actions.is_empty(), "the answer went to the client; nothing is left to do");
+//! assert!(actions.is_empty(), "the client has its answer; no action is needed");
 //! ```
 
 mod admission;
--- a/crates/core/src/outlier.rs
+++ b/crates/core/src/outlier.rs
@@ -16,9 +16,9 @@
 pub const PEER_SAMPLE_WEIGHT: f64 = 0.1;
 /// How long the first ejection lasts; each further one in a row lasts twice as long.
 const BASE_EJECTION_TIME: Micros = 500_000;
-/// The ejection time doubles this often at the most.
+/// Maximum number of times that the ejection time doubles.
 const MAX_EJECTION_DOUBLINGS: u32 = 3;
-/// Time constant of the failure rate in seconds, so that an ejected endpoint is tried again in time.
+/// Time constant of the failure rate in seconds, short enough that an ejected endpoint is tried again in time.
 const FAILURE_RATE_TIME_CONSTANT: f64 = 4.0;
 
 /// The failure rate and the ejections of an endpoint for one request class, or the reachability of a zone.
@@ -26,16 +26,16 @@
 pub struct OutlierDetector {
     failure_rate: f64,
     updated_at: Micros,
-    /// When an answer of any kind last came.
+    /// When the latest answer of any kind arrived.
     pub last_answer_at: Micros,
-    /// The ejection ends then.
+    /// When the ejection ends.
     pub ejected_until: Micros,
-    /// Ejections without a success in between.
+    /// Number of ejections without a success in between.
     pub consecutive_ejections: u32,
 }
 
 impl OutlierDetector {
-    /// The failure rate by now, from 0 to 1; it decays while no answers come.
+    /// Returns the failure rate at `now`, from 0 to 1. It decays while no answers arrive.
     pub fn failure_rate(&self, now: Micros) -> f64 {
         self.failure_rate * decay_factor(self.updated_at, now, FAILURE_RATE_TIME_CONSTANT)
     }
@@ -47,15 +47,15 @@
         self.updated_at = now;
     }
 
-    /// Ejects the endpoint, for longer each time in a row.
+    /// Ejects the endpoint. Each consecutive ejection lasts longer, up to a maximum.
     pub fn eject(&mut self, now: Micros) {
         let doublings = self.consecutive_ejections.min(MAX_EJECTION_DOUBLINGS);
         self.ejected_until = now + (BASE_EJECTION_TIME << doublings);
         self.consecutive_ejections = self.consecutive_ejections.saturating_add(1);
     }
 
-    /// Decides on an ejection by an answer of this gateway's own attempt, before it is recorded.
-    pub fn judge(&mut self, now: Micros, failed: bool) {
+    /// Starts or ends an ejection by the answer to an attempt of this gateway. Call this before the answer is recorded.
+    pub fn update_ejection(&mut self, now: Micros, failed: bool) {
         let sample = if failed { OWN_SAMPLE_WEIGHT } else { 0.0 };
         let is_outlier = self.failure_rate(now) * (1.0 - OWN_SAMPLE_WEIGHT) + sample > EJECTION_FAILURE_RATE;
         if failed && (is_outlier || self.consecutive_ejections > 0) {
@@ -65,7 +65,8 @@
         }
     }
 
-    /// Whether load balancing is to use the endpoint last: it is ejected, or the attempt that tries it is in flight.
+    /// Returns whether load balancing is to use the endpoint last: it is ejected, or a first attempt after the ejection
+    /// is still in flight.
     pub fn is_ejected(&self, now: Micros, attempts_in_flight: u32) -> bool {
         self.consecutive_ejections > 0 && (now < self.ejected_until || attempts_in_flight > 0)
     }
--- a/crates/core/src/outlier/tests.rs
+++ b/crates/core/src/outlier/tests.rs
@@ -5,7 +5,7 @@
 const SECOND: Micros = 1_000_000;
 
 fn fail(detector: &mut OutlierDetector, now: Micros) {
-    detector.judge(now, true);
+    detector.update_ejection(now, true);
     detector.record(now, true, OWN_SAMPLE_WEIGHT);
 }
 
@@ -13,11 +13,17 @@
 fn an_endpoint_is_ejected_when_a_quarter_of_recent_answers_failed() {
     let mut detector = OutlierDetector::default();
     fail(&mut detector, SECOND);
-    assert!(!detector.is_ejected(SECOND, 0), "one failure in a row is not enough");
+    assert!(!detector.is_ejected(SECOND, 0), "a single failure does not eject the endpoint");
     fail(&mut detector, SECOND);
     assert!(detector.is_ejected(SECOND, 0));
-    assert!(!detector.is_ejected(SECOND + BASE_EJECTION_TIME, 0), "one attempt may try it");
-    assert!(detector.is_ejected(SECOND + BASE_EJECTION_TIME, 1), "and only one");
+    assert!(
+        !detector.is_ejected(SECOND + BASE_EJECTION_TIME, 0),
+        "one attempt may be sent after the ejection time"
+    );
+    assert!(
+        detector.is_ejected(SECOND + BASE_EJECTION_TIME, 1),
+        "a second one may not, while the first is in flight"
+    );
 }
 
 #[test]
@@ -35,9 +41,9 @@
 fn a_success_ends_the_ejections_once_the_failure_rate_is_low() {
     let mut detector = OutlierDetector::default();
     (0..4).for_each(|_| fail(&mut detector, SECOND));
-    detector.judge(SECOND, false);
+    detector.update_ejection(SECOND, false);
     assert!(detector.consecutive_ejections > 0, "the failure rate is still high");
-    detector.judge(SECOND + 10 * SECOND, false);
+    detector.update_ejection(SECOND + 10 * SECOND, false);
     assert_eq!(detector.consecutive_ejections, 0);
 }
 
--- a/crates/core/src/request.rs
+++ b/crates/core/src/request.rs
@@ -5,33 +5,33 @@
 
 /// One send of a request to an endpoint.
 pub struct Attempt {
-    /// The endpoint as it was listed when the attempt started.
+    /// The endpoint's entry in the list when the attempt started.
     pub endpoint: Endpoint,
     /// When the attempt started.
     pub sent_at: Micros,
-    /// Its outcome is not known yet.
+    /// Whether its outcome is still unknown.
     pub in_flight: bool,
-    /// Its cancellation has been requested.
+    /// Whether its cancellation has been requested.
     pub cancelled: bool,
-    /// Its outcome proves that the endpoint never ran it.
+    /// Whether its outcome proves that the endpoint never ran it.
     pub never_ran: bool,
 }
 
 /// A request between its arrival and its final answer.
 #[derive(Default)]
 pub struct InFlightRequest {
-    /// What the client sent.
+    /// The request as the client sent it.
     pub request: Request,
-    /// When it arrived.
+    /// When the request arrived.
     pub arrived_at: Micros,
     /// Its attempts, in the order in which they started.
     pub attempts: Vec<Attempt>,
-    /// It has its final answer, or its client left; only the outcomes of attempts are still expected.
+    /// Whether it has its final answer or its client left; only the outcomes of attempts are still expected.
     pub finished: bool,
-    /// Its answer has begun to stream to the client: its attempt is no longer checked or cancelled. Should it fail all the
-    /// same, the request is retried like any other.
+    /// Whether its answer has begun to stream to the client. Its attempt is then no longer checked or cancelled; if the
+    /// attempt fails nevertheless, the request is retried like any other.
     pub streaming: bool,
-    /// It is held until an owner of its customer's quota replies.
+    /// Whether it is held until an owner of its customer's quota replies.
     pub awaiting_owner: bool,
 }
 
@@ -46,18 +46,18 @@
         }
     }
 
-    /// The number of attempts in flight.
+    /// Returns the number of attempts in flight.
     pub fn attempts_in_flight(&self) -> usize {
         self.attempts.iter().filter(|attempt| attempt.in_flight).count()
     }
 
-    /// The first attempt that ran or may have run.
+    /// Returns the first attempt that ran or may have run.
     pub fn first_that_may_have_run(&self) -> Option<&Attempt> {
         self.attempts.iter().find(|attempt| !attempt.never_ran)
     }
 
-    /// For how long an answer has its full value, in microseconds from the arrival: the latency objective, or the
-    /// client's deadline if that is sooner.
+    /// Returns how long an answer has its full value, in microseconds from the arrival: the latency objective, or the
+    /// time until the client's deadline if that is shorter.
     pub fn useful_lifetime(&self, latency_objective: Micros) -> f64 {
         latency_objective.min(self.request.deadline.saturating_sub(self.arrived_at)) as f64
     }
