--- a/crates/core/src/gossip.rs
+++ b/crates/core/src/gossip.rs
@@ -1,4 +1,4 @@
-//! The format of messages between gateways: packing, and checked unpacking. No decision lives here.
+//! The format of messages between gateways: packing, and checked unpacking. This module makes no decisions.
 //!
 //! A message has at most 256 bytes; numbers are little-endian:
 //!
@@ -9,7 +9,7 @@
 //! | 4 | incarnation of the sender |
 //! | 2 | sequence number |
 //! | 1 | number of rows |
-//! | 4 each | samples |
+//! | 4 each | samples: results of the sender's latest attempts |
 //! | 4 | in replies: the receiver's incarnation |
 //! | 14 or 12 each | rows: reports or replies |
 
@@ -24,99 +24,100 @@
 const SAMPLE_BYTES: usize = 4;
 const REPORT_BYTES: usize = 14;
 const REPLY_BYTES: usize = 12;
-/// The receiver's incarnation in front of replies.
+/// Length of the receiver's incarnation, which precedes the replies.
 const REPLIES_HEADER_BYTES: usize = 4;
 const MAX_MESSAGE_BYTES: usize = 256;
 
-/// The most [`Sample`]s in a message.
+/// Maximum number of [`Sample`]s in a message.
 pub const MAX_SAMPLES: usize = 3;
-/// The most [`UsageReport`]s in a message.
+/// Maximum number of [`UsageReport`]s in a message.
 pub const MAX_REPORTS: usize = (MAX_MESSAGE_BYTES - HEADER_BYTES - MAX_SAMPLES * SAMPLE_BYTES) / REPORT_BYTES;
-/// The most [`OwnerReply`]s in a message.
+/// Maximum number of [`OwnerReply`]s in a message.
 pub const MAX_REPLIES: usize =
     (MAX_MESSAGE_BYTES - HEADER_BYTES - MAX_SAMPLES * SAMPLE_BYTES - REPLIES_HEADER_BYTES) / REPLY_BYTES;
-/// The highest plan that a [`UsageReport`] can name.
+/// Highest index of a plan that a [`UsageReport`] can hold.
 pub const MAX_PLAN: usize = 63;
-/// The highest class that a [`Sample`] can name.
+/// Highest index of a class that a [`Sample`] can hold.
 pub const MAX_CLASS: usize = 7;
-/// The most attempts in flight that a message can tell.
+/// Highest number of attempts in flight that a message can hold.
 pub const MAX_IN_FLIGHT: u8 = 127;
-/// The fill level of a full bucket.
+/// Fill level of a full bucket.
 pub const MAX_FILL_LEVEL: u8 = 254;
-/// The byte for a fill level that the sender does not know.
+/// Byte for a fill level that the sender does not know.
 const UNKNOWN_FILL_LEVEL: u8 = 255;
-/// Units are sent as multiples of this part.
+/// Units are sent as multiples of one part, a quarter unit.
 const PARTS_PER_UNIT: f64 = 4.0;
-/// Bits of a customer's id; the seven above them hold a number of attempts.
+/// Bits of a customer's id; the seven bits above them hold a number of attempts in flight.
 const CUSTOMER_BITS: u32 = 33;
-/// Latencies are sent as steps of a fifth of an octave, the first one at a 32nd of the latency objective.
+/// Latencies are sent in steps of a fifth of an octave, starting at a 32nd of the latency objective.
 const STEPS_PER_OCTAVE: f64 = 5.0;
 const OCTAVES_BELOW_OBJECTIVE: f64 = 5.0;
 const MAX_LATENCY_STEP: u8 = 30;
-/// The step for an attempt without an answer.
+/// Step for an attempt without an answer.
 const NO_ANSWER_STEP: u8 = 31;
 const LATENCY_STEP_BITS: u32 = 5;
 const MICROS_PER_MILLISECOND: Micros = 1_000;
 
-/// A gateway's use of one customer since the gateway started.
+/// Units that a gateway has admitted for one customer since the gateway started, and the state of its bucket.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct UsageReport {
     /// The customer.
     pub customer: CustomerId,
     /// Index of its plan.
     pub plan: u8,
-    /// Units admitted, see [`wrap_units`].
+    /// Total of the units admitted, see [`wrap_units`].
     pub total_units: u16,
-    /// Attempts in flight, at most [`MAX_IN_FLIGHT`].
+    /// Number of attempts in flight, at most [`MAX_IN_FLIGHT`].
     pub in_flight: u8,
-    /// How full the sender takes the customer's bucket to be, [`MAX_FILL_LEVEL`] for full; none where it does not know.
+    /// The sender's estimate of how full the customer's bucket is, [`MAX_FILL_LEVEL`] for full; `None` if it does not
+    /// know.
     pub fill_level: Option<u8>,
-    /// The first of the customer's gateways.
+    /// Number of the first gateway that receives the customer's requests.
     pub first_gateway: u16,
-    /// How many gateways it has.
+    /// Number of gateways that receive its requests.
     pub gateway_count: u16,
     /// Whether the sender asks for an [`OwnerReply`].
     pub wants_reply: bool,
-    /// The units of the request that it asks for, in quarters, at most 63.
+    /// Units of the request for which the sender asks, in quarters, at most 63.
     pub requested_units: f64,
-    /// Whether it asks for so many hard-limit units, too.
+    /// Whether the sender asks for as many hard-limit units as well.
     pub wants_hard_limit_tokens: bool,
 }
 
-/// What an owner knows of a customer.
+/// An owner's view of a customer.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct OwnerReply {
     /// The customer.
     pub customer: CustomerId,
-    /// The receiver's total as last heard: use after that is not taken off `tokens` yet.
-    pub your_total: u16,
-    /// Units in the bucket; negative while use beyond the quota counts.
+    /// The receiver's total as last reported: use after that is not yet deducted from `tokens`.
+    pub receiver_total: u16,
+    /// Units in the bucket; negative where use beyond the quota is deducted.
     pub tokens: f64,
-    /// Units a second that all but the receiver admit.
+    /// Rate of the units that all gateways but the receiver admit, per second.
     pub peer_rate: f64,
-    /// Attempts in flight from all but the receiver, at most [`MAX_IN_FLIGHT`].
+    /// Number of attempts in flight from all gateways but the receiver, at most [`MAX_IN_FLIGHT`].
     pub peers_in_flight: u8,
-    /// Hard-limit units that are handed over, in quarters, at most 63.
+    /// Hard-limit units that are transferred to the receiver, in quarters, at most 63.
     pub transferred_tokens: f64,
 }
 
-/// How one attempt went.
+/// The result of one attempt.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Sample {
-    /// The endpoint, by its [`endpoint_tag`].
+    /// The endpoint's tag, see [`endpoint_tag`].
     pub tag: u32,
     /// Index of the request's class.
     pub class: u8,
-    /// Its latency as a share of the latency objective; none after an error or without an answer.
+    /// Its latency as a share of the latency objective; `None` after an error or without an answer.
     pub elapsed: Option<f64>,
 }
 
-/// What a message carries.
+/// The reports or replies in a message.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Body {
     /// Reports to an owner.
     Reports(Vec<UsageReport>),
-    /// An owner's replies, to one incarnation of the receiver.
+    /// An owner's replies, with the incarnation of the receiver that they are for.
     Replies(u32, Vec<OwnerReply>),
 }
 
@@ -125,47 +126,47 @@
 pub struct Message {
     /// The sender's incarnation, see [`incarnation_at`].
     pub incarnation: u32,
-    /// Counts the sender's messages to this receiver, wrapped round.
+    /// Number of the message among the sender's messages to this receiver, modulo 2^16.
     pub sequence: u16,
-    /// How the sender's latest attempts went.
+    /// Results of the sender's latest attempts.
     pub samples: Vec<Sample>,
-    /// What it carries.
+    /// The reports or replies.
     pub body: Body,
 }
 
-/// The incarnation of a gateway that starts at a time: the millisecond, wrapped round.
+/// Returns the incarnation of a gateway that starts at `time`: the time in milliseconds, modulo 2^32.
 pub fn incarnation_at(time: Micros) -> u32 {
     (time / MICROS_PER_MILLISECOND) as u32
 }
 
-/// Whether one incarnation is later than another. The numbers come round every 50 days, so that they cannot simply be
-/// compared: a fleet on the wall clock would never again hear a peer that restarts after that.
+/// Returns whether one incarnation is later than another. The numbers wrap round every 50 days and must not simply be
+/// compared: in a fleet on the wall clock, gateways would ignore every message of a peer that restarts after that.
 pub fn is_later(incarnation: u32, other: u32) -> bool {
     (incarnation.wrapping_sub(other) as i32) > 0
 }
 
-/// Units as messages carry totals: in quarters, wrapped round.
+/// Returns a total of units as messages carry it: in quarters, modulo 2^16.
 pub fn wrap_units(units: f64) -> u16 {
     ((units * PARTS_PER_UNIT).round() as i64) as u16
 }
 
-/// Units between two wrapped totals; negative if the later one is less.
+/// Returns the units between two totals of [`wrap_units`]; negative if the later total is less.
 pub fn units_between(earlier: u16, later: u16) -> f64 {
     f64::from(later.wrapping_sub(earlier) as i16) / PARTS_PER_UNIT
 }
 
-/// Rounds units down to what a message can carry.
+/// Rounds units down to a number that a message can carry.
 pub fn round_down_units(units: f64) -> f64 {
-    let most = f64::from(u8::MAX) / PARTS_PER_UNIT;
-    (units.clamp(0.0, most) * PARTS_PER_UNIT).floor() / PARTS_PER_UNIT
+    let max_units = f64::from(u8::MAX) / PARTS_PER_UNIT;
+    (units.clamp(0.0, max_units) * PARTS_PER_UNIT).floor() / PARTS_PER_UNIT
 }
 
-/// A short name for an endpoint: 24 bits of a hash of its identity.
+/// Returns a short identifier of an endpoint: 24 bits of a hash of its id.
 pub fn endpoint_tag(id: u64) -> u32 {
     (id.wrapping_mul(0x9E37_79B9_7F4A_7C15) >> 40) as u32
 }
 
-/// A customer's id and a number of attempts in five bytes.
+/// Packs a customer's id and a number of attempts in flight into five bytes.
 fn pack_customer(customer: CustomerId, in_flight: u8) -> [u8; 5] {
     let id = customer.0 & ((1 << CUSTOMER_BITS) - 1);
     let word = id | u64::from(in_flight.min(MAX_IN_FLIGHT)) << CUSTOMER_BITS;
@@ -221,7 +222,7 @@
 impl OwnerReply {
     fn pack(&self, bytes: &mut Vec<u8>) {
         bytes.extend_from_slice(&pack_customer(self.customer, self.peers_in_flight));
-        bytes.extend_from_slice(&self.your_total.to_le_bytes());
+        bytes.extend_from_slice(&self.receiver_total.to_le_bytes());
         bytes.extend_from_slice(&((self.tokens * PARTS_PER_UNIT).floor() as i16).to_le_bytes());
         bytes.extend_from_slice(&((self.peer_rate * PARTS_PER_UNIT).round() as u16).to_le_bytes());
         bytes.push((self.transferred_tokens * PARTS_PER_UNIT) as u8);
@@ -231,7 +232,7 @@
         let (customer, peers_in_flight) = unpack_customer(row);
         OwnerReply {
             customer,
-            your_total: u16_at(row, 5),
+            receiver_total: u16_at(row, 5),
             tokens: f64::from(u16_at(row, 7) as i16) / PARTS_PER_UNIT,
             peer_rate: f64::from(u16_at(row, 9)) / PARTS_PER_UNIT,
             peers_in_flight,
@@ -263,7 +264,7 @@
 }
 
 impl Message {
-    /// The message's bytes. Samples and rows beyond the maximum are left out.
+    /// Encodes the message. Samples and rows beyond the maximum are left out.
     pub fn pack(&self) -> Vec<u8> {
         let (kind, rows) = match &self.body {
             Body::Reports(reports) => (KIND_REPORTS, reports.len().min(MAX_REPORTS)),
@@ -285,7 +286,7 @@
         bytes
     }
 
-    /// Reads a message; none for anything that [`Message::pack`] cannot have made.
+    /// Decodes a message; `None` for bytes that [`Message::pack`] cannot have produced.
     pub fn unpack(bytes: &[u8]) -> Option<Message> {
         if bytes.len() > MAX_MESSAGE_BYTES || bytes.len() < HEADER_BYTES || bytes[0] != VERSION {
             return None;
@@ -303,7 +304,7 @@
     }
 }
 
-/// Reads a body that must fill its bytes.
+/// Decodes a body. Returns `None` if the length does not match the number of rows.
 fn unpack_body(kind: u8, rows: usize, bytes: &[u8]) -> Option<Body> {
     match kind {
         KIND_REPORTS if bytes.len() == rows * REPORT_BYTES => {
--- a/crates/core/src/gossip/tests.rs
+++ b/crates/core/src/gossip/tests.rs
@@ -1,11 +1,11 @@
-//! Messages as bytes: they survive the way, and are what earlier versions wrote.
+//! The encoding of messages: they can be decoded again, and their bytes are those that earlier versions sent.
 
 use super::*;
 
 #[test]
-fn messages_survive_the_way() {
+fn messages_round_trip_and_truncated_messages_are_rejected() {
     let customer = CustomerId((1 << 33) - 7);
-    let one = UsageReport {
+    let report = UsageReport {
         customer,
         plan: 3,
         total_units: 65_000,
@@ -17,11 +17,11 @@
         requested_units: 1.25,
         wants_hard_limit_tokens: true,
     };
-    let uses = vec![one; MAX_REPORTS];
-    let news = vec![
+    let reports = vec![report; MAX_REPORTS];
+    let replies = vec![
         OwnerReply {
             customer,
-            your_total: 9,
+            receiver_total: 9,
             tokens: -7.25,
             peer_rate: 12.5,
             peers_in_flight: 127,
@@ -29,11 +29,11 @@
         };
         MAX_REPLIES
     ];
-    for body in [Body::Reports(uses), Body::Replies(9, news), Body::Reports(vec![])] {
+    for body in [Body::Reports(reports), Body::Replies(9, replies), Body::Reports(vec![])] {
         for count in 0..=MAX_SAMPLES {
-            let one = Sample { tag: endpoint_tag(77), class: 6, elapsed: Some(0.5) };
-            let bad = Sample { elapsed: None, ..one };
-            let samples = [one, bad, one][..count].to_vec();
+            let answered = Sample { tag: endpoint_tag(77), class: 6, elapsed: Some(0.5) };
+            let failed = Sample { elapsed: None, ..answered };
+            let samples = [answered, failed, answered][..count].to_vec();
             let message = Message { incarnation: 77, sequence: 3, samples, body: body.clone() };
             let bytes = message.pack();
             assert!(bytes.len() <= MAX_MESSAGE_BYTES);
@@ -50,7 +50,7 @@
 mod recorded;
 
 fn recorded_messages() -> Vec<(&'static str, Message)> {
-    let ask = UsageReport {
+    let query = UsageReport {
         customer: CustomerId(0x1_2345_6789),
         plan: 5,
         total_units: 40_321,
@@ -62,17 +62,17 @@
         requested_units: 2.25,
         wants_hard_limit_tokens: true,
     };
-    let told = UsageReport {
+    let report = UsageReport {
         customer: CustomerId(7),
         fill_level: None,
         wants_reply: false,
         requested_units: 0.0,
         wants_hard_limit_tokens: false,
-        ..ask
+        ..query
     };
-    let word = OwnerReply {
+    let reply = OwnerReply {
         customer: CustomerId(9),
-        your_total: 1_000,
+        receiver_total: 1_000,
         tokens: -3.5,
         peer_rate: 77.25,
         peers_in_flight: 4,
@@ -83,7 +83,7 @@
         Sample { tag: endpoint_tag(2), class: 7, elapsed: None },
         Sample { tag: endpoint_tag(3), class: 3, elapsed: Some(0.125) },
     ];
-    let body = Body::Reports(vec![ask, told]);
+    let body = Body::Reports(vec![query, report]);
     vec![
         ("reports", Message { incarnation: 0xdead_beef, sequence: 65_535, samples: samples.clone(), body }),
         (
@@ -92,15 +92,16 @@
         ),
         (
             "replies",
-            Message { incarnation: 77, sequence: 12, samples, body: Body::Replies(99, vec![word, word]) },
+            Message { incarnation: 77, sequence: 12, samples, body: Body::Replies(99, vec![reply, reply]) },
         ),
     ]
 }
 
 #[test]
-fn messages_are_the_bytes_that_were_recorded() {
+fn encoded_messages_equal_the_recorded_bytes() {
     let messages = recorded_messages();
-    let bytes: Vec<(&str, Vec<u8>)> = messages.iter().map(|(name, m)| (*name, m.pack())).collect();
+    let bytes: Vec<(&str, Vec<u8>)> =
+        messages.iter().map(|(name, message)| (*name, message.pack())).collect();
     recorded::check_messages("gossip.txt", &bytes);
     for ((name, message), (_, bytes)) in messages.iter().zip(&bytes) {
         assert_eq!(Message::unpack(bytes).as_ref(), Some(message), "{name}");
--- a/crates/core/src/interface/actions.rs
+++ b/crates/core/src/interface/actions.rs
@@ -1,8 +1,8 @@
-//! Actions: what a gateway asks its host to do.
+//! Actions: the outputs of a gateway, to be carried out by its host.
 
 use super::{BackendId, GatewayId, Micros, RequestId};
 
-/// What a gateway asks its host to do. The host carries actions out in their order.
+/// An output of a gateway. The host carries actions out in order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Send the request to an endpoint. It ends with an [`Event::AttemptFinished`](super::Event::AttemptFinished).
@@ -11,20 +11,20 @@
         id: RequestId,
         /// The endpoint.
         backend: BackendId,
-        /// When to give the attempt up; 0 for the client's deadline.
+        /// When to give the attempt up; 0 to give it up at the client's deadline.
         give_up_at: Micros,
-        /// Nothing of the attempt may be written after this, however long its connection takes; 0 for no limit. An
+        /// No byte of the attempt may be written after this time, however long its connection takes; 0 for no limit. An
         /// attempt that has not started by then ends with [`Outcome::NotSent`](super::Outcome::NotSent).
         start_by: Micros,
     },
-    /// Final answer: rejected; sending the request again is harmless.
+    /// Give the request its final answer: rejected. Sending the request again is harmless.
     Reject {
         /// The request.
         id: RequestId,
-        /// How long the client should stay away; 0 gives no advice.
+        /// How long the client should wait before it sends the request again; 0 for no advice.
         retry_after: Micros,
     },
-    /// Final answer: failed; the request may have run.
+    /// Give the request its final answer: failed. The request may have run.
     Fail(RequestId),
     /// Cancel an attempt.
     Cancel {
@@ -35,14 +35,14 @@
     },
     /// Wake the gateway after a delay with [`Event::Timer`](super::Event::Timer).
     SetTimer {
-        /// From now.
+        /// Delay from now.
         delay: Micros,
-        /// Comes back with the event.
+        /// Token to pass with the event.
         token: u32,
     },
     /// Send a message of at most 256 bytes to one peer, or to all.
     SendGossip {
-        /// The receiver; none means all.
+        /// The receiver; `None` for all peers.
         to: Option<GatewayId>,
         /// The message.
         bytes: Vec<u8>,
@@ -51,19 +51,19 @@
     CheckHealth(BackendId),
     /// Close idle connections to an endpoint.
     CloseIdle(BackendId),
-    /// Subscribe to discovery, or no longer.
+    /// Subscribe to discovery if true, otherwise unsubscribe.
     WatchEndpoints(bool),
     /// Fetch the whole list of endpoints once.
     FetchEndpoints,
-    /// Add to a number of the shared counter.
+    /// Add an amount to the shared counter.
     AddToCounter {
-        /// Its name.
+        /// Name of the counter.
         name: u64,
-        /// The amount.
+        /// Amount to add.
         delta: f64,
-        /// How long a new number lives.
+        /// Lifetime of the counter if it is created.
         lifetime: Micros,
     },
-    /// A line for the log.
+    /// Write a line to the log.
     Log(String),
 }
--- a/crates/core/src/interface/events.rs
+++ b/crates/core/src/interface/events.rs
@@ -1,4 +1,4 @@
-//! Events: what a gateway sees.
+//! Events: the inputs of a gateway.
 
 use super::{
     BackendId, CustomerId, Endpoint, EndpointUpdate, GatewayId, LoadReport, Micros, Outcome, RequestId,
@@ -7,28 +7,29 @@
 /// A client's request.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Request {
-    /// Its name.
+    /// Id of the request.
     pub id: RequestId,
     /// Index into [`Settings::classes`](super::Settings::classes).
     pub class: u8,
     /// Index into [`Settings::plans`](super::Settings::plans).
     pub plan: u16,
-    /// Whose it is.
+    /// The customer that sent it.
     pub customer: CustomerId,
-    /// When the client gives it up.
+    /// When the client stops waiting for an answer.
     pub deadline: Micros,
-    /// Units that it draws from the quota.
+    /// Units that it takes from the quota.
     pub units: f64,
-    /// Over how many gateways the customer's requests come.
+    /// Number of gateways that receive the customer's requests.
     pub gateway_count: f64,
-    /// The first of these gateways; the others have the numbers after it, counted round.
+    /// Number of the first of these gateways. The others have the following numbers, continued at 0 after the last
+    /// gateway.
     pub first_gateway: f64,
 }
 
-/// What a gateway sees.
+/// An input of a gateway.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// The list of endpoints, or changes to it.
+    /// Discovery sent the list of endpoints or changes to it, or a call to discovery failed.
     Endpoints(EndpointUpdate, Vec<Endpoint>),
     /// A request arrived.
     Request(Request),
@@ -42,13 +43,13 @@
         backend: BackendId,
         /// How it ended.
         outcome: Outcome,
-        /// The request has its final answer.
+        /// Whether the request has its final answer.
         answered: bool,
         /// How long it was in flight.
         elapsed: Micros,
-        /// The customer's metered use as a share of its rate or limit, where there is a meter.
+        /// The customer's metered use as a share of its rate or limit; `None` without a meter.
         metered: Option<f64>,
-        /// The units that the request used, where they are settled afterwards.
+        /// Units that the request used, if units are settled afterwards.
         charged_units: Option<f64>,
         /// The load report that came with the answer.
         report: Option<LoadReport>,
@@ -60,7 +61,7 @@
         /// The number of the attempt.
         attempt: u16,
     },
-    /// The client left; no answer is owed.
+    /// The client left and needs no answer.
     ClientCancelled(RequestId),
     /// A timer expired.
     Timer(u32),
@@ -75,28 +76,29 @@
         /// The load report that came with it.
         report: Option<LoadReport>,
     },
-    /// A message of a peer came.
+    /// A message from a peer arrived.
     GossipReceived {
         /// The sender.
         from: GatewayId,
         /// The message.
         bytes: Vec<u8>,
     },
-    /// The membership view, where there is one, has lost a peer or has it again. Unreachable owners of a quota are not asked;
-    /// without a reachable one a request is decided at once. Quotas and hard limits hold whatever the view says.
+    /// The membership view, if the deployment has one, reports that a peer became unreachable or reachable again.
+    /// Unreachable owners of a quota are not queried; if no owner is reachable, a request is decided at once. Quotas
+    /// and hard limits are enforced regardless of the view.
     PeerReachability {
         /// The peer.
         peer: GatewayId,
-        /// It is a member. So are all that nothing was said of.
+        /// Whether the peer is reachable. Peers without such an event are reachable.
         reachable: bool,
     },
     /// A call to the shared counter ended.
     CounterUpdated {
-        /// The number's name.
+        /// Name of the counter.
         name: u64,
         /// How it ended.
         outcome: Outcome,
-        /// The total, with [`Outcome::Ok`].
+        /// The counter's total; valid only with [`Outcome::Ok`].
         total: f64,
     },
 }
--- a/crates/core/src/interface/mod.rs
+++ b/crates/core/src/interface/mod.rs
@@ -1,7 +1,7 @@
-//! The types at the border of the decision module: what a gateway is told at its start ([`Settings`]), what it sees
-//! ([`Event`]) and what it asks its host to do ([`Action`]). No decision lives here.
+//! The public types of this crate: the settings that a gateway starts with ([`Settings`]), its inputs ([`Event`]) and
+//! its outputs ([`Action`]). This module makes no decisions.
 //!
-//! Times are in microseconds on the host's clock, rates are a second.
+//! Times are in microseconds on the host's clock, rates are per second.
 
 mod actions;
 mod endpoints;
@@ -18,18 +18,18 @@
 /// A time on the host's clock, or a span of it, in microseconds.
 pub type Micros = u64;
 
-/// A request, as named by the host. Never used twice.
+/// The id of a request, assigned by the host and never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Default)]
 pub struct RequestId(pub u64);
 
-/// The identity of an endpoint, a backend server.
+/// The id of an endpoint, a backend server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Default)]
 pub struct BackendId(pub u64);
 
-/// A customer, the holder of a plan.
+/// The id of a customer, the holder of a plan.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Default)]
 pub struct CustomerId(pub u64);
 
-/// A gateway among its peers, numbered from 0.
+/// The number of a gateway in the fleet, from 0.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Default)]
 pub struct GatewayId(pub u16);
--- a/crates/core/src/interface/settings.rs
+++ b/crates/core/src/interface/settings.rs
@@ -1,65 +1,65 @@
-//! Settings: what a gateway is told at its start.
+//! Settings: the configuration that a gateway starts with.
 
 use super::{GatewayId, Micros};
 
-/// Which endpoints recognize a repeated request by its idempotency key.
+/// The endpoints that recognize a repeated request by its idempotency key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DeduplicationScope {
-    /// All of them.
+    /// All endpoints.
     Fleet,
-    /// Those in the zone of the first one that got the request.
+    /// The endpoints in the zone of the first endpoint that got the request.
     Zone,
-    /// Those in the cell of the first one that got the request.
+    /// The endpoints in the cell of the first endpoint that got the request.
     Cell,
 }
 
-/// Whether a request that may have run may be sent again.
+/// Whether and where a request that may have run may be sent again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RetrySafety {
-    /// At any time, anywhere.
+    /// It may be sent again at any time, to any endpoint.
     Idempotent,
-    /// To endpoints that know its idempotency key, as long as they remember it.
+    /// It may be sent again to endpoints that know its idempotency key, as long as they remember the key.
     IdempotencyKey {
         /// The endpoints that know the key.
         scope: DeduplicationScope,
-        /// How long they remember it, from the start of the first attempt that may have run.
+        /// How long these endpoints remember the key, from the start of the first attempt that may have run.
         window: Micros,
     },
-    /// Only with proof that no earlier attempt ran.
+    /// It may be sent again only if it is certain that no earlier attempt ran.
     NotIdempotent,
 }
 
-/// A class of requests.
+/// A class of requests, with its time limits and retry rules.
 #[derive(Clone, Debug)]
 pub struct RequestClass {
-    /// An answer within this time has its full value.
+    /// Time within which an answer has its full value.
     pub latency_objective: Micros,
     /// The objective grows by this multiple of a request's own work. No decision uses it so far.
     pub objective_per_work: f64,
-    /// The longest that a client waits, over all its tries.
+    /// Maximum time that a client waits, over all its tries.
     pub deadline: Micros,
     /// The value of an answer in time. No decision uses it so far.
     pub priority_weight: f64,
     /// The share of that value that is left after the latency objective. No decision uses it so far.
     pub late_priority_weight: f64,
-    /// Whether a request may run again.
+    /// Whether a request of this class may be sent again.
     pub retry_safety: RetrySafety,
-    /// The answer is a stream.
+    /// Whether the answer is a stream.
     pub streaming: bool,
 }
 
-/// A plan, and the quotas that each of its customers has over all gateways together.
+/// A plan, and the limits that each of its customers has over all gateways together.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// Units a second that refill the quota's token bucket; 0 for no quota on the rate.
+    /// Refill rate of the quota's token bucket, in units per second; 0 for no limit on the rate.
     pub quota_rate: f64,
-    /// Units that the bucket holds.
+    /// Capacity of the quota's token bucket, in units.
     pub quota_burst: f64,
-    /// Attempts in flight at once; 0 for no limit.
+    /// Maximum number of a customer's attempts in flight; 0 for no limit.
     pub max_in_flight: u32,
-    /// Units a second that refill the hard limit's bucket; 0 for no hard limit.
+    /// Refill rate of the hard limit's token bucket, in units per second; 0 for no hard limit.
     pub hard_limit_rate: f64,
-    /// Units that the hard limit's bucket holds.
+    /// Capacity of the hard limit's token bucket, in units.
     pub hard_limit_burst: f64,
     /// Units by which the hard limit's bucket may go below 0. No decision uses it so far.
     pub hard_limit_slack: f64,
@@ -67,82 +67,82 @@
     pub priority_factor: f64,
     /// Share of the value that an answer beyond the quota has. No decision uses it so far.
     pub over_quota_weight: f64,
-    /// Share of the value that sending beyond the quota costs. No decision uses it so far.
+    /// Share of the value that is lost by sending beyond the quota. No decision uses it so far.
     pub over_quota_penalty: f64,
 }
 
-/// What the deployment permits.
+/// Actions that the deployment permits, and their limits.
 #[derive(Clone, Debug, Default)]
 pub struct Limits {
-    /// Attempts for a request.
+    /// Maximum number of attempts for a request.
     pub max_attempts: u32,
-    /// Two attempts of one request may be in flight together.
+    /// Whether two attempts of one request may be in flight at the same time.
     pub hedging: bool,
-    /// Attempts may be cancelled.
+    /// Whether attempts may be cancelled.
     pub cancellation: bool,
-    /// Endpoints may be health-checked.
+    /// Whether endpoints may be health-checked.
     pub health_checks: bool,
-    /// Gateways may send each other messages.
+    /// Whether gateways may send each other messages.
     pub gossip: bool,
-    /// Messages a second that a gateway receives.
+    /// Maximum rate of messages that a gateway receives, per second.
     pub gossip_receive_rate: f64,
-    /// Rejections may tell clients when to come back.
+    /// Whether rejections may tell clients how long to wait.
     pub retry_after: bool,
-    /// The longest such advice that clients follow.
+    /// Longest retry advice that clients follow; longer advice is cut to this.
     pub max_retry_after: Micros,
-    /// A shared counter may be used.
+    /// Whether a shared counter may be used.
     pub shared_counter: bool,
-    /// Requests in flight at once. No decision uses it so far.
+    /// Maximum number of requests in flight. No decision uses it so far.
     pub max_in_flight: u32,
 }
 
-/// The figures of the rules that the deployment is judged by.
+/// Parameters of the rules that the deployment is evaluated by.
 #[derive(Clone, Debug, Default)]
 pub struct Rules {
-    /// A final answer counts until this long past the deadline. No decision uses it so far.
+    /// Time after the deadline for which a final answer still counts. No decision uses it so far.
     pub answer_grace: Micros,
-    /// New work to a draining endpoint must have ended after this.
+    /// Time after which new work sent to a draining endpoint must have ended.
     pub drain_grace: Micros,
-    /// An endpoint starts with this share of its capacity or more.
+    /// Minimum share of its capacity that an endpoint has when it starts.
     pub slow_start_min_capacity: f64,
-    /// It has its full capacity after this.
+    /// Time after its start at which an endpoint has its full capacity.
     pub slow_start_window: Micros,
-    /// A starting endpoint fails when it is sent more than this multiple of its capacity ...
+    /// A starting endpoint fails if it is sent more than this multiple of its capacity within `overload_window`.
     pub overload_factor: f64,
-    /// ... for this long.
+    /// Length of the window in which the requests to a starting endpoint are counted.
     pub overload_window: Micros,
-    /// Where discovery is polled, it must be polled at least this often.
+    /// Maximum time between two polls of discovery, if it is polled.
     pub max_poll_interval: Micros,
 }
 
-/// How the list of endpoints comes.
+/// How a gateway obtains the list of endpoints.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default)]
 pub enum Discovery {
-    /// By itself.
+    /// Discovery sends changes by itself.
     #[default]
     Push,
-    /// Only when asked for.
+    /// Discovery has to be polled.
     Poll,
 }
 
 /// What the `weight` of an [`Endpoint`](super::Endpoint) means.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default)]
 pub enum WeightMeaning {
-    /// Nothing, it is always 1.
+    /// No meaning: it is always 1.
     #[default]
     None,
-    /// The capacity as registered, or roughly.
+    /// The capacity as registered, or an estimate of it.
     Capacity,
-    /// Capacity over load, as of some time ago.
+    /// Capacity divided by load at some earlier time.
     Live,
 }
 
-/// What a gateway is told at its start.
+/// The configuration of a gateway.
 #[derive(Clone, Debug, Default)]
 pub struct Settings {
-    /// How many gateways there are.
+    /// Number of gateways in the fleet.
     pub gateways: u16,
-    /// This one.
+    /// Id of this gateway.
     pub self_id: GatewayId,
     /// The zone of this gateway.
     pub zone: u8,
@@ -152,16 +152,16 @@
     pub classes: Vec<RequestClass>,
     /// The plans.
     pub plans: Vec<Plan>,
-    /// What is permitted.
+    /// Permitted actions and their limits.
     pub limits: Limits,
-    /// The figures of the rules.
+    /// Parameters of the rules.
     pub rules: Rules,
-    /// How the list of endpoints comes.
+    /// How the gateway obtains the list of endpoints.
     pub discovery: Discovery,
-    /// What the endpoints' weights mean.
+    /// The meaning of the endpoints' weights.
     pub weight_meaning: WeightMeaning,
-    /// The period of the meter that reports use; 0 for none.
+    /// Reporting period of the meter; 0 if there is none.
     pub meter_period: Micros,
-    /// A request's units are an estimate, settled with the answer.
+    /// Whether a request's units are an estimate that is settled with the answer.
     pub post_paid: bool,
 }
--- a/crates/core/src/ownership.rs
+++ b/crates/core/src/ownership.rs
@@ -1,12 +1,12 @@
-//! Ownership: which gateways keep a customer's quota, and which part of its hard limit each gateway may spend.
+//! Ownership: which gateways keep a customer's quota, and which share of its hard limit each gateway may spend.
 //!
 //! A customer's requests come to a known set of gateways, a contiguous range of their numbers. In a small fleet all of
-//! them own its quota: each hears of the use of all others. In a large fleet two of them do, drawn by a hash of the
-//! customer, so that every gateway knows them without a message. The others report their use to the owners, and ask
-//! them before they admit (see [`quota_gossip`](crate::quota_gossip)).
+//! them own its quota: each receives the usage reports of all others. In a large fleet two of them own it, chosen by a
+//! hash of the customer's id, so that every gateway can determine them without a message. The others report their use
+//! to the owners and query them before they admit requests (see [`quota_gossip`](crate::quota_gossip)).
 //!
-//! The hard limit is divided instead, so that it holds whatever messages are lost: half of it is spread over all
-//! gateways of the customer, and half lies with its two owners, who transfer units on demand.
+//! The hard limit is divided among the gateways instead, so that it holds even if messages are lost: half of it is
+//! spread over all gateways of the customer, and half is held by its two owners, which transfer units on demand.
 
 use crate::customer::Customer;
 use crate::decay::{to_seconds, MICROS_PER_SECOND};
@@ -14,22 +14,22 @@
 use crate::random::unit_hash;
 use crate::{FleetSize, Gateway};
 
-/// A customer that has sent nothing for this long is green, and is forgotten once its buckets are full.
+/// A customer that has sent nothing for this long is green, and is removed once its buckets are full.
 pub const CUSTOMER_IDLE_TIME: Micros = 10_000_000;
-/// The part of a hard limit that lies with the two owners.
+/// Share of a hard limit that the two owners hold together.
 const OWNERS_HARD_LIMIT_PART: f64 = 0.5;
 
-/// The gateways that a customer's requests come to: a range of their numbers, counted round from the last to the first.
+/// The gateways that receive a customer's requests: a range of numbers that continues at 0 after the last gateway.
 #[derive(Clone, Copy)]
 pub struct GatewayRange {
-    /// The first one.
+    /// Number of the first gateway.
     pub first: u16,
-    /// How many there are.
+    /// Number of gateways in the range.
     pub count: f64,
 }
 
 impl GatewayRange {
-    /// As a request says it; all gateways where it says nothing sensible.
+    /// Returns the range that a request specifies; all gateways if its values are invalid.
     fn of_request(request: &Request, gateways: u16) -> Self {
         let all = f64::from(gateways.max(1));
         if !request.gateway_count.is_finite() || !(0.0..all).contains(&request.first_gateway) {
@@ -41,9 +41,9 @@
 }
 
 impl Customer {
-    /// Fixes the customer's owners and this gateway's part of its hard limit, for good: a part that was given out must
-    /// not be given out again. Does nothing where they are fixed already.
-    fn assign_owners(&mut self, id: CustomerId, range: GatewayRange, fleet: &FleetFacts, plan: &Plan) {
+    /// Assigns the customer's owners and this gateway's share of its hard limit. The assignment is permanent, because a
+    /// share must not be handed out twice. Does nothing if the owners are already assigned.
+    fn assign_owners(&mut self, id: CustomerId, range: GatewayRange, fleet: &FleetState, plan: &Plan) {
         if !self.owners.is_empty() {
             return;
         }
@@ -63,21 +63,22 @@
         };
         self.owners.dedup();
         self.is_owner = self.owners.contains(&fleet.self_id);
-        let holdings = self.hard_limit_owners.iter().filter(|owner| **owner == fleet.self_id).count() as f64;
-        self.hard_limit_share =
-            (1.0 - OWNERS_HARD_LIMIT_PART) / self.gateway_count + holdings * OWNERS_HARD_LIMIT_PART / 2.0;
-        // It starts empty with the gateway: what was spent before is not known here.
+        let owner_positions =
+            self.hard_limit_owners.iter().filter(|owner| **owner == fleet.self_id).count() as f64;
+        self.hard_limit_share = (1.0 - OWNERS_HARD_LIMIT_PART) / self.gateway_count
+            + owner_positions * OWNERS_HARD_LIMIT_PART / 2.0;
+        // The bucket was empty when this gateway started, because what was spent before that is unknown.
         let refilled = plan.hard_limit_rate * fleet.since_start as f64 / MICROS_PER_SECOND;
         self.hard_limit_tokens = refilled.min(plan.hard_limit_burst) * self.hard_limit_share;
-        // No peer is older than this start: the fleet began with it, and the bucket is full.
+        // If no peer is older than this gateway, the fleet started with it and the bucket is full.
         if self.is_owner && !fleet.older_peer_seen {
             self.tokens = plan.quota_burst;
         }
     }
 }
 
-/// What the assignment of owners depends on, besides the customer.
-struct FleetFacts {
+/// The inputs of the assignment of owners, apart from the customer.
+struct FleetState {
     gateways: u16,
     self_id: GatewayId,
     size: FleetSize,
@@ -87,14 +88,15 @@
 }
 
 impl Gateway {
-    /// Notes the customer of a request; whether it is green: it has sent nothing lately.
+    /// Adds or updates the customer of a request. Returns whether it is green: it has sent no request for
+    /// [`CUSTOMER_IDLE_TIME`].
     pub(crate) fn register_customer(&mut self, request: &Request) -> bool {
         let now = self.now;
         let since_start = to_seconds(now - self.started_at);
         let range = GatewayRange::of_request(request, self.settings.gateways);
         let plan = &self.settings.plans[usize::from(request.plan)];
         let new_customer = || {
-            // Its part of the burst, or one request, and what has been refilled since this gateway started.
+            // An equal part of the burst, or the units of one request, and the refill since this gateway started.
             let fair_part = (plan.quota_burst / range.count).max(request.units);
             Customer {
                 tokens: (fair_part + plan.quota_rate * since_start).min(plan.quota_burst),
@@ -112,9 +114,9 @@
         is_green
     }
 
-    /// Fixes the owners of a known customer, see [`Customer::assign_owners`].
+    /// Assigns the owners of a known customer, see [`Customer::assign_owners`].
     pub(crate) fn assign_owners(&mut self, id: CustomerId, range: GatewayRange) {
-        let fleet = FleetFacts {
+        let fleet = FleetState {
             gateways: self.settings.gateways,
             self_id: self.settings.self_id,
             size: self.fleet_size,
--- a/crates/core/src/quota_gossip/mod.rs
+++ b/crates/core/src/quota_gossip/mod.rs
@@ -1,12 +1,13 @@
-//! Quota gossip: how gateways tell each other what they admit for whom.
+//! Quota gossip: gateways report to each other the units that they admit for each customer.
 //!
-//! Each gateway reports the use of its customers to their owners ([`reports`]); an owner counts the reports and replies
-//! to those that ask ([`owner`]); the asking gateway updates its view and decides the requests that it held
+//! Each gateway reports the use of its customers to their owners ([`reports`]). An owner counts the reports and replies
+//! to gateways that query it ([`owner`]). The querying gateway updates its view and decides the requests that it held
 //! ([`requester`]). Messages may be lost, late, repeated or reordered: totals are cumulative, so that the next report
-//! makes up for a lost one, and sequence numbers and incarnations sort out the rest.
-//!
-//! An owner that is silent holds nobody up. In a small fleet both hard-limit owners are asked at once, in a large one the
-//! second after a part of the wait; at its end the request is admitted or rejected by what is known locally.
+//! makes up for a lost one, and messages that are repeated or out of order are recognized by sequence numbers and
+//! incarnations.
+//! An owner that does not reply delays a request for a limited time only. In a small fleet both hard-limit owners are
+//! queried at once, in a large one the second owner after a part of the wait. At the end of the wait the request is
+//! admitted or rejected according to local state.
 
 mod owner;
 mod reports;
@@ -20,22 +21,23 @@
 use crate::{FleetSize, Gateway};
 use std::collections::BTreeMap;
 
-/// A peer is older than this gateway if it started this many milliseconds before: fleets do not start in one instant.
+/// A peer is older than this gateway if it started more than this many milliseconds earlier: the gateways of a fleet do
+/// not all start at the same instant.
 const MIN_AGE_DIFFERENCE_MILLIS: u32 = 1_000;
-/// A peer that restarts hears of customers that were active within one part in this of the idle time.
+/// Customers that were active within the idle time divided by this are reported to a peer that has restarted.
 const RECENT_ACTIVITY_DIVISOR: u64 = 5;
 
-/// What became of a message's sequence number and incarnation.
+/// Whether a message is newer than all earlier ones of its sender.
 #[derive(PartialEq)]
 enum Freshness {
-    /// It is the newest of its sender.
+    /// It is the newest message of its sender.
     New,
-    /// It is a repeat, was overtaken, or is from before the sender's restart.
+    /// It is a repeat, arrived out of order, or was sent before the sender's restart.
     Stale,
 }
 
 impl Gateway {
-    /// A message of a peer came.
+    /// Handles a message from a peer. Messages that cannot be decoded, are stale or have an invalid sender are ignored.
     pub(crate) fn on_gossip(&mut self, from: GatewayId, bytes: &[u8], actions: &mut Vec<Action>) {
         let Some(message) = Message::unpack(bytes) else { return };
         if from == self.settings.self_id || from.0 >= self.settings.gateways {
@@ -67,7 +69,8 @@
         }
     }
 
-    /// Notes a sender's incarnation and sequence number. One that has restarted has forgotten what it was told.
+    /// Records a sender's incarnation and sequence number. If the sender has restarted, it has lost all earlier
+    /// reports.
     fn note_sender(&mut self, from: GatewayId, message: &Message) -> Freshness {
         let own_incarnation = incarnation_at(self.started_at);
         let starts_before = message.incarnation.wrapping_add(MIN_AGE_DIFFERENCE_MILLIS);
@@ -80,8 +83,8 @@
             }
             peer.incarnation = message.incarnation;
             peer.last_received = message.sequence.wrapping_sub(1);
-            // In a large fleet a peer that is heard for the first time has not restarted: reporting to it again would
-            // undo its reservations.
+            // In a large fleet the first message of a peer is not taken as a restart: reporting to it again would undo
+            // its reservations.
             if !is_first_contact || self.fleet_size == FleetSize::Small {
                 self.on_peer_restart(from);
             }
@@ -94,7 +97,7 @@
         Freshness::New
     }
 
-    /// Forgets what a peer reported before its restart, and reports the active customers that it owns.
+    /// Discards what a peer reported before its restart, and queues reports of the active customers that it owns.
     fn on_peer_restart(&mut self, from: GatewayId) {
         let Some(peer) = self.peers.get_mut(&from) else { return };
         for (id, customer) in &mut self.customers {
@@ -103,15 +106,15 @@
                 customer.peers_in_flight -= in_flight.min(customer.peers_in_flight);
             }
             let idle_time = self.now - customer.last_request_at;
-            let is_recent = idle_time < CUSTOMER_IDLE_TIME / RECENT_ACTIVITY_DIVISOR;
-            if is_recent && customer.owners.contains(&from) {
+            let is_recently_active = idle_time < CUSTOMER_IDLE_TIME / RECENT_ACTIVITY_DIVISOR;
+            if is_recently_active && customer.owners.contains(&from) {
                 peer.outbox.insert(*id, PendingReport { remaining_sends: 1, wants_reply: false });
                 self.peers_to_notify.insert(from);
             }
         }
     }
 
-    /// A peer tells how one of its attempts went.
+    /// Records the result of a peer's attempt.
     fn on_sample(&mut self, sample: &Sample) {
         let class = usize::from(sample.class);
         let Some(backend) = self.endpoints.by_tag(sample.tag) else { return };
@@ -123,19 +126,20 @@
         self.record_answer(backend, class, answer, SampleSource::Peer);
     }
 
-    /// Whether the membership view, if there is one, has lost a peer.
+    /// Returns whether the membership view, if there is one, lists a peer as unreachable.
     pub(crate) fn is_unreachable(&self, peer: GatewayId) -> bool {
         self.peers.get(&peer).is_some_and(|peer| peer.unreachable)
     }
 
-    /// The membership view has lost a peer, or has it again.
+    /// Records a change of a peer's reachability in the membership view.
     pub(crate) fn on_reachability(&mut self, peer: GatewayId, reachable: bool) {
         if peer.0 < self.settings.gateways {
             self.peers.entry(peer).or_default().unreachable = !reachable;
         }
     }
 
-    /// Reports to peers what is due, and once a second what may have been lost.
+    /// Sends the reports that are due. Once a second, queues reports again that may have been lost, and removes old
+    /// customers.
     pub(crate) fn gossip_tick(&mut self, actions: &mut Vec<Action>) {
         let now = self.now;
         let is_due = |peer: &&GatewayId| {
@@ -151,8 +155,8 @@
 /// The customers of one message: `(customer, pending report)` in the order of sending.
 type Outgoing = Vec<(CustomerId, PendingReport)>;
 
-/// The next customers of an outbox, at most `limit`, counted round from where the last message ended: otherwise the last
-/// ones would never be reported where more change than fit.
+/// Returns the next customers of an outbox, at most `limit`, in a round-robin order that continues after the last
+/// message: otherwise the last customers would never be reported while more of them change than fit into a message.
 fn next_round_robin(
     outbox: &BTreeMap<CustomerId, PendingReport>,
     start: CustomerId,
--- a/crates/core/src/quota_gossip/reports.rs
+++ b/crates/core/src/quota_gossip/reports.rs
@@ -1,4 +1,4 @@
-//! Reports to owners: what goes into them, when they are sent, and what is forgotten.
+//! Reports to owners: their content, when they are sent, and when customers are removed.
 
 use super::next_round_robin;
 use crate::customer::{Customer, PendingReport};
@@ -12,46 +12,49 @@
 use crate::random::unit_hash;
 use crate::Gateway;
 
-/// How long samples of attempts are passed on: as long as they weigh in the pressure.
+/// How long results of attempts are sent to peers: about as long as they affect the pressure.
 const SAMPLE_LIFETIME: Micros = 1_000_000;
-/// How often what may have been lost is reported again, and what is old is forgotten.
+/// Interval at which reports that may have been lost are repeated, and old customers are removed.
 const MAINTENANCE_INTERVAL: Micros = 1_000_000;
-/// Attempts in flight of a peer that is silent for this long hold no places any more.
+/// Time without a report of a peer after which its attempts in flight no longer count.
 const PEER_IN_FLIGHT_LIFETIME: Micros = 1_500_000;
-/// A bucket's fill level is reported for one part in this of the idle time after an owner's reply.
+/// A gateway that does not own the quota reports a bucket's fill level for this long after an owner's reply: the idle
+/// time divided by this.
 const FILL_LEVEL_VALIDITY_DIVISOR: u64 = 10;
-/// Customers are kept for at least so many idle times, and until their buckets are full for sure.
+/// Customers are kept for at least this many idle times, and until their buckets are certainly full.
 const RETENTION_IDLE_TIMES: u64 = 2;
-/// The longest time to fill a bucket that is reckoned with, in seconds.
+/// Maximum time to fill a bucket that is taken into account, in seconds.
 const MAX_REFILL_SECONDS: f64 = 1e6;
 
-/// Seconds until both buckets of a plan are full, whatever was in them. A customer that is met again starts with full ones.
+/// Returns the seconds until both buckets of a plan are full, whatever they held. A customer that is removed and seen
+/// again starts with full buckets.
 fn refill_seconds(plan: &Plan) -> f64 {
     let quota = plan.quota_burst / plan.quota_rate;
     let hard_limit = plan.hard_limit_burst / plan.hard_limit_rate;
-    quota.max(hard_limit).clamp(0.0, MAX_REFILL_SECONDS) // 0 / 0 is NaN, which `max` passes over
+    quota.max(hard_limit).clamp(0.0, MAX_REFILL_SECONDS) // 0 / 0 is NaN, which `max` ignores
 }
 
 impl Customer {
-    /// An owner's upkeep: attempts of silent peers no longer count, and peers that are silent for long are forgotten.
+    /// At an owner, stops counting the attempts of peers that have not reported for a while. Removes peers that have
+    /// not reported for a long time.
     fn expire_peers(&mut self, now: Micros, plan: &Plan) {
         if plan.max_in_flight > 0 && self.is_owner {
             let usages = self.usage_by_peer.values_mut();
-            let silent = usages.filter(|usage| now - usage.heard_at > PEER_IN_FLIGHT_LIFETIME);
+            let silent = usages.filter(|usage| now - usage.reported_at > PEER_IN_FLIGHT_LIFETIME);
             silent.for_each(|usage| usage.in_flight = 0);
             self.peers_in_flight = self.usage_by_peer.values().map(|usage| u32::from(usage.in_flight)).sum();
         }
         self.usage_by_peer
-            .retain(|_, usage| now - usage.heard_at <= RETENTION_IDLE_TIMES * CUSTOMER_IDLE_TIME);
+            .retain(|_, usage| now - usage.reported_at <= RETENTION_IDLE_TIMES * CUSTOMER_IDLE_TIME);
     }
 
-    /// Whether the customer may not be forgotten yet.
+    /// Returns whether the customer must be kept.
     fn is_needed(&self, now: Micros, plan: &Plan) -> bool {
         let lifetime = RETENTION_IDLE_TIMES * CUSTOMER_IDLE_TIME.max(to_micros(refill_seconds(plan)));
         self.in_flight > 0 || !self.awaiting_owner.is_empty() || now - self.last_request_at <= lifetime
     }
 
-    /// How full the quota's bucket is, in 254ths; none where no owner has replied lately.
+    /// Returns how full the quota's bucket is, in 254ths; `None` if no owner has replied recently.
     fn reported_fill_level(&self, now: Micros, plan: &Plan) -> Option<u8> {
         let reply_age = now - self.owner_reply_at.min(now);
         let is_known = self.is_owner || reply_age < CUSTOMER_IDLE_TIME / FILL_LEVEL_VALIDITY_DIVISOR;
@@ -62,13 +65,14 @@
 }
 
 impl Gateway {
-    /// Queues a report of a customer to those of its owners that `wants` it.
+    /// Queues a report of a customer to those of its owners for which `wants` returns true.
     pub(crate) fn report(&mut self, id: CustomerId, wants: impl Fn(GatewayId) -> bool) {
         if !self.settings.limits.gossip {
             return;
         }
         let Some(customer) = self.customers.get(&id) else { return };
-        // Sent twice where a lost end of an attempt would hold a place for long.
+        // Sent twice if the plan limits attempts in flight: if the report of an ended attempt were lost, the attempt
+        // would keep counting against the limit.
         let counts_attempts = self.settings.plans[customer.plan].max_in_flight > 0;
         let remaining_sends = 1 + u8::from(counts_attempts);
         let owners = customer.owners.iter().copied();
@@ -79,7 +83,7 @@
         }
     }
 
-    /// Sends a peer the reports that wait for it, as many as a message holds.
+    /// Sends a peer its pending reports, as many as fit into a message.
     pub(crate) fn send_reports(&mut self, to: GatewayId, actions: &mut Vec<Action>) {
         let Some(peer) = self.peers.get_mut(&to) else { return };
         let outgoing = next_round_robin(&peer.outbox, peer.next_customer, MAX_REPORTS);
@@ -106,11 +110,11 @@
         self.refill(id)?;
         let customer = self.customers.get(&id)?;
         let plan = &self.settings.plans[customer.plan];
-        // One of the two owners is drawn to transfer hard-limit units: two transfers would waste one. Unless this gateway
-        // is one of them itself.
+        // One of the two owners is drawn to transfer hard-limit units, because two transfers would waste one of them.
+        // If this gateway is one of the owners, the other one may always transfer.
         let owners = customer.hard_limit_owners;
-        let drawn = owners[usize::from(unit_hash(now ^ id.0) < 0.5)];
-        let may_transfer = drawn == to || owners.contains(&self_id);
+        let drawn_owner = owners[usize::from(unit_hash(now ^ id.0) < 0.5)];
+        let may_transfer = drawn_owner == to || owners.contains(&self_id);
         Some(UsageReport {
             customer: id,
             plan: customer.plan.min(MAX_PLAN) as u8,
@@ -127,7 +131,7 @@
         })
     }
 
-    /// Sends a message to a peer, with the latest samples.
+    /// Sends a message to a peer, with the latest results of attempts.
     pub(crate) fn send_message(&mut self, to: GatewayId, body: Body, actions: &mut Vec<Action>) {
         let now = self.now;
         self.samples.retain(|(sampled_at, _)| now < sampled_at + SAMPLE_LIFETIME);
@@ -140,7 +144,7 @@
         actions.push(Action::SendGossip { to: Some(to), bytes });
     }
 
-    /// Once a second: reports customers with attempts in flight again, and forgets what is old.
+    /// Once a second, queues reports of customers with attempts in flight again, and removes old customers.
     pub(crate) fn expire_customers(&mut self) {
         let now = self.now;
         if now < self.next_maintenance {
--- a/crates/core/src/quota_gossip/requester.rs
+++ b/crates/core/src/quota_gossip/requester.rs
@@ -1,4 +1,4 @@
-//! The asking gateway's side: it asks a customer's owners, and decides held requests by their replies.
+//! The querying gateway's side: queries a customer's owners, and decides held requests by their replies.
 
 use crate::admission::OwnerReplies;
 use crate::customer::{Customer, PendingReport};
@@ -9,17 +9,17 @@
 use crate::{FleetSize, Gateway};
 use std::cmp::Reverse;
 
-/// The longest wait for a reply in a small fleet, where all gateways own the quota and seldom need to ask.
+/// Maximum wait for a reply in a small fleet, where all gateways own the quota and rarely need to query.
 const MAX_REPLY_WAIT_IN_SMALL_FLEET: Micros = 100_000;
-/// The longest wait in a large fleet: two owners may be asked one after the other.
+/// Maximum wait for a reply in a large fleet, where two owners may be queried one after the other.
 const MAX_REPLY_WAIT_IN_LARGE_FLEET: Micros = 150_000;
-/// A request waits for at most one part in this of its useful lifetime.
+/// A request waits for a reply for at most its useful lifetime divided by this.
 const REPLY_WAIT_DIVISOR: f64 = 5.0;
-/// Hard-limit units that come later than this after the query lapse.
+/// Time after the query at which transferred hard-limit units are no longer accepted.
 const TRANSFER_LIFETIME: Micros = 250_000;
 
 impl Customer {
-    /// Takes over what an owner replied; `is_owner` gateways count for themselves.
+    /// Applies an owner's reply. A gateway that is an owner itself keeps its own count of the quota.
     fn apply_reply(&mut self, from: GatewayId, reply: &OwnerReply, plan: &Plan, now: Micros) {
         let fits_quota = plan.quota_burst == 0.0 || reply.tokens >= self.owner_query.units;
         let in_flight = u32::from(reply.peers_in_flight) + self.in_flight;
@@ -31,11 +31,12 @@
             self.peer_rate = reply.peer_rate;
             self.peers_in_flight = u32::from(reply.peers_in_flight);
             self.owner_reply_at = now;
-            // Less what was used here since the owner last heard.
-            self.tokens = reply.tokens - units_between(reply.your_total, wrap_units(self.used_units));
+            // Use that the owner has not yet counted is deducted.
+            self.tokens = reply.tokens - units_between(reply.receiver_total, wrap_units(self.used_units));
         }
         self.owner_query.replied.push(from);
-        // A transfer is for the requests that are held: late ones lapse, or a full bucket would hold more than full.
+        // A transfer is for the requests that are held now. A late one lapses; otherwise a full bucket would exceed its
+        // capacity.
         if now - self.owner_query.started_at < TRANSFER_LIFETIME {
             self.transferred_tokens += reply.transferred_tokens;
         }
@@ -43,7 +44,7 @@
 }
 
 impl Gateway {
-    /// Until when a held request waits for a reply.
+    /// Returns the time until which a held request waits for a reply.
     pub(crate) fn owner_reply_deadline(&self, held: &InFlightRequest) -> Micros {
         let max_wait = match self.fleet_size {
             FleetSize::Small => MAX_REPLY_WAIT_IN_SMALL_FLEET,
@@ -54,7 +55,8 @@
         held.arrived_at + max_wait.min((lifetime / REPLY_WAIT_DIVISOR) as Micros)
     }
 
-    /// Asks an owner, once in a query. The report of the customer goes along.
+    /// Queries an owner unless the current query has already been sent to it. The message also reports the customer's
+    /// use.
     pub(crate) fn query_owner(&mut self, id: CustomerId, owner: GatewayId, actions: &mut Vec<Action>) {
         if !self.settings.limits.gossip || owner == self.settings.self_id || self.is_unreachable(owner) {
             return;
@@ -71,8 +73,8 @@
         self.send_reports(owner, actions);
     }
 
-    /// A held request has waited for a while: its second owner is asked, and at the end of the wait it is decided by what
-    /// is known here.
+    /// Checks a held request: queries the owners that have not been queried yet or, at the end of the wait, decides the
+    /// request from local state.
     pub(crate) fn check_held(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(held) = self.requests.get(&id) else { return };
         let deadline = self.owner_reply_deadline(held);
@@ -87,7 +89,7 @@
         owners.into_iter().for_each(|owner| self.query_owner(customer, owner, actions));
     }
 
-    /// An owner replied: its view of the bucket counts, and held requests are decided by it.
+    /// Handles an owner's reply: applies it, and decides the held requests of the customer.
     pub(crate) fn on_reply(&mut self, from: GatewayId, reply: OwnerReply, actions: &mut Vec<Action>) {
         let now = self.now;
         self.peers.entry(from).or_default().unanswered = 0;
@@ -109,8 +111,9 @@
         }
     }
 
-    /// Whether an owner's reply is the last word on a customer's quota. In a large fleet that of the first owner is,
-    /// unless it started too lately to know enough, or hard-limit units are needed, which both owners hold.
+    /// Returns whether further replies are expected after one of the owner `from`. In a large fleet the first owner's
+    /// reply suffices, unless that owner started too recently to know enough, or hard-limit units are needed, which
+    /// both owners hold.
     fn replies_after(&self, from: GatewayId, id: CustomerId) -> OwnerReplies {
         let Some(customer) = self.customers.get(&id) else { return OwnerReplies::Complete };
         let owners = customer.hard_limit_owners;
@@ -130,7 +133,7 @@
         }
     }
 
-    /// Whether a peer started within the idle time, and well after this gateway.
+    /// Returns whether a peer started within the idle time and well after this gateway.
     fn is_newly_started(&self, peer: GatewayId) -> bool {
         let Some(peer) = self.peers.get(&peer) else { return false };
         let age_millis = incarnation_at(self.now).wrapping_sub(peer.incarnation);
