--- a/crates/gateway/src/frontends/acceptor.rs
+++ b/crates/gateway/src/frontends/acceptor.rs
@@ -12,26 +12,27 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Arc;
 
-/// What an accept loop needs, whatever the protocol.
+/// State of an accept loop, independent of the protocol.
 #[derive(Clone)]
 pub struct Acceptor {
     /// Clock, sockets and tasks.
     pub runtime: Shared,
     /// Counters.
     pub telemetry: Arc<Telemetry>,
-    /// Closes when the drain begins.
+    /// Closed when the drain begins.
     pub drain: Receiver<()>,
-    /// Closes when the instance stops at once.
+    /// Closed when the instance stops, which ends all tasks at once.
     pub kill: Receiver<()>,
-    /// Connections that are open; each listener counts as one, as connections may wait in it.
+    /// Number of open connections. Each listener counts as one, as connections may wait in it.
     pub open: Arc<AtomicUsize>,
     /// Admits connections.
     pub gate: Arc<ConnectionGate>,
 }
 
-/// Accepts connections until the drain begins, and then those that the system has accepted by that time.
+/// Accepts connections until the drain begins, and then those that already wait in the listener.
 ///
-/// The listener is closed only after these: closing it would reset them, with complete requests in their sockets.
+/// The listener is closed only after these. Closing it earlier would reset them, although their sockets may hold
+/// complete requests.
 pub async fn listen<F: Frontend>(
     frontend: F,
     context: F::Context,
@@ -49,13 +50,13 @@
     acceptor.open.fetch_sub(1, Ordering::Relaxed);
 }
 
-/// The next connection, or `None` once the drain begins.
+/// Returns the next connection, or `None` once the drain begins.
 async fn accept_or_drain(
     acceptor: &Acceptor,
     listener: &dyn Listener,
 ) -> Option<io::Result<Box<dyn Stream>>> {
     let drained = async {
-        let _ = acceptor.drain.recv().await; // nothing is ever sent: it ends when the sender is dropped
+        let _ = acceptor.drain.recv().await; // no message is sent; `recv` returns when the sender is dropped
         None
     };
     future::or(drained, async { Some(listener.accept().await) }).await
@@ -71,12 +72,13 @@
         let stream = match accepted {
             Ok(stream) => stream,
             Err(error) => {
-                // Out of descriptors or memory: a retry at once would fail as well.
+                // Descriptors or memory are exhausted, so an immediate retry would fail as well.
                 return self.runtime.sleep_until(self.gate.accept_failed(&error)).await;
             }
         };
         self.admit(frontend, context, stream).await;
-        // Hundreds of connections may wait here: evicted ones have to close, and admitted ones to be served, meanwhile.
+        // Hundreds of connections may wait in the listener. Yielding lets evicted ones close, and admitted ones be
+        // served.
         future::yield_now().await;
     }
 
@@ -93,7 +95,7 @@
             Err(Rejection { slot: Some(slot), retry_after }) => {
                 self.spawn(frontend.reject(self.runtime.clone(), stream, retry_after), move || drop(slot));
             }
-            // There is no descriptor to wait with: what can be written at once is written, and it is closed.
+            // Without a slot there is no descriptor to spare: writes what can be written at once, then closes.
             Err(Rejection { slot: None, retry_after }) => {
                 let rejection = frontend.reject(self.runtime.clone(), stream, retry_after);
                 let _ = future::poll_once(rejection).await;
@@ -101,7 +103,7 @@
         }
     }
 
-    /// Runs a task until it ends or the instance stops, then `at_end`.
+    /// Runs `task` until it ends or the instance stops, and then calls `at_end`.
     fn spawn(&self, task: impl Future<Output = ()> + Send + 'static, at_end: impl FnOnce() + Send + 'static) {
         let kill = self.kill.clone();
         let task = async move {
--- a/crates/gateway/src/frontends/context.rs
+++ b/crates/gateway/src/frontends/context.rs
@@ -1,4 +1,5 @@
-//! What the connections of the gRPC and MQTT frontends share, and how requests of either become the driver's.
+//! State shared by the connections of the gRPC and MQTT frontends, and the conversion of their requests to those of the
+//! driver.
 
 use super::Acceptor;
 use crate::messages::{node_request_id, DriverEvent, PendingRequest, Response, Work};
@@ -13,18 +14,18 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Arc;
 
-/// Hexadecimal digits of the idempotency keys that nodes get.
+/// Number of hexadecimal digits of an idempotency key that is sent to nodes.
 const KEY_DIGITS: usize = 32;
 
-/// What all connections of the gRPC and MQTT frontends share.
+/// State shared by all connections of the gRPC and MQTT frontends.
 #[derive(Clone)]
 pub struct FrontendContext {
     pub(crate) acceptor: Acceptor,
     pub(crate) settings: Arc<Compiled>,
     pub(crate) driver: Sender<DriverEvent>,
-    /// The number of the next request.
+    /// Number of the next request.
     pub(crate) next_request: Arc<AtomicU64>,
-    /// Distinguishes this process's request ids and generated keys from those of every other start.
+    /// Name of this start of the gateway. Makes its request ids and generated idempotency keys unique among all starts.
     pub(crate) instance_name: String,
 }
 
@@ -36,24 +37,24 @@
     }
 }
 
-/// A request as a client has sent it, in terms of no protocol.
+/// A client's request, independent of the protocol.
 pub(crate) struct ClientRequest {
     pub account: String,
-    /// `None` for the default class.
+    /// Name of the class; `None` for the default class.
     pub class: Option<String>,
     /// The client's idempotency key.
     pub idempotency_key: Option<String>,
     pub units: u32,
     pub arrived_at: Micros,
-    /// How long after `arrived_at` the client waits.
+    /// Time after `arrived_at` for which the client waits.
     pub timeout: Option<Micros>,
-    /// Forwarded to the node.
+    /// Entries that are forwarded to the node.
     pub entries: Vec<Entry>,
-    /// The body, forwarded to the node.
+    /// Body that is forwarded to the node.
     pub payload: Bytes,
 }
 
-/// Why a client's request is invalid.
+/// Reason for which a client's request is invalid.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub(crate) enum InvalidRequest {
     #[error("account {0:?} is not known")]
@@ -65,17 +66,17 @@
 }
 
 impl FrontendContext {
-    /// An id that no other request of this instance has.
+    /// Returns a request id that is unique within this instance.
     pub(crate) fn next_request_id(&self) -> RequestId {
         RequestId(self.next_request.fetch_add(1, Ordering::Relaxed))
     }
 
-    /// Whether the plan of a request is one of the most expensive.
+    /// Returns whether the plan of a request has the highest priority factor.
     pub(crate) fn is_preferred(&self, request: &PendingRequest) -> bool {
         self.settings.preferred[usize::from(request.customer.plan)]
     }
 
-    /// Checks a client's request and turns it into one for the driver.
+    /// Checks a client's request and converts it to one for the driver.
     pub(crate) fn pending_request(
         &self,
         id: RequestId,
@@ -127,7 +128,8 @@
         InvalidRequest::Class { entry: self.settings.settings.front.class_entry.clone(), known, found }
     }
 
-    /// The key by which nodes recognize duplicates: a hash, so that two accounts that use the same key do not collide.
+    /// Returns the key by which nodes recognize duplicates. It is a hash that includes account and class, so that equal
+    /// keys of two accounts do not collide.
     fn idempotency_key(
         &self,
         id: RequestId,
--- a/crates/gateway/src/frontends/grpc/calls.rs
+++ b/crates/gateway/src/frontends/grpc/calls.rs
@@ -18,8 +18,9 @@
 use prost::Message;
 
 const RATE_LIMIT_SERVICE: &str = "envoy.service.ratelimit.v3.RateLimitService";
-/// `grpc.health.v1.HealthCheckResponse.ServingStatus`
+/// Value of `grpc.health.v1.HealthCheckResponse.ServingStatus`.
 const SERVING: i32 = 1;
+/// Value of `grpc.health.v1.HealthCheckResponse.ServingStatus`.
 const NOT_SERVING: i32 = 2;
 
 #[derive(Clone, Copy, PartialEq, Eq)]
@@ -30,31 +31,31 @@
 
 /// An open call.
 pub(super) enum Call {
-    /// Its message is not complete.
+    /// The call's message is incomplete.
     Reading {
         method: Method,
         body: Deframer,
-        /// When its headers arrived, at the earliest.
+        /// Earliest time at which the headers may have arrived.
         arrived_at: Micros,
         timeout: Option<Micros>,
-        /// When its headers were read, by the client's time.
+        /// Client time at which the headers were read.
         opened_at: Micros,
-        /// Bytes of its message so far.
+        /// Number of bytes of the message received so far.
         bytes: u64,
     },
-    /// The driver has its request.
+    /// The driver handles the call's request.
     Waiting { id: RequestId, descriptors: usize, account: u64, preferred: bool },
 }
 
-/// Why a call is not opened.
+/// Reason for which a call is rejected by its headers.
 enum HeaderError {
-    /// The request is not gRPC: the answer is an HTTP status.
+    /// The request is not gRPC and is answered with this HTTP status.
     Http(&'static str),
     Grpc(Status),
 }
 
 impl ClientConnection {
-    /// Checks a call's headers and opens it. Returns false if it is answered already.
+    /// Checks a call's headers and opens the call. Returns false if the headers are invalid and the call is answered.
     pub(super) fn open_call(&mut self, stream: u32, fields: &[Field], pipe: &mut ClientPipe) -> bool {
         let (method, timeout) = match parse_headers(fields) {
             Ok(parsed) => parsed,
@@ -77,15 +78,15 @@
         true
     }
 
-    /// Ends a call that the driver does not see.
+    /// Ends an invalid call, which is not passed to the driver.
     pub(super) fn end_invalid(&mut self, stream: u32, status: &Status, pipe: &mut ClientPipe) {
         add(&self.context.telemetry.invalid);
         self.calls.remove(&stream);
         responses::send_status(pipe, stream, status);
     }
 
-    /// Reads bytes of a call's message. Returns the request for the driver once the message is complete, and answers a
-    /// health check.
+    /// Reads bytes of a call's message. Once the message is complete, answers a health check or returns the request for
+    /// the driver.
     pub(super) fn read_message(
         &mut self,
         stream: u32,
@@ -156,7 +157,7 @@
         let stream = response.token;
         let is_its_call = |call: &Call| matches!(call, Call::Waiting { id, .. } if *id == response.id);
         if !self.calls.get(&stream).is_some_and(is_its_call) {
-            // The client has reset the call.
+            // The client has reset this call.
             return self.permit.request_ended(RequestEnd::Other);
         }
         let Some(Call::Waiting { descriptors, account, preferred, .. }) = self.calls.remove(&stream) else {
@@ -175,7 +176,7 @@
     Status::new(Code::InvalidArgument, format!("message: {error}"))
 }
 
-/// The method and the timeout in a call's headers.
+/// Parses the method and the timeout from a call's headers.
 fn parse_headers(fields: &[Field]) -> Result<(Method, Option<Micros>), HeaderError> {
     let field = |name: &str| fields.iter().find(|field| field.name == name).map(|field| &field.value[..]);
     let invalid = |code, text: String| HeaderError::Grpc(Status::new(code, text));
--- a/crates/gateway/src/frontends/grpc/connection.rs
+++ b/crates/gateway/src/frontends/grpc/connection.rs
@@ -1,4 +1,4 @@
-//! One connection of a gRPC client.
+//! The event loop of a gRPC client's connection.
 
 use super::calls::Call;
 use super::slow_clients::ProgressWatch;
@@ -17,32 +17,33 @@
 use std::net::SocketAddr;
 use std::ops::ControlFlow;
 
-/// How long a client may take to close its side at the end of a connection.
+/// Maximum time that a closing connection waits for the client to close its side.
 const LINGER_TIMEOUT: Micros = 1_000_000;
 
 pub(super) type ClientPipe = Pipe<Response>;
 
-/// State of one connection.
+/// State of a connection.
 pub(super) struct ClientConnection {
     pub context: FrontendContext,
     pub permit: Permit,
     pub peer: SocketAddr,
     /// Open calls by stream.
     pub calls: HashMap<u32, Call>,
-    /// Requests for which the driver has not sent its response, cancelled ones included.
+    /// Number of requests without a response of the driver, cancelled ones included.
     pub awaiting_response: usize,
     pub response_sender: Sender<Response>,
     pub draining: bool,
     pub progress: ProgressWatch,
 }
 
-/// Serves one connection to its end.
+/// Serves a connection until it is closed.
 pub(super) async fn serve(context: FrontendContext, stream: Box<dyn Stream>, permit: Permit) {
     let frontend = &context.settings.settings.front;
     let max_awaiting_response = 2 * frontend.max_streams as usize;
     let config = Config { max_streams: frontend.max_streams, ..Config::default() };
     let peer = stream.peer();
-    // Bounded by `awaiting_response`. A bounded channel allocates its capacity, hundreds of KiB for an idle connection.
+    // `awaiting_response` bounds the responses in the channel. A bounded channel would allocate its whole capacity, even
+    // for an idle connection: hundreds of KiB.
     let (response_sender, responses) = async_channel::unbounded();
     let runtime = context.runtime.clone();
     let progress = ProgressWatch::new(permit.time_without_stalls(), runtime.now());
@@ -58,7 +59,7 @@
         draining: false,
         progress,
     };
-    let mut greeted = false;
+    let mut handshake_reported = false;
     loop {
         let next_check = connection.next_progress_check(&pipe);
         let may_read = connection.awaiting_response < max_awaiting_response;
@@ -67,8 +68,8 @@
             break;
         }
         connection.handle_events(&mut pipe).await;
-        if !greeted && pipe.conn.greeted() {
-            greeted = true;
+        if !handshake_reported && pipe.conn.greeted() {
+            handshake_reported = true;
             connection.permit.handshake_completed();
         }
         if pipe.conn.finished() {
@@ -80,7 +81,7 @@
 }
 
 impl ClientConnection {
-    /// Handles what ended a turn. Breaks if the connection is to be closed.
+    /// Handles the result of a turn. Breaks if the connection is to be closed.
     fn on_turn(&mut self, turn: Turn<Response>, pipe: &mut ClientPipe) -> ControlFlow<()> {
         match turn {
             Turn::Read => {}
@@ -109,11 +110,11 @@
         ControlFlow::Continue(())
     }
 
-    /// The gate evicts this connection, or the drain begins.
+    /// Handles the signal of the gate: it evicts this connection, or the drain begins.
     fn on_signal(&mut self, pipe: &mut ClientPipe) -> ControlFlow<()> {
         let draining = self.permit.draining();
         if !draining && !self.calls.is_empty() {
-            // It was idle when the gate chose it, and has a call by now.
+            // The connection was idle when the gate chose to evict it, but has a call now.
             pipe.watch(self.permit.refuse_eviction());
             return ControlFlow::Continue(());
         }
@@ -126,7 +127,7 @@
         ControlFlow::Break(())
     }
 
-    /// The connection is over: cancels the calls that wait for the driver.
+    /// Cancels the calls that wait for the driver's response, at the end of the connection.
     async fn cancel_calls(&mut self) {
         for call in std::mem::take(&mut self.calls).into_values() {
             if let Call::Waiting { id, .. } = call {
@@ -136,13 +137,13 @@
     }
 
     async fn report_client_gone(&self, id: RequestId) {
-        let _ = self.context.driver.send(DriverEvent::ClientGone(id)).await; // closed: the instance has stopped
+        let _ = self.context.driver.send(DriverEvent::ClientGone(id)).await; // fails if the instance has stopped
     }
 
     async fn handle_events(&mut self, pipe: &mut ClientPipe) {
         while let Some(event) = pipe.conn.event() {
             match event {
-                // Trailers of a client carry nothing for this service.
+                // Trailers of a client have no meaning in this service.
                 Event::Headers { stream, .. } if self.calls.contains_key(&stream) => {}
                 Event::Headers { stream, fields, end } => {
                     let opened = self.open_call(stream, &fields, pipe);
@@ -167,7 +168,7 @@
         }
     }
 
-    /// Bytes of a call's message. Breaks if the client has gone or the instance has stopped.
+    /// Handles bytes of a call's message. Breaks if the client has disconnected or the instance has stopped.
     async fn on_data(
         &mut self,
         stream: u32,
--- a/crates/gateway/src/frontends/grpc/mod.rs
+++ b/crates/gateway/src/frontends/grpc/mod.rs
@@ -1,10 +1,10 @@
 //! The gRPC frontend: the rate limit service (`envoy.service.ratelimit.v3.RateLimitService`) and its health check.
 //!
-//! - [`connection`]: one connection, from its first byte to its close
-//! - [`slow_clients`]: clients that make no progress
+//! - [`connection`]: event loop of a connection
+//! - [`slow_clients`]: detection of clients that make no progress
 //! - [`calls`]: calls, from their headers to their answer
-//! - [`request`]: the request in a call's message
-//! - [`responses`]: answers in gRPC
+//! - [`request`]: conversion of a call's message to a request
+//! - [`responses`]: conversion of the driver's answers to gRPC
 
 mod calls;
 mod connection;
@@ -44,8 +44,9 @@
     }
 }
 
-/// Sends GOAWAY with ENHANCE_YOUR_CALM, and waits a moment for the client to close: with its preface unread, a close at
-/// once would be a reset, and the GOAWAY could be lost.
+/// Sends GOAWAY with ENHANCE_YOUR_CALM, and waits up to [`REJECTION_TIMEOUT`] for the client to close.
+///
+/// An immediate close with the client's preface unread would reset the connection, and the GOAWAY could be lost.
 async fn reject(runtime: Shared, stream: Box<dyn Stream>, retry_after: Micros) {
     let (_commands, no_commands) = async_channel::bounded::<()>(1);
     let (_signal_sender, no_signal) = async_channel::bounded(1);
--- a/crates/gateway/src/frontends/grpc/request.rs
+++ b/crates/gateway/src/frontends/grpc/request.rs
@@ -1,4 +1,4 @@
-//! The request in a message of the rate limit service: account, class and idempotency key from descriptor entries.
+//! Conversion of a rate limit message to a request. Account, class and idempotency key are entries of descriptors.
 
 use crate::frontends::context::ClientRequest;
 use crate::settings::Front;
@@ -7,11 +7,12 @@
 use chalkgap_wire::grpc::{Code, Status};
 use chalkgap_wire::ratelimit::{Entry, RateLimitRequest};
 
-/// Most descriptors in a call, and most entries in a descriptor: far more than clients need.
+/// Maximum number of descriptors in a call; far more than clients need.
 const MAX_DESCRIPTORS: usize = 64;
+/// Maximum number of entries in a descriptor; far more than clients need.
 const MAX_ENTRIES: usize = 64;
 
-/// The values of the entries that the settings give a meaning.
+/// Values of the entries whose keys are in the settings.
 #[derive(Default)]
 struct NamedEntries {
     account: Option<String>,
@@ -20,7 +21,7 @@
 }
 
 impl NamedEntries {
-    /// The place for an entry's value. `None` if the settings give the entry no meaning.
+    /// Returns the field for the value of an entry with this key. `None` if the key is not in the settings.
     fn slot(&mut self, frontend: &Front, key: &str) -> Option<&mut Option<String>> {
         if key == frontend.account_entry {
             Some(&mut self.account)
@@ -34,10 +35,11 @@
     }
 }
 
-/// Reads the request in a call's message.
+/// Converts a call's message to a request.
 ///
 /// # Errors
-/// `INVALID_ARGUMENT`, with the descriptor and the entry.
+/// Status `INVALID_ARGUMENT`, if the domain differs from the settings, or descriptors or entries are missing, too many
+/// or contradictory.
 pub(super) fn parse_request(
     frontend: &Front,
     message: RateLimitRequest,
@@ -55,7 +57,7 @@
     let mut other_entries = Vec::new();
     let mut units = 0u64;
     for (index, descriptor) in message.descriptors.into_iter().enumerate() {
-        // The number of a descriptor overrides that of the call. 0 counts as 1.
+        // `hits_addend` of a descriptor overrides that of the call. 0 counts as 1.
         let hits = descriptor.hits_addend.map_or(u64::from(message.hits_addend), |hits| hits.value);
         read_entries(frontend, index, descriptor.entries, &mut named, &mut other_entries)?;
         units = units.max(hits.max(1));
@@ -64,7 +66,7 @@
         account: named.account.unwrap_or_default(),
         class: named.class,
         idempotency_key: named.idempotency_key,
-        // Saturated: it exceeds every limit then.
+        // A saturated value exceeds every limit on units.
         units: u32::try_from(units).unwrap_or(u32::MAX),
         arrived_at,
         timeout,
@@ -73,7 +75,8 @@
     })
 }
 
-/// Reads the entries of one descriptor, which must name the account. All descriptors must agree on named entries.
+/// Reads the entries of a descriptor. It must contain the account. Named entries must have the same value in all
+/// descriptors.
 fn read_entries(
     frontend: &Front,
     descriptor: usize,
--- a/crates/gateway/src/frontends/grpc/responses.rs
+++ b/crates/gateway/src/frontends/grpc/responses.rs
@@ -1,4 +1,4 @@
-//! Answers in terms of gRPC.
+//! Conversion of the driver's answers to gRPC.
 
 use super::connection::ClientPipe;
 use crate::frontends::context::InvalidRequest;
@@ -11,13 +11,13 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// How a call ends.
+/// The end of a call: a message or a status.
 pub(super) enum Outcome {
     Message(Box<RateLimitResponse>),
     Status(Status),
 }
 
-/// How a call with so many descriptors ends. `None`: its client has gone.
+/// Returns the end of a call with `descriptors` descriptors. `None` if the client has gone.
 pub(super) fn outcome(answer: Answer, descriptors: usize) -> Option<Outcome> {
     Some(match answer {
         Answer::Served { body, node } => {
@@ -37,7 +37,7 @@
     })
 }
 
-/// The status of a call whose request is invalid.
+/// Returns the status of a call whose request is invalid.
 pub(super) fn invalid_request(error: &InvalidRequest) -> Status {
     let code = match error {
         InvalidRequest::Account(_) => Code::PermissionDenied,
@@ -56,7 +56,7 @@
     }
 }
 
-/// `retry_after` is 0 for none.
+/// `retry_after` is the time after which to retry, in microseconds; 0 for no advice.
 fn rejected(retry_after: Micros, descriptors: usize) -> RateLimitResponse {
     let code = Verdict::OverLimit.into();
     let retry_after = (retry_after > 0).then_some(retry_after);
@@ -65,7 +65,7 @@
         duration_until_reset: retry_after.map(|micros| Duration::from_micros(micros).into()),
         ..Default::default()
     };
-    // The header has whole seconds: rounded up, so that clients do not return too early.
+    // The header has whole seconds. They are rounded up, so that clients do not retry too early.
     let seconds = retry_after.map(|micros| micros.div_ceil(1_000_000));
     RateLimitResponse {
         overall_code: code,
--- a/crates/gateway/src/frontends/grpc/slow_clients.rs
+++ b/crates/gateway/src/frontends/grpc/slow_clients.rs
@@ -1,7 +1,7 @@
 //! Detection of clients that make no progress.
 //!
-//! Clients are judged by a time that does not advance while this process stalls: what they sent meanwhile is read only
-//! afterwards.
+//! Timeouts are measured in *client time*, which does not advance while this process stalls. Bytes that a client sends
+//! during a stall are read only afterwards, so the stall must not count against the client.
 
 use super::calls::Call;
 use super::connection::{ClientConnection, ClientPipe};
@@ -9,43 +9,43 @@
 use chalkgap_runtime::Micros;
 use chalkgap_wire::grpc::{Code, Status};
 
-/// Shortest interval between two checks: a stall may make a check due that is not due by the client's time.
+/// Minimum interval between two checks. After a stall, a check may be due by the clock but not in client time.
 const MIN_CHECK_INTERVAL: Micros = 1000;
-/// Far in the future, with headroom for sums.
+/// A time in the far future, with headroom for additions.
 const NEVER: Micros = u64::MAX / 2;
 
-/// A frame of which not all bytes have arrived.
+/// A frame that is partly received.
 struct PartialFrame {
     since: Micros,
-    /// Bytes that the connection had received by then.
+    /// Bytes that the connection had received at `since`.
     received_before: u64,
 }
 
-/// Answers that the client has not read.
+/// Output that the client has not read.
 struct UnreadOutput {
-    /// Since when, by the clock of the pipe.
+    /// Start of the backlog by the pipe's clock.
     since_by_pipe: Micros,
-    /// Since when, by the client's time.
+    /// Start of the backlog in client time.
     since: Micros,
-    /// Bytes that the client has read since.
+    /// Bytes written to the client since then.
     written: u64,
 }
 
-/// What is remembered for the detection. Times are the client's unless stated.
+/// State of the detection for a connection. Times are client time unless stated otherwise.
 pub(super) struct ProgressWatch {
     opened_at: Micros,
     partial_frame: Option<PartialFrame>,
     unread_output: Option<UnreadOutput>,
-    /// When to check the calls whose message is incomplete, if there are any.
+    /// Time of the next check of calls with incomplete messages; `None` without such calls.
     pub next_message_check: Option<Micros>,
     pub idle_since: Micros,
     goaway_sent: bool,
-    /// How far the client's time is behind the clock.
+    /// Difference between the clock and client time, as of the last check.
     stalled: Micros,
 }
 
 impl ProgressWatch {
-    /// For a connection that opens now: at `opened_at` by the client's time, `now` by the clock.
+    /// Creates the state of a connection that opens now, which is `opened_at` in client time and `now` by the clock.
     pub fn new(opened_at: Micros, now: Micros) -> Self {
         ProgressWatch {
             opened_at,
@@ -60,7 +60,7 @@
 }
 
 impl ClientConnection {
-    /// The client's time, as far as stalls were known at the last check.
+    /// Returns client time, without stalls since the last check.
     pub(super) fn client_time(&self) -> Micros {
         self.context.runtime.now().saturating_sub(self.progress.stalled)
     }
@@ -69,7 +69,7 @@
         self.context.settings.settings.admission.idle_ms * 1000
     }
 
-    /// By the clock, when the client may be too slow at the earliest.
+    /// Returns the time by the clock of the next check: the earliest time at which the client can be too slow.
     pub(super) fn next_progress_check(&mut self, pipe: &ClientPipe) -> Micros {
         let minimum = self.permit.minimum_throughput();
         let received = pipe.conn.received();
@@ -97,7 +97,7 @@
         next.max(now + MIN_CHECK_INTERVAL) + progress.stalled
     }
 
-    /// Ends calls whose messages arrive too slowly. Returns the reason for which the whole connection is to be closed.
+    /// Ends calls whose messages arrive too slowly. Returns the reason if the whole connection is to be closed.
     pub(super) fn check_progress(&mut self, pipe: &mut ClientPipe) -> Option<&'static str> {
         let minimum = self.permit.minimum_throughput();
         let now = self.permit.time_without_stalls();
@@ -123,7 +123,7 @@
             }
             progress.goaway_sent = true;
             pipe.conn.shutdown();
-            // The client has the usual patience to close the connection.
+            // The client has one grace period to close the connection.
             progress.idle_since = (now + minimum.grace_period).saturating_sub(idle_timeout);
         }
         self.end_slow_messages(now, pipe);
@@ -144,7 +144,7 @@
             let next = self.progress.next_message_check;
             self.progress.next_message_check = Some(next.map_or(deadline, |next| next.min(deadline)));
         }
-        // In the order in which they were opened, not in that of the map.
+        // In the order in which the calls were opened, as the order of the map is random.
         too_slow.sort_unstable();
         for stream in too_slow {
             add(&self.context.telemetry.too_slow);
--- a/crates/gateway/src/frontends/mod.rs
+++ b/crates/gateway/src/frontends/mod.rs
@@ -1,9 +1,10 @@
-//! Frontends: the protocols that clients speak.
+//! Frontends: servers for the protocols that clients use.
 //!
-//! A [`Frontend`] serves connections that [`listen`] has accepted and the connection gate has admitted. It turns what a
-//! client sends into a [`PendingRequest`](crate::messages::PendingRequest) for the driver, receives one
-//! [`Response`](crate::messages::Response) for it, and reports a client that goes with
-//! [`DriverEvent::ClientGone`](crate::messages::DriverEvent::ClientGone). The driver knows no protocol.
+//! A [`Frontend`] serves connections that [`listen`] has accepted and the connection gate has admitted. It converts each
+//! request of a client to a [`PendingRequest`](crate::messages::PendingRequest) for the driver, and the driver's one
+//! [`Response`](crate::messages::Response) to an answer in its protocol. A client that cancels a request or disconnects
+//! is reported with [`DriverEvent::ClientGone`](crate::messages::DriverEvent::ClientGone). The driver does not depend on
+//! any protocol.
 
 mod acceptor;
 mod context;
@@ -17,15 +18,16 @@
 use crate::messages::Answer;
 use chalkgap_runtime::{BoxFuture, Micros, Shared, Stream};
 
-/// How long a rejected client may take to read the rejection.
+/// Maximum time that a rejected connection stays open, so that the client can read the rejection.
 const REJECTION_TIMEOUT: Micros = 200_000;
 
-/// A protocol that clients speak. Each connection is a task with a [`Permit`].
+/// A server for one protocol. Each connection is served by a task that holds a [`Permit`].
 pub trait Frontend: Clone + Send + Sync + 'static {
-    /// What all connections of the frontend share.
+    /// State shared by all connections of the frontend.
     type Context: Clone + Send + Sync + 'static;
 
-    /// Serves one connection to its end. When the drain begins, it ends after the answers to its open requests.
+    /// Serves a connection until it is closed. Once the drain begins, the connection is closed after the answers to its
+    /// open requests.
     fn serve(
         &self,
         context: Self::Context,
@@ -33,12 +35,13 @@
         permit: Permit,
     ) -> BoxFuture<'static, ()>;
 
-    /// Rejects a connection that was not admitted, and closes it. `retry_after` is in microseconds from now.
+    /// Rejects a connection that was not admitted, and closes it. `retry_after` is the time after which the client may
+    /// retry.
     fn reject(&self, runtime: Shared, stream: Box<dyn Stream>, retry_after: Micros)
         -> BoxFuture<'static, ()>;
 }
 
-/// How the connection gate counts a request with this answer.
+/// Converts a request's answer to the end that the connection gate counts.
 fn request_end(answer: &Answer, account: u64, preferred: bool) -> RequestEnd {
     match answer {
         Answer::Served { .. } => RequestEnd::Served { account, preferred },
--- a/crates/gateway/src/frontends/mqtt/answers.rs
+++ b/crates/gateway/src/frontends/mqtt/answers.rs
@@ -1,4 +1,4 @@
-//! Answers in terms of MQTT.
+//! Conversion of the driver's answers to MQTT.
 
 use super::connection::{ClientPipe, MqttConnection};
 use super::publish::{OpenPublish, ResponseTarget};
@@ -8,20 +8,21 @@
 use chalkgap_runtime::Micros;
 use chalkgap_wire::mqtt::{reason, topic, Properties, Property, QoS, Version};
 
-/// User properties of answers.
+/// User property with the time after which to retry, in milliseconds.
 const RETRY_AFTER_MS: &str = "retry-after-ms";
+/// User property with the status of a response message.
 const STATUS: &str = "status";
-/// Reason codes from this one on are errors (MQTT 5.0, section 2.4).
+/// Lowest reason code of an error (MQTT 5.0, section 2.4).
 const FIRST_ERROR_CODE: u8 = 0x80;
 
-/// A driver's answer in MQTT.
+/// A driver's answer in the terms of MQTT.
 pub(super) struct MqttAnswer {
     /// Reason code of the PUBACK or PUBREC.
     pub code: u8,
-    /// The value of the user property `status` of a response message.
+    /// Value of the user property `status` of a response message.
     pub status: &'static str,
     pub properties: Properties,
-    /// The body of a response message.
+    /// Body of a response message.
     pub body: Bytes,
 }
 
@@ -50,7 +51,7 @@
     }
 }
 
-/// The user property with the time after which to retry, in microseconds; none for 0.
+/// Returns the user property for a `retry_after` in microseconds; no property for 0.
 pub(super) fn retry_after_property(retry_after: Micros) -> Properties {
     if retry_after == 0 {
         return Properties::default();
@@ -60,7 +61,7 @@
 }
 
 impl MqttConnection {
-    /// The publish that a response belongs to. Reports to the connection gate how it ended.
+    /// Removes and returns the open publish that a response belongs to, and reports its end to the connection gate.
     pub(super) fn close_publish(&mut self, response: &Response) -> Option<OpenPublish> {
         let publish = self.open_publishes.remove(&response.token)?;
         self.permit.request_ended(request_end(&response.answer, publish.account, publish.preferred));
@@ -81,7 +82,7 @@
         acknowledge(publish.qos, publish.packet, code, properties, pipe);
     }
 
-    /// Publishes an answer to the response topic, if the client itself has subscribed to it. Other clients cannot.
+    /// Publishes an answer to the response topic if this client has subscribed to it. Other clients never receive it.
     fn send_response_message(
         &self,
         target: ResponseTarget,
@@ -101,8 +102,9 @@
 
 /// Acknowledges a publish with a reason code.
 ///
-/// MQTT 3.1.1 has no codes for errors. A publish that did not run stays unacknowledged on a connection that closes, so that
-/// the client repeats it; one that may have run is acknowledged, so that it does not.
+/// MQTT 3.1.1 has no reason codes for errors. A publish that did not run is left unacknowledged and the connection is
+/// closed, so that the client repeats the publish. A publish that may have run is acknowledged, so that the client does
+/// not repeat it.
 pub(super) fn acknowledge(qos: QoS, packet: u16, code: u8, properties: Properties, pipe: &mut ClientPipe) {
     let is_error = code >= FIRST_ERROR_CODE;
     let has_codes = pipe.conn.version() != Some(Version::V311);
--- a/crates/gateway/src/frontends/mqtt/authentication.rs
+++ b/crates/gateway/src/frontends/mqtt/authentication.rs
@@ -1,4 +1,4 @@
-//! Users and passwords of MQTT clients.
+//! Authentication of MQTT clients by user name and password.
 
 use super::lock;
 use crate::settings;
@@ -14,12 +14,14 @@
 pub(super) enum Authentication {
     Accepted,
     Denied,
-    /// Too many passwords were hashed in this second: the client has to retry.
+    /// The limit on password hashes per second is reached: the client has to retry.
     Busy,
 }
 
-/// Checks passwords. Hashing one takes tens of milliseconds by design, so the hashes in a second are limited, and a password
-/// that matched is recognized by a fast keyed hash.
+/// Checks passwords.
+///
+/// An Argon2 hash takes tens of milliseconds by design. Therefore the number of hashes per second is limited, and a
+/// password that matched before is recognized by a fast keyed hash.
 pub(super) struct Authenticator {
     /// Keyed hash of the last password that matched, by user.
     matched: Mutex<HashMap<String, blake3::Hash>>,
@@ -42,13 +44,13 @@
         Authenticator { matched: Mutex::default(), key, checks: Mutex::default() }
     }
 
-    /// Whether the client of a CONNECT is who it claims to be.
+    /// Checks the user name and password of a CONNECT.
     pub fn authenticate(&self, settings: &settings::Mqtt, connect: &Connect, now: Micros) -> Authentication {
         let Some(user) = &connect.user else { return accepted_if(settings.anonymous) };
         let Some(password_hash) = settings.users.get(user) else { return Authentication::Denied };
         let Some(password) = &connect.password else { return Authentication::Denied };
         let fast_hash = self.fast_hash(user, password);
-        // Compared in constant time by `blake3::Hash`, and below by the Argon2 library.
+        // `blake3::Hash` compares in constant time, and so does the Argon2 library below.
         if lock(&self.matched).get(user).is_some_and(|matched| *matched == fast_hash) {
             return Authentication::Accepted;
         }
@@ -71,7 +73,8 @@
         hasher.finalize()
     }
 
-    /// Counts a check. Returns false if the limit of this second is reached: wrong passwords must not occupy the thread.
+    /// Counts a check. Returns false if the limit of this second is reached, so that hashing wrong passwords does not
+    /// occupy the thread.
     fn may_check(&self, now: Micros, max_per_second: u32) -> bool {
         let second = now / 1_000_000;
         let mut checks = lock(&self.checks);
--- a/crates/gateway/src/frontends/mqtt/connect.rs
+++ b/crates/gateway/src/frontends/mqtt/connect.rs
@@ -11,12 +11,13 @@
 use chalkgap_wire::mqtt::server::Session;
 use chalkgap_wire::mqtt::{reason, Properties, Property, Version};
 
-/// Most bytes of a client identifier.
-const MAX_CLIENT_IDENTIFIER: usize = 256;
-/// How long the last owner of a session may take to release it.
+/// Maximum length of a client identifier.
+const MAX_CLIENT_IDENTIFIER_BYTES: usize = 256;
+/// Maximum time to wait for the former owner of a session to release it.
 const TAKEOVER_TIMEOUT: Micros = 2_000_000;
+/// Interval between checks of whether the former owner has released the session.
 const TAKEOVER_POLL_INTERVAL: Micros = 5000;
-/// When a client may retry whose password could not be checked.
+/// Time after which a client may retry if the limit on password hashes is reached.
 const AUTHENTICATION_RETRY_AFTER: Micros = 1_000_000;
 
 impl MqttConnection {
@@ -58,9 +59,10 @@
         if extended_authentication.is_some() {
             return Err(Refusal::new(reason::BAD_AUTHENTICATION_METHOD));
         }
-        // MQTT 3.1.1 [MQTT-3.1.3-8]: without an identifier only with a clean session.
+        // MQTT 3.1.1 requires a clean session if the client identifier is empty [MQTT-3.1.3-8].
         let needs_identifier = connect.version != Version::V5 && !connect.clean_start;
-        if connect.client.len() > MAX_CLIENT_IDENTIFIER || connect.client.is_empty() && needs_identifier {
+        if connect.client.len() > MAX_CLIENT_IDENTIFIER_BYTES || connect.client.is_empty() && needs_identifier
+        {
             return Err(Refusal::new(reason::CLIENT_IDENTIFIER_NOT_VALID));
         }
         let now = self.context.runtime.now();
@@ -81,12 +83,13 @@
         Ok(())
     }
 
-    /// A session expiry interval, in seconds, within the limit of the settings.
+    /// Bounds a session expiry interval, in seconds, by the maximum in the settings.
     pub(super) fn bounded_expiry(&self, seconds: u32) -> Micros {
         Micros::from(seconds.min(self.shared.settings.session_s)) * 1_000_000
     }
 
-    /// Claims a client's session, from the connection that has it or from the idle ones. `None`: it starts anew.
+    /// Makes this connection the owner of a client's session. Returns the session that the former owner or an earlier
+    /// connection has left, or `None` if a new session starts.
     async fn take_over_session(&mut self, key: &str, clean_start: bool) -> Option<Session> {
         let (takeover, taken_over) = async_channel::bounded(1);
         self.taken_over = Some(taken_over);
@@ -95,7 +98,7 @@
         let runtime = self.context.runtime.clone();
         if let Some(former_owner) = claim.former {
             drop(former_owner);
-            // The former owner releases the session when it sees the drop. It holds the state of QoS 2 publishes.
+            // The drop makes the former owner release the session, which holds the state of QoS 2 publishes.
             let deadline = runtime.now() + TAKEOVER_TIMEOUT;
             while runtime.now() < deadline && !lock(&self.shared.sessions).is_idle(key) {
                 runtime.sleep_until(runtime.now() + TAKEOVER_POLL_INTERVAL).await;
@@ -106,7 +109,7 @@
         is_valid.then_some(idle.session)
     }
 
-    /// The limits that CONNACK announces.
+    /// Returns the properties of CONNACK that announce limits and unavailable features.
     fn connack_limits(&self) -> Vec<Property> {
         let settings = &self.shared.settings;
         vec![
@@ -120,7 +123,7 @@
     }
 }
 
-/// Why a client is refused.
+/// Reason code and properties with which a client is refused.
 struct Refusal {
     code: u8,
     properties: Properties,
@@ -139,8 +142,8 @@
     })
 }
 
-/// The session expiry interval that a client requests, in seconds. MQTT 3.1.1 has none: a session that is not clean lasts
-/// as long as the settings permit.
+/// Returns the session expiry interval that a client requests, in seconds. MQTT 3.1.1 has no such interval: a session
+/// that is not clean lasts as long as the settings permit.
 fn requested_session_expiry(connect: &Connect) -> u32 {
     match connect.version {
         Version::V5 => session_expiry_property(&connect.properties).unwrap_or(0),
--- a/crates/gateway/src/frontends/mqtt/connection.rs
+++ b/crates/gateway/src/frontends/mqtt/connection.rs
@@ -1,4 +1,4 @@
-//! One connection of an MQTT client.
+//! The event loop of an MQTT client's connection.
 
 use super::answers::MqttAnswer;
 use super::publish::OpenPublish;
@@ -21,44 +21,44 @@
 use std::ops::ControlFlow;
 use std::sync::Arc;
 
-/// Most subscriptions of a connection.
+/// Maximum number of subscriptions of a connection.
 const MAX_SUBSCRIPTIONS: usize = 100;
-/// How long a client may take to close its side at the end of a connection.
+/// Maximum time that a closing connection waits for the client to close its side.
 const LINGER_TIMEOUT: Micros = 500_000;
 
 pub(super) type ClientPipe = Pipe<Response, Server>;
 
-/// State of one connection.
+/// State of a connection.
 pub(super) struct MqttConnection {
     pub shared: Arc<SharedState>,
     pub context: FrontendContext,
     pub permit: Permit,
     pub peer: SocketAddr,
-    /// Publishes that wait for the driver's response, by token.
+    /// Publishes that wait for the driver's response, by token of the request.
     pub open_publishes: HashMap<u32, OpenPublish>,
     pub last_token: u32,
     pub response_sender: Sender<Response>,
     pub subscriptions: Vec<String>,
     pub user: Option<String>,
-    /// Empty until the client is accepted.
+    /// Key of the client's session; empty until the client is accepted.
     pub session_key: String,
-    /// This connection's number among the owners of sessions.
+    /// Number that identifies this connection as the owner of its session.
     pub connection_number: u64,
-    /// Closes when another connection takes the session over.
+    /// Closed when another connection takes over the session.
     pub taken_over: Option<Receiver<()>>,
     pub will: Option<Will>,
-    /// How long the session outlives the connection.
+    /// Time for which the session outlives the connection.
     pub session_expiry: Micros,
     pub draining: bool,
-    /// The client has sent DISCONNECT.
+    /// Whether the client has sent DISCONNECT.
     pub disconnected: bool,
 }
 
-/// Deadlines of a connection's current turn.
+/// Deadlines for a connection's current turn.
 struct TurnDeadlines {
-    /// For the next packet: by the keep alive, or for CONNECT.
+    /// Deadline for CONNECT, and after it for the next packet by the keep alive interval.
     keep_alive: Option<Micros>,
-    /// For reading what lies unread.
+    /// Deadline for the client to read unread output.
     unread_output: Option<Micros>,
 }
 
@@ -68,7 +68,7 @@
     }
 }
 
-/// Serves one connection to its end.
+/// Serves a connection until it is closed.
 pub(super) async fn serve(
     shared: Arc<SharedState>,
     context: FrontendContext,
@@ -76,7 +76,7 @@
     permit: Permit,
 ) {
     let runtime = context.runtime.clone();
-    // Bounded by `open_publishes`.
+    // `open_publishes` bounds the responses in the channel.
     let (response_sender, responses) = async_channel::unbounded();
     let server = Server::new(shared.protocol_limits());
     let max_open = 2 * usize::from(shared.settings.receive_maximum);
@@ -156,10 +156,11 @@
         TurnDeadlines { keep_alive, unread_output }
     }
 
-    /// Completes when another connection takes the session over.
+    /// Completes when another connection takes over the session.
     async fn wait_for_takeover(&self) {
         match &self.taken_over {
-            Some(taken_over) => drop(taken_over.recv().await), // nothing is ever sent: it ends when the sender is dropped
+            // No message is sent; `recv` returns when the sender is dropped.
+            Some(taken_over) => drop(taken_over.recv().await),
             None => future::pending().await,
         }
     }
@@ -167,11 +168,11 @@
     fn on_taken_over(&mut self, pipe: &mut ClientPipe) -> ControlFlow<()> {
         add(&self.context.telemetry.mqtt_taken_over);
         pipe.conn.disconnect(reason::SESSION_TAKEN_OVER, None);
-        self.will = None; // its client is connected
+        self.will = None; // the client is still connected, by the other connection
         ControlFlow::Break(())
     }
 
-    /// Handles what ended a turn. Breaks if the connection is to be closed.
+    /// Handles the result of a turn. Breaks if the connection is to be closed.
     fn on_turn(
         &mut self,
         turn: Turn<Response, Error>,
@@ -215,7 +216,7 @@
         ControlFlow::Continue(())
     }
 
-    /// The gate evicts this connection, or the drain begins.
+    /// Handles the signal of the gate: it evicts this connection, or the drain begins.
     fn on_signal(&mut self, pipe: &mut ClientPipe) -> ControlFlow<()> {
         if self.permit.draining() {
             self.draining = true;
@@ -225,7 +226,7 @@
             pipe.conn.disconnect(reason::SERVER_BUSY, Some("idle, and others need the room"));
             return ControlFlow::Break(());
         }
-        // It was idle when the gate chose it, and has a publish by now.
+        // The connection was idle when the gate chose to evict it, but has an open publish now.
         pipe.watch(self.permit.refuse_eviction());
         ControlFlow::Continue(())
     }
@@ -248,7 +249,7 @@
         pipe.conn.subscribed(subscribe.packet, codes);
     }
 
-    /// Adds a subscription, with QoS 0. Returns its reason code.
+    /// Adds a subscription with QoS 0. Returns the reason code for SUBACK.
     fn subscribe(&mut self, filter: &Filter) -> u8 {
         if filter.filter.starts_with("$share/") {
             return reason::SHARED_SUBSCRIPTIONS_NOT_SUPPORTED;
@@ -268,7 +269,7 @@
         pipe.conn.unsubscribed(unsubscribe.packet, codes);
     }
 
-    /// Removes a subscription. Returns its reason code.
+    /// Removes a subscription. Returns the reason code for UNSUBACK.
     fn unsubscribe(&mut self, filter: &str) -> u8 {
         match self.subscriptions.iter().position(|known| known == filter) {
             Some(position) => {
@@ -282,15 +283,15 @@
     fn on_disconnect(&mut self, with_will: bool, expiry_seconds: Option<u32>) {
         self.disconnected = true;
         if !with_will {
-            self.will = None; // [MQTT-3.1.2-10]
+            self.will = None; // a normal DISCONNECT discards the will [MQTT-3.1.2-10]
         }
-        // A session that was to end with the connection cannot be extended (MQTT 5.0, section 3.14.2.2.2).
+        // A session with an expiry interval of 0 cannot be extended by DISCONNECT (MQTT 5.0, section 3.14.2.2.2).
         if let Some(seconds) = expiry_seconds.filter(|_| self.session_expiry > 0) {
             self.session_expiry = self.bounded_expiry(seconds);
         }
     }
 
-    /// The connection is over: closes it, releases its session once that is complete, publishes its will.
+    /// Closes the connection, releases its session after the open publishes are answered, and publishes its will.
     async fn finish(mut self, mut pipe: ClientPipe, responses: Receiver<Response>) {
         let runtime = self.context.runtime.clone();
         if !self.disconnected {
@@ -316,18 +317,19 @@
         sessions.release(&self.session_key, self.connection_number, session, now, &self.shared.settings);
     }
 
-    /// A client that broke off repeats its publishes of QoS 1 and gets no answer to these; those of QoS 0 and 2 continue.
+    /// Cancels open publishes of QoS 1, after a connection that ended without DISCONNECT: the client repeats them and
+    /// cannot receive answers to these. Publishes of QoS 0 and 2 continue.
     async fn cancel_repeatable_publishes(&self) {
         let at_least_once = self.open_publishes.values().filter(|open| open.qos == QoS::AtLeastOnce);
         let ids: Vec<RequestId> = at_least_once.map(|open| open.id).collect();
         for id in ids {
+            // Fails if the instance has stopped.
             let _ = self.context.driver.send(DriverEvent::ClientGone(id)).await;
-            // closed: the instance has stopped
         }
     }
 
-    /// Waits for the answers to all open publishes, each of which comes by its deadline, and adds those of QoS 2 to the
-    /// session. A connection that takes the session over waits for a while.
+    /// Waits for the answers to all open publishes, each of which arrives by the request's deadline, and adds those to
+    /// publishes of QoS 2 to the session. A connection that takes over the session waits for this, up to a timeout.
     async fn complete_session(&mut self, session: &mut Session, responses: &Receiver<Response>) {
         while !self.open_publishes.is_empty() {
             let Ok(response) = responses.recv().await else { break };
--- a/crates/gateway/src/frontends/mqtt/mod.rs
+++ b/crates/gateway/src/frontends/mqtt/mod.rs
@@ -1,15 +1,15 @@
-//! The MQTT frontend (5.0 and 3.1.1): a publish is a request.
+//! The MQTT frontend, for MQTT 5.0 and 3.1.1. Each publish is a request.
 //!
-//! Its answer is the PUBACK of QoS 1 or the PUBREC of QoS 2, and a message to its response topic if it has one. A publish
-//! of QoS 0 without response topic gets no answer, and is a request all the same.
+//! The answer to a publish is its PUBACK (QoS 1) or PUBREC (QoS 2), and a message to its response topic if it has one. A
+//! publish of QoS 0 without a response topic is a request as well, but gets no answer.
 //!
-//! - [`connection`]: one connection, from its first byte to its close
+//! - [`connection`]: event loop of a connection
 //! - [`connect`]: CONNECT: authentication, session takeover, negotiated limits
-//! - [`publish`]: publishes and wills as requests
-//! - [`answers`]: answers in MQTT
+//! - [`publish`]: conversion of publishes and wills to requests
+//! - [`answers`]: conversion of the driver's answers to MQTT
 //! - [`authentication`]: users and passwords
-//! - [`sessions`]: sessions and the connections that have them
-//! - [`snapshot`]: the file of sessions
+//! - [`sessions`]: idle sessions, and the connections that own the other sessions
+//! - [`snapshot`]: the file that stores idle sessions
 //! - [`topics`]: account and class of a topic
 
 mod answers;
@@ -33,7 +33,7 @@
 use sessions::Sessions;
 use std::sync::{Arc, Mutex};
 
-/// Most packet identifiers of QoS 2 that a session remembers.
+/// Maximum number of packet identifiers of QoS 2 publishes that a session remembers.
 const MAX_REMEMBERED_IDENTIFIERS: usize = 1024;
 
 /// The MQTT frontend.
@@ -42,7 +42,7 @@
     shared: Arc<SharedState>,
 }
 
-/// What all connections share.
+/// State shared by all connections of the frontend.
 struct SharedState {
     settings: settings::Mqtt,
     sessions: Mutex<Sessions>,
@@ -79,7 +79,8 @@
     }
 }
 
-/// Waits a moment for CONNECT, whose version determines the form of the rejection.
+/// Rejects a connection. Waits up to [`REJECTION_TIMEOUT`] for CONNECT, because the form of the rejection depends on the
+/// version in it.
 async fn reject(shared: Arc<SharedState>, runtime: Shared, stream: Box<dyn Stream>, retry_after: Micros) {
     let (_commands, no_commands) = async_channel::bounded::<()>(1);
     let (_signal_sender, no_signal) = async_channel::bounded(1);
--- a/crates/gateway/src/frontends/mqtt/publish.rs
+++ b/crates/gateway/src/frontends/mqtt/publish.rs
@@ -1,4 +1,4 @@
-//! Publishes and wills as requests.
+//! Conversion of publishes and wills to requests.
 
 use super::answers::acknowledge;
 use super::connection::{ClientPipe, MqttConnection};
@@ -13,12 +13,15 @@
 use chalkgap_wire::mqtt::{reason, Properties, Property, QoS};
 use chalkgap_wire::ratelimit::Entry;
 
-/// User properties of publishes with a meaning to the gateway; others are forwarded.
+// User properties of publishes that the gateway reads. Other user properties are forwarded to the node.
+
+/// Number of units.
 const UNITS: &str = "units";
+/// Idempotency key.
 const IDEMPOTENCY_KEY: &str = "key";
-/// Finer than the message expiry interval, which has whole seconds.
+/// Timeout in milliseconds. The message expiry interval, in contrast, has whole seconds.
 const TIMEOUT_MS: &str = "timeout-ms";
-/// The token of requests whose response nobody waits for.
+/// Token of requests whose response is ignored.
 const NO_TOKEN: u32 = 0;
 
 /// A publish that waits for the driver's response.
@@ -31,7 +34,7 @@
     pub preferred: bool,
 }
 
-/// Where a response message goes.
+/// Topic and correlation data for a response message.
 pub(super) struct ResponseTarget {
     pub topic: String,
     pub correlation_data: Option<Bytes>,
@@ -51,7 +54,7 @@
     }
 }
 
-/// What the properties of a publish say about its request.
+/// Values of a request that are in the properties of its publish.
 struct RequestProperties {
     units: u32,
     idempotency_key: Option<String>,
@@ -60,8 +63,10 @@
 }
 
 impl RequestProperties {
+    /// Reads the properties of a publish.
+    ///
     /// # Errors
-    /// The reason code for a value that is not a number.
+    /// The reason code to answer with, if a numeric property is not a number.
     fn parse(properties: &Properties) -> Result<RequestProperties, u8> {
         let mut parsed =
             RequestProperties { units: 1, idempotency_key: None, timeout: None, entries: Vec::new() };
@@ -93,10 +98,10 @@
 }
 
 impl MqttConnection {
-    /// The request of a publish or a will.
+    /// Converts a publish or a will to a request.
     ///
     /// # Errors
-    /// The reason code.
+    /// The reason code to answer with, if the topic maps to no account or a property is invalid.
     fn client_request(
         &self,
         topic: &str,
@@ -122,7 +127,7 @@
     /// Handles a publish that is not a duplicate.
     pub(super) async fn on_publish(&mut self, publish: Publish, pipe: &mut ClientPipe) {
         if publish.retain {
-            // CONNACK has announced that it is not available (MQTT 5.0, section 3.2.2.3.5).
+            // CONNACK has announced that retain is not available (MQTT 5.0, section 3.2.2.3.5).
             return pipe.conn.disconnect(reason::RETAIN_NOT_SUPPORTED, None);
         }
         let Publish { qos, packet, .. } = publish;
@@ -157,11 +162,12 @@
     }
 
     async fn send_to_driver(&self, request: PendingRequest) {
+        // Fails if the instance has stopped.
         let _ = self.context.driver.send(DriverEvent::Request(Box::new(request))).await;
-        // closed: the instance has stopped
     }
 
-    /// A publish with DUP that this session does not know: another gateway may have run it, or may be about to.
+    /// Rejects a publish with the DUP flag that this session does not know. Another gateway may have run it or may still
+    /// run it, so that running it here could run it twice.
     pub(super) fn reject_unknown_duplicate(&self, publish: &Publish, pipe: &mut ClientPipe) {
         add(&self.context.telemetry.mqtt_repeated);
         let text = "it came again, and may have run elsewhere".to_owned();
@@ -169,13 +175,14 @@
         pipe.conn.answer(publish.qos, publish.packet, reason::IMPLEMENTATION_SPECIFIC, properties);
     }
 
-    /// Publishes a will, after its delay: a request whose response nobody waits for.
+    /// Publishes a will after its delay. The response to its request is ignored.
     pub(super) async fn publish_will(&self, will: Will) {
         let delay_seconds = will.properties.find(|property| match property {
             Property::WillDelay(seconds) => Some(*seconds),
             _ => None,
         });
-        // MQTT 5.0, section 3.1.3.2.2: at the end of the session at the latest, and not if the client is back before.
+        // A will is published at the end of the session at the latest, and not at all if the client reconnects before
+        // (MQTT 5.0, section 3.1.3.2.2).
         let delay = (Micros::from(delay_seconds.unwrap_or(0)) * 1_000_000).min(self.session_expiry);
         let runtime = &self.context.runtime;
         if delay > 0 {
--- a/crates/gateway/src/frontends/mqtt/sessions.rs
+++ b/crates/gateway/src/frontends/mqtt/sessions.rs
@@ -1,4 +1,4 @@
-//! Sessions without a connection, and the connections that have the others.
+//! Idle sessions, which have no connection, and the connections that own the other sessions.
 
 use crate::settings;
 use async_channel::Sender;
@@ -6,11 +6,11 @@
 use chalkgap_wire::mqtt::server::Session;
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
-/// Superseded entries in the expiry queue that are tolerated beyond one for each session.
+/// Number of superseded entries in the expiry queue that are tolerated beyond one for each idle session.
 const EXPIRY_QUEUE_SLACK: usize = 16;
 
-/// The key of a session: the user name with its length, then the client identifier. Clients of different users never share
-/// a session.
+/// Returns the key of a session: the length of the user name, the user name and the client identifier. The length keeps
+/// keys of different users distinct, so that they never share a session.
 pub(super) fn session_key(user: &str, client: &str) -> String {
     format!("{}:{user}:{client}", user.len())
 }
@@ -20,13 +20,13 @@
     length.parse::<usize>().ok().and_then(|length| rest.get(..length)).unwrap_or_default()
 }
 
-/// A session without a connection.
+/// A session that has no connection.
 pub(super) struct IdleSession {
     pub session: Session,
     pub expires_at: Micros,
 }
 
-/// The connection that has a session.
+/// The connection that owns a session.
 struct SessionOwner {
     /// Dropped when another connection takes the session over.
     takeover: Sender<()>,
@@ -42,7 +42,7 @@
 #[derive(Default)]
 pub(super) struct Sessions {
     idle: HashMap<String, IdleSession>,
-    /// In the order in which sessions became idle. Entries of sessions that were taken since are superseded.
+    /// Expiries in the order in which sessions became idle. Entries of sessions that were taken since are superseded.
     expiries: VecDeque<Expiry>,
     idle_by_user: HashMap<String, usize>,
     owners: BTreeMap<String, SessionOwner>,
@@ -50,7 +50,7 @@
 }
 
 impl Sessions {
-    /// Makes a new connection the owner of a session.
+    /// Makes a new connection the owner of a session. `takeover` is dropped when another connection claims the session.
     pub fn claim(&mut self, key: &str, takeover: Sender<()>) -> Claim {
         self.last_connection += 1;
         let connection = self.last_connection;
@@ -66,7 +66,7 @@
         self.idle.contains_key(key)
     }
 
-    /// A connection ends and leaves its session behind, if that outlives it.
+    /// Ends a connection's ownership of a session, and stores the session if it outlives the connection.
     pub fn release(
         &mut self,
         key: &str,
@@ -83,8 +83,8 @@
         }
     }
 
-    /// Adds an idle session. A user at its own limit loses this one, and nobody else's; at the limit of all, those that have
-    /// been idle for the longest go.
+    /// Adds an idle session. If the user is at the limit per user, the new session is dropped, which affects no other
+    /// user. Beyond the limit on all sessions, those that have been idle for the longest are dropped.
     pub fn insert(&mut self, key: String, session: IdleSession, now: Micros, settings: &settings::Mqtt) {
         self.take(&key);
         let user = user_of(&key).to_owned();
@@ -133,9 +133,9 @@
 
 /// Result of [`Sessions::claim`].
 pub(super) struct Claim {
-    /// The number of the new owner.
+    /// Number of the connection that is the new owner.
     pub connection: u64,
-    /// Dropping it makes the former owner release the session.
+    /// Takeover signal of the former owner. Dropping it makes the former owner release the session.
     pub former: Option<Sender<()>>,
 }
 
--- a/crates/gateway/src/frontends/mqtt/snapshot.rs
+++ b/crates/gateway/src/frontends/mqtt/snapshot.rs
@@ -1,4 +1,4 @@
-//! The file that stores idle sessions for the next start.
+//! The file that stores idle sessions until the next start.
 
 use super::sessions::IdleSession;
 use super::{lock, MqttFrontend, MAX_REMEMBERED_IDENTIFIERS};
@@ -9,13 +9,13 @@
 const MAX_SNAPSHOT_BYTES: u64 = 256 << 20;
 const STORE_INTERVAL: Micros = 10_000_000;
 
-/// A session in the file: its key, when it expires, and the reason code sent for each packet identifier of QoS 2.
+/// A session in the file: its key, its expiry time, and the reason code sent for each packet identifier of QoS 2.
 #[derive(Serialize, Deserialize, PartialEq, Eq, PartialOrd, Ord)]
 struct StoredSession(String, Micros, Vec<(u16, u8)>);
 
 impl MqttFrontend {
-    /// Loads the stored sessions. Without a valid file, clients start new sessions, and publishes that they repeat fail, as
-    /// they may have run.
+    /// Loads the stored sessions. Without a valid file, clients start new sessions, and the publishes of QoS 2 that they
+    /// repeat fail, because these may have run.
     pub async fn load_sessions(&self, runtime: &Shared) {
         let Some(path) = &self.shared.settings.snapshot else { return };
         let bytes = match runtime.files().read(path, MAX_SNAPSHOT_BYTES).await {
@@ -58,7 +58,7 @@
         stored
     }
 
-    /// Stores the idle sessions at intervals, for as long as the instance lives.
+    /// Stores the idle sessions at intervals until the instance stops.
     pub async fn run(self, runtime: Shared) {
         while self.shared.settings.snapshot.is_some() {
             runtime.sleep_until(runtime.now() + STORE_INTERVAL).await;
--- a/crates/gateway/src/frontends/mqtt/topics.rs
+++ b/crates/gateway/src/frontends/mqtt/topics.rs
@@ -1,16 +1,16 @@
-//! Account and class of a topic, as the settings map them.
+//! Mapping of topics to accounts and classes by the settings.
 
 use crate::settings::{Mqtt, Part};
 use chalkgap_wire::mqtt::topic;
 
-/// The names of the account and the class that a topic stands for.
+/// Names of the account and the class that a topic maps to.
 pub(super) struct TopicTarget {
     pub account: String,
     pub class: String,
 }
 
-/// The target of a topic: that of the first filter that matches. `None` if no filter matches, or if the topic or the
-/// connection lacks the part that the settings name.
+/// Returns the target of topic `name` by the first filter that matches. `None` if no filter matches, or if that filter
+/// uses a topic level or a user name that is missing.
 pub(super) fn resolve(settings: &Mqtt, name: &str, user: Option<&str>) -> Option<TopicTarget> {
     let mapping = settings.topics.iter().find(|mapping| topic::covers(&mapping.filter, name))?;
     let part = |part: &Part| match part {
