--- a/crates/gateway/src/ledger/compaction.rs
+++ b/crates/gateway/src/ledger/compaction.rs
@@ -1,5 +1,6 @@
-//! Builds snapshots that replace old segments, once all use in them is exported and old enough. The writer puts them in
-//! place. Other ingresses can no longer fetch entries that were compacted; that does not delay compaction.
+//! Builds snapshots that replace old segments. A segment is replaced once the use recorded in it is exported and older
+//! than the setting `keep_s`. The writer installs the snapshots. Other ingresses cannot fetch compacted entries, and
+//! compaction does not wait for them.
 
 use super::writer::TICK_MICROS;
 use super::{lock, periods, LedgerHandle};
@@ -9,7 +10,7 @@
 use std::sync::atomic::Ordering;
 use std::sync::Arc;
 
-/// How often segments are checked.
+/// Maximum interval between two checks for segments to compact.
 const CHECK_MICROS: Micros = 5_000_000;
 
 pub(super) async fn run(ledger: Arc<LedgerHandle>, snapshots: Sender<Snapshot>) {
@@ -30,7 +31,7 @@
                 if snapshots.send(snapshot).await.is_err() {
                     return; // the disk has failed
                 }
-                // The next one builds on it: wait until it is in place.
+                // The next snapshot is based on this one, so wait until the writer has taken it.
                 while !snapshots.is_empty() && !snapshots.is_closed() {
                     runtime.sleep_until(runtime.now() + TICK_MICROS).await;
                 }
@@ -40,7 +41,7 @@
     }
 }
 
-/// The period whose entries are kept as they are, with all after it; `None` if use before it is not exported.
+/// Returns the first period whose entries are not compacted. `None` if an earlier period is not exported.
 fn first_kept_period(ledger: &LedgerHandle, keep_micros: Micros) -> Option<u64> {
     let totals = lock(&ledger.totals);
     let period = totals.periods().of(ledger.runtime.now().saturating_sub(keep_micros));
--- a/crates/gateway/src/ledger/export.rs
+++ b/crates/gateway/src/ledger/export.rs
@@ -1,4 +1,4 @@
-//! Exports batches to a consumer: a directory of files, or a service over gRPC.
+//! Exports batches to the consumer, which is a directory or a gRPC service.
 
 use super::{lock, LedgerHandle};
 use crate::settings::{Export, ExportTo};
@@ -14,20 +14,20 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// Lines of a batch.
+/// Maximum number of lines of a batch.
 const MAX_LINES: usize = 5000;
-/// Periods whose single requests stay in memory after they were exported, for ends that come late.
+/// Number of exported periods whose requests stay in memory, so that results that arrive late can be matched.
 const KEPT_PERIODS: u64 = 2;
-/// Checks for work within one check interval of a stream, so that none is late by much.
+/// Number of polls for due steps within the check interval of a stream. Bounds how late a step is.
 const POLLS_PER_INTERVAL: Micros = 4;
-/// The shortest time between two checks for work.
+/// Minimum interval between two polls.
 const MIN_POLL_MICROS: Micros = 1_000;
 
 pub(super) async fn run(ledger: Arc<LedgerHandle>, settings: Export) {
     let poll_micros = settings.every_ms * 1000 / POLLS_PER_INTERVAL + MIN_POLL_MICROS;
     let mut task = ExportTask::new(ledger.clone(), settings);
     loop {
-        let written = match task.next_step() {
+        let entries = match task.next_step() {
             None => {
                 task.log_blocked();
                 task.forget_exported();
@@ -37,7 +37,7 @@
             Some(ExportStep::Write(batch)) => vec![EntryBody::BatchPrepared(batch)],
             Some(ExportStep::Send(batch)) => task.send(&batch).await,
         };
-        if !written.is_empty() && !ledger.append_durably(written).await {
+        if !entries.is_empty() && !ledger.append_durably(entries).await {
             return; // the disk has failed
         }
     }
@@ -47,9 +47,9 @@
     ledger: Arc<LedgerHandle>,
     settings: Export,
     exporter: Exporter,
-    /// Blocked streams as they were last logged.
+    /// Blocked streams that were logged last, with their reasons.
     logged: Vec<(String, ExportBlocked)>,
-    /// Single requests of periods before this one have been dropped.
+    /// Requests of periods before this one have been dropped from memory.
     dropped_before: u64,
 }
 
@@ -74,7 +74,7 @@
         self.exporter.next_step(self.ledger.runtime.now(), &totals)
     }
 
-    /// Logs blocked streams when they change.
+    /// Logs the blocked streams if they have changed.
     fn log_blocked(&mut self) {
         let blocked = self.exporter.blocked().map(|(stream, reason)| (stream, reason.clone()));
         let blocked: Vec<(String, ExportBlocked)> = blocked.collect();
@@ -87,7 +87,7 @@
         self.logged = blocked;
     }
 
-    /// Frees what is no longer needed in memory once it is exported.
+    /// Frees memory of entries that are exported and no longer needed.
     fn forget_exported(&mut self) {
         let mut totals = lock(&self.ledger.totals);
         totals.forget_exported();
@@ -99,7 +99,7 @@
         }
     }
 
-    /// Sends a batch to the consumer; returns the entries to write for its reply.
+    /// Sends a batch to the consumer. Returns the entries to write for its reply.
     async fn send(&mut self, batch: &Batch) -> Vec<EntryBody> {
         let reply = match &self.settings.to {
             ExportTo::Folder(directory) => {
--- a/crates/gateway/src/ledger/mod.rs
+++ b/crates/gateway/src/ledger/mod.rs
@@ -1,5 +1,7 @@
-//! The billing ledger of an instance: runs the state machines of `chalkgap-ledger` on a disk and on sockets. The driver
-//! calls [`LedgerHandle`]; one task writes to the disk; others ask nodes, other ingresses and the consumer.
+//! The billing ledger of an instance. It runs the state machines of `chalkgap-ledger` with a disk and sockets.
+//!
+//! The driver calls [`LedgerHandle`]. One task writes to the disk. Other tasks query nodes about requests with unknown
+//! results, replicate entries among ingresses, compact segments, and export finished periods to the consumer.
 
 mod compaction;
 mod export;
@@ -23,17 +25,17 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use writer::Writer;
 
-/// How often the disk's progress is checked while a task waits for it.
+/// Interval between two checks of whether entries are durable, while a task waits for them.
 const DURABLE_POLL_MICROS: Micros = 1_000;
 
-/// Entries of other ingresses that are to be written here.
+/// Entries of other ingresses that this ingress stores.
 struct ReplicatedEntries {
     entries: Vec<Entry>,
-    /// Closed when they are durable, or the disk has failed.
+    /// Closed when the entries are durable or the disk has failed.
     done: Sender<()>,
 }
 
-/// What all parts of an instance's ledger share.
+/// State shared by the driver and all tasks of an instance's ledger.
 pub(crate) struct LedgerHandle {
     runtime: Shared,
     telemetry: Arc<Telemetry>,
@@ -43,28 +45,28 @@
     totals: Mutex<UsageTotals>,
     recent: Mutex<RecentEntries>,
     index: Arc<Mutex<SegmentIndex>>,
-    /// Wakes the writer.
+    /// Wakes the writer task.
     wake: Sender<()>,
     replicated: Sender<ReplicatedEntries>,
-    /// The segment that is written to.
+    /// Number of the segment that is being written.
     current_segment: AtomicU64,
 }
 
-/// What the tasks of a ledger own: returned by [`LedgerHandle::open`], consumed by [`LedgerHandle::tasks`].
+/// Resources that the tasks of a ledger own. [`LedgerHandle::open`] returns them for [`LedgerHandle::tasks`].
 pub(crate) struct LedgerResources {
     store: Store,
-    woken: Receiver<()>,
+    wake_receiver: Receiver<()>,
     replicated: Receiver<ReplicatedEntries>,
-    /// Where other ingresses of the group ask for entries.
+    /// Accepts connections of other ingresses of the group.
     listener: Option<Box<dyn Listener>>,
 }
 
-/// Locks a mutex whose holders leave its content consistent even if they panic.
+/// Locks a mutex and ignores poisoning. Only for mutexes whose content stays consistent if a holder panics.
 pub(crate) fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// The billing periods of a settings file.
+/// Converts the setting of the billing periods.
 pub fn periods(period: Period) -> Periods {
     match period {
         Period::Seconds(seconds) => Periods::Every(seconds * 1_000_000),
@@ -73,16 +75,16 @@
 }
 
 impl LedgerHandle {
-    /// The tasks that run the ledger; those that serve or await others end when `alive` is closed.
+    /// Returns the tasks that run the ledger. Calls to and from other processes are cancelled when `alive` is closed.
     pub fn tasks(
         self: &Arc<Self>,
         resources: LedgerResources,
         driver: Sender<DriverEvent>,
         alive: &Receiver<()>,
     ) -> Vec<BoxFuture<'static, ()>> {
-        let LedgerResources { store, woken, replicated, listener } = resources;
+        let LedgerResources { store, wake_receiver, replicated, listener } = resources;
         let (snapshot_sender, snapshots) = async_channel::bounded(1);
-        let writer = Writer::new(self.clone(), store, woken, replicated, snapshots, driver);
+        let writer = Writer::new(self.clone(), store, wake_receiver, replicated, snapshots, driver);
         let mut tasks: Vec<BoxFuture<'static, ()>> = vec![
             Box::pin(writer.run()),
             Box::pin(compaction::run(self.clone(), snapshot_sender)),
@@ -97,41 +99,42 @@
         tasks
     }
 
-    /// Whether a request that comes now can be recorded.
+    /// Returns whether a request that arrives now can be recorded.
     pub fn reserve(&self) -> Reservation {
         lock(&self.recorder).reserve(self.runtime.now())
     }
 
-    /// Writes a request's open entry; see [`Recorder::open_request`].
+    /// Writes the entry that opens a request; see [`Recorder::open_request`].
     pub fn open_request(&self, opened: RequestOpened) -> Option<EntryHandle> {
         let handle = lock(&self.recorder).open_request(self.runtime.now(), opened);
         self.wake_writer();
         handle
     }
 
-    /// Writes that a request goes to one more node; see [`Recorder::add_attempt`].
+    /// Writes the entry of an attempt at one more node; see [`Recorder::add_attempt`].
     pub fn add_attempt(&self, handle: EntryHandle, node: String) -> Option<u64> {
         let number = lock(&self.recorder).add_attempt(self.runtime.now(), handle.number, node);
         self.wake_writer();
         number
     }
 
-    /// Records the end of a request. It is written with the next group: nobody waits for it.
+    /// Records the end of a request. The entry is written with the next group, without waking the writer, as no request
+    /// waits for it.
     pub fn settle(&self, handle: EntryHandle, units: u64, settlement: Settlement) {
         lock(&self.recorder).settle(self.runtime.now(), handle, units, settlement);
     }
 
-    /// The number up to which the disk has all entries; `None` if it has failed.
+    /// Returns the number up to which all entries are durable. `None` if the disk has failed.
     pub fn durable_up_to(&self) -> Option<u64> {
         let recorder = lock(&self.recorder);
         (!recorder.disk_failed()).then(|| recorder.durable_up_to())
     }
 
     fn wake_writer(&self) {
-        let _ = self.wake.try_send(()); // full: it is being woken already
+        let _ = self.wake.try_send(()); // fails if a wake-up is pending already
     }
 
-    /// Waits until all entries written so far are durable, the disk has failed, or `until` has passed.
+    /// Waits until all entries written so far are durable, the disk has failed, or it is `until`.
     pub async fn flush(&self, until: Micros) {
         let last_number = lock(&self.recorder).last_number();
         while self.durable_up_to().is_some_and(|number| number < last_number) && self.runtime.now() < until {
@@ -140,16 +143,16 @@
         }
     }
 
-    /// Has other ingresses' entries written; returns when they are durable or the disk has failed.
+    /// Passes entries of other ingresses to the writer. Returns when they are durable or the disk has failed.
     async fn write_replicated(&self, entries: Vec<Entry>) {
-        let (done, written) = async_channel::bounded(1);
+        let (done, done_receiver) = async_channel::bounded(1);
         if self.replicated.send(ReplicatedEntries { entries, done }).await.is_ok() {
             self.wake_writer();
-            let _ = written.recv().await; // never sent: closed by the writer
+            let _ = done_receiver.recv().await; // no message is sent; the writer closes the channel
         }
     }
 
-    /// Writes entries of this ingress; returns true when they are durable, false if the disk has failed.
+    /// Writes entries of this ingress. Returns true when they are durable, and false if the disk has failed.
     async fn append_durably(&self, bodies: Vec<EntryBody>) -> bool {
         let last_number = {
             let mut recorder = lock(&self.recorder);
--- a/crates/gateway/src/ledger/open.rs
+++ b/crates/gateway/src/ledger/open.rs
@@ -1,4 +1,4 @@
-//! Opens an instance's ledger: reads what is on the disk and starts a new incarnation.
+//! Opens an instance's ledger: recovers its state from the disk and starts a new incarnation.
 
 use super::{periods, LedgerHandle, LedgerResources, RecentEntries};
 use crate::error::StartError;
@@ -11,9 +11,9 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex};
 
-/// Requests with an unknown end that are remembered: at most some tens of megabytes.
+/// Maximum number of requests with unknown results that are remembered. They take some tens of megabytes at most.
 const MAX_UNSETTLED: usize = 100_000;
-/// Groups of other ingresses' entries that may wait for the writer, and that it writes at once.
+/// Maximum number of groups of other ingresses' entries that wait for the writer, and that it writes together.
 pub(super) const MAX_REPLICATED_GROUPS: usize = 16;
 
 fn start_error(error: StoreError) -> StartError {
@@ -21,11 +21,11 @@
 }
 
 impl LedgerHandle {
-    /// Opens the ledger's directory, reads it and binds the listener for other ingresses. `None` without a ledger in the
-    /// settings.
+    /// Binds the listener for other ingresses, and opens and reads the ledger's directory. Returns `None` if the settings
+    /// have no ledger.
     ///
     /// # Errors
-    /// The listener cannot be bound, or see [`StoreError`].
+    /// [`StartError::Bind`] if the listener cannot be bound, [`StartError::Ledger`] if the directory cannot be read.
     pub async fn open(
         runtime: &Shared,
         compiled: &Compiled,
@@ -34,15 +34,15 @@
         let Some(settings) = compiled.settings.ledger.clone() else { return Ok(None) };
         let ingress = compiled.settings.fleet.me;
         let listener = bind(runtime, &settings)?;
-        let Log { store, totals, recovery, recent, conflicts } =
-            Log::read(runtime, &settings, ingress).await?;
+        let RecoveredLedger { store, totals, recovery, recent, conflicts } =
+            RecoveredLedger::read(runtime, &settings, ingress).await?;
         telemetry.ledger_conflicts.store(conflicts, Ordering::Relaxed);
         let now = runtime.now();
         let incarnation = store::next_incarnation(recovery.latest_incarnation(), now);
         let periods = periods(settings.period);
         let recorder =
             Recorder::new(ingress, incarnation, periods, recorder_config(&settings), recovery, now);
-        let (wake, woken) = async_channel::bounded(1);
+        let (wake, wake_receiver) = async_channel::bounded(1);
         let (replicated, replicated_receiver) = async_channel::bounded(MAX_REPLICATED_GROUPS);
         let handle = LedgerHandle {
             runtime: runtime.clone(),
@@ -57,7 +57,7 @@
             replicated,
             current_segment: AtomicU64::new(store.current_segment()),
         };
-        let resources = LedgerResources { store, woken, replicated: replicated_receiver, listener };
+        let resources = LedgerResources { store, wake_receiver, replicated: replicated_receiver, listener };
         Ok(Some((Arc::new(handle), resources)))
     }
 }
@@ -83,18 +83,22 @@
     }
 }
 
-/// A ledger's directory, as it was read.
-struct Log {
+/// State recovered from a ledger's directory.
+struct RecoveredLedger {
     store: Store,
     totals: UsageTotals,
     recovery: Recovery,
     recent: RecentEntries,
-    /// Entries that differ from another one with the same id.
+    /// Number of entries that differ from another entry with the same id.
     conflicts: u64,
 }
 
-impl Log {
-    async fn read(runtime: &Shared, settings: &settings::Ledger, ingress: u16) -> Result<Log, StartError> {
+impl RecoveredLedger {
+    async fn read(
+        runtime: &Shared,
+        settings: &settings::Ledger,
+        ingress: u16,
+    ) -> Result<RecoveredLedger, StartError> {
         let periods = periods(settings.period);
         let mut totals = UsageTotals::new(periods);
         let mut recovery = Recovery::new(ingress);
@@ -112,6 +116,6 @@
             recent.add(&entry);
         });
         let store = store.await.map_err(start_error)?;
-        Ok(Log { store, totals, recovery, recent, conflicts })
+        Ok(RecoveredLedger { store, totals, recovery, recent, conflicts })
     }
 }
--- a/crates/gateway/src/ledger/replication/authentication.rs
+++ b/crates/gateway/src/ledger/replication/authentication.rs
@@ -1,25 +1,26 @@
-//! Authenticates messages between the ingresses of a group by a keyed BLAKE3 hash over path, direction, sender, receiver,
-//! nonce and body.
+//! Authenticates messages between the ingresses of a group by a keyed BLAKE3 hash over path, direction, sender,
+//! receiver, nonce and body.
 
 use crate::peers::Key;
 use bytes::Bytes;
 use chalkgap_wire::fleet::Sealed;
 use prost::Message;
 
-/// Which way a message goes: part of the hash, so that a question is not valid as an answer.
+/// Direction of a message. It is part of the hash, so that a question is not valid as an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Direction {
     Question,
     Answer,
 }
 
-/// Authenticates the messages of one ingress.
+/// Authenticates the messages that one ingress sends and receives.
 pub(super) struct Authenticator {
     pub(super) key: Key,
     pub(super) ingress: u16,
 }
 
 impl Authenticator {
+    /// Creates an authenticated message.
     pub(super) fn seal(
         &self,
         path: &str,
@@ -34,7 +35,8 @@
         sealed
     }
 
-    /// Decodes a message; `None` if it is not from another holder of the key, not to this ingress, or of another call.
+    /// Decodes and authenticates a message. `None` if its hash does not match the key, path and direction, or if it is
+    /// not from another ingress to this one.
     pub(super) fn open(&self, path: &str, direction: Direction, message: Bytes) -> Option<Sealed> {
         let sealed = Sealed::decode(message).ok()?;
         let received = <[u8; 32]>::try_from(&sealed.hash[..]).ok()?;
@@ -49,7 +51,7 @@
         let is_question = [u8::from(direction == Direction::Question)];
         let sender = message.from.to_be_bytes();
         let receiver = message.to.to_be_bytes();
-        // Each part follows its length, so that no two lists of parts give the same bytes.
+        // Each part is preceded by its length, so that different lists of parts never hash the same bytes.
         for part in [path.as_bytes(), &is_question, &sender, &receiver] {
             hasher.update(&(part.len() as u64).to_be_bytes());
             hasher.update(part);
--- a/crates/gateway/src/ledger/replication/authentication/tests.rs
+++ b/crates/gateway/src/ledger/replication/authentication/tests.rs
@@ -13,11 +13,11 @@
     let encode = |message: &Sealed| Bytes::from(message.encode_to_vec());
     let sealed = sender.seal(HAVE, Question, 1, 7, Bytes::from_static(b"body"));
     assert_eq!(receiver.open(HAVE, Question, encode(&sealed)), Some(sealed.clone()));
-    assert_eq!(receiver.open(FETCH, Question, encode(&sealed)), None, "another call");
-    assert_eq!(receiver.open(HAVE, Answer, encode(&sealed)), None, "a question is no answer");
-    assert_eq!(sender.open(HAVE, Question, encode(&sealed)), None, "for another, and from itself");
+    assert_eq!(receiver.open(FETCH, Question, encode(&sealed)), None, "message of another call");
+    assert_eq!(receiver.open(HAVE, Answer, encode(&sealed)), None, "a question is not valid as an answer");
+    assert_eq!(sender.open(HAVE, Question, encode(&sealed)), None, "message to another ingress");
     let other_key = authenticator("b", 1);
-    assert_eq!(other_key.open(HAVE, Question, encode(&sealed)), None, "another key");
+    assert_eq!(other_key.open(HAVE, Question, encode(&sealed)), None, "message under another key");
     for changed in [
         Sealed { nonce: 8, ..sealed.clone() },
         Sealed { from: 2, ..sealed.clone() },
--- a/crates/gateway/src/ledger/replication/client.rs
+++ b/crates/gateway/src/ledger/replication/client.rs
@@ -1,4 +1,4 @@
-//! Fetches from one other ingress the entries that are missing here.
+//! Fetches entries that are missing here from one other ingress.
 
 use super::authentication::{Authenticator, Direction};
 use super::{from_wire, to_wire, MAX_ANSWER_BYTES};
@@ -16,15 +16,15 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// How long a call may take.
+/// Timeout of a call.
 const CALL_TIMEOUT_MICROS: Micros = 5_000_000;
-/// Bytes that authentication adds to an answer, at most.
+/// Maximum number of bytes that authentication adds to an answer.
 const AUTHENTICATION_BYTES: usize = 65_536;
 
-/// Why nothing was replicated.
+/// Reason for which a call failed or its answer was rejected.
 #[derive(Debug, thiserror::Error)]
 enum ReplicationError {
-    #[error("no answer by a holder of the key")]
+    #[error("no answer that is authenticated by the group's key")]
     NoAnswer,
     #[error(transparent)]
     Message(#[from] prost::DecodeError),
@@ -42,7 +42,7 @@
     reconciler: Reconciler,
 }
 
-/// Replicates from one other ingress, for ever.
+/// Replicates from one other ingress until the instance stops.
 pub(super) async fn run(
     ledger: Arc<LedgerHandle>,
     authenticator: Arc<Authenticator>,
@@ -87,7 +87,7 @@
         }
     }
 
-    /// Calls the peer; returns the body of its answer.
+    /// Calls the peer and returns the body of its answer.
     async fn call(&self, path: &str, body: Vec<u8>) -> Result<Bytes, ReplicationError> {
         let runtime = &self.ledger.runtime;
         let nonce = runtime.random();
--- a/crates/gateway/src/ledger/replication/mod.rs
+++ b/crates/gateway/src/ledger/replication/mod.rs
@@ -1,5 +1,7 @@
-//! Replication of ledgers between the ingresses of a group, over calls whose messages are authenticated by the group's
-//! key. Calls only read, so that a replayed one does no harm; an answer is bound to its own question.
+//! Replication of ledgers between the ingresses of a group.
+//!
+//! The messages of calls are authenticated by the group's key. Calls only read, so that a replayed call changes nothing.
+//! A nonce binds each answer to its question.
 
 mod authentication;
 mod client;
@@ -16,27 +18,27 @@
 use chalkgap_wire::fleet::Range;
 use std::sync::Arc;
 
-/// Entries of one answer.
+/// Maximum number of entries in an answer.
 const MAX_ENTRIES: u64 = 4096;
-/// Bytes of one answer, before it is authenticated.
+/// Maximum size of an answer's body, without the authentication.
 const MAX_ANSWER_BYTES: usize = 4 << 20;
-/// Ranges that one ingress may list.
+/// Maximum number of ranges that an ingress lists.
 const MAX_RANGES: usize = 65_536;
-/// Bytes of a question.
+/// Maximum size of a question.
 const MAX_QUESTION_BYTES: usize = 1 << 20;
-/// Calls on one connection at once.
+/// Maximum number of concurrent calls on a connection.
 const CALLS_PER_CONNECTION: u32 = 2;
-/// After how long a connection without a call is closed.
+/// Idle timeout: a connection without a call is closed after this time.
 const IDLE_MICROS: Micros = 10_000_000;
 
-/// The tasks that answer other ingresses and fetch from them. None without a group in the settings.
+/// Returns the tasks that answer other ingresses and fetch from them. Empty if the settings have no group.
 pub(super) fn tasks(
     ledger: &Arc<LedgerHandle>,
     listener: Box<dyn Listener>,
     alive: &Receiver<()>,
 ) -> Vec<BoxFuture<'static, ()>> {
     let Some(group) = ledger.settings.group.clone() else { return Vec::new() };
-    // Checked with the settings' values; those who build settings in place and skip that have no group.
+    // Settings from a script have a valid key. Settings built by an embedding program may not, and disable replication.
     let Some(key) = Key::parse(&group.key) else { return Vec::new() };
     let authenticator = Arc::new(Authenticator { key, ingress: ledger.ingress });
     let limits = Limits {
--- a/crates/gateway/src/ledger/replication/server.rs
+++ b/crates/gateway/src/ledger/replication/server.rs
@@ -1,4 +1,4 @@
-//! Answers other ingresses: which entries this one has, and the entries that they ask for.
+//! Answers calls of other ingresses: lists the entries that this ingress has, and returns requested entries.
 
 use super::authentication::{Authenticator, Direction};
 use super::{MAX_ANSWER_BYTES, MAX_ENTRIES, MAX_RANGES};
@@ -13,12 +13,12 @@
 use prost::Message;
 use std::sync::{Arc, Mutex};
 
-/// Bytes of an answer that are left for what surrounds the entries.
+/// Bytes of an answer reserved for everything but the entries.
 const ANSWER_OVERHEAD_BYTES: usize = 4096;
-/// Bytes that an entry takes in an answer besides its own, at most.
+/// Maximum number of bytes that an answer uses for an entry in addition to the encoded entry.
 const ENTRY_OVERHEAD_BYTES: usize = 8;
 
-/// The handler of the calls of other ingresses.
+/// Creates the handler for calls of other ingresses.
 pub(super) fn handler(ledger: Arc<LedgerHandle>, authenticator: Arc<Authenticator>) -> unary::Handler {
     let server = Arc::new(Server { ledger, authenticator, cache: Mutex::new(None) });
     Arc::new(move |path, message| {
@@ -33,7 +33,7 @@
     })
 }
 
-/// A segment in memory.
+/// The entries of a segment, in memory.
 #[derive(Clone)]
 struct CachedSegment {
     number: u64,
@@ -43,11 +43,11 @@
 struct Server {
     ledger: Arc<LedgerHandle>,
     authenticator: Arc<Authenticator>,
-    /// The last segment that was read: an ingress that catches up fetches it part by part.
+    /// The segment that was read last. An ingress that catches up fetches a segment in several calls.
     cache: Mutex<Option<CachedSegment>>,
 }
 
-/// The entries of an answer, as far as they fit.
+/// The entries of an answer, up to its maximum size.
 #[derive(Default)]
 struct EntriesAnswer {
     encoded: Vec<Bytes>,
@@ -56,7 +56,7 @@
 }
 
 impl EntriesAnswer {
-    /// Adds entries until one does not fit; returns whether all did.
+    /// Adds entries until one does not fit. Returns whether all fit.
     fn add_all<'a>(&mut self, entries: impl IntoIterator<Item = &'a Entry>) -> bool {
         entries.into_iter().all(|entry| self.add(entry))
     }
@@ -92,7 +92,7 @@
         Ok(grpc::frame(&answer))
     }
 
-    /// The entries that can be fetched here: durable, and not compacted.
+    /// Lists the entries that can be fetched here: those that are durable and not compacted.
     fn list(&self) -> Vec<Range> {
         let index = lock(&self.ledger.index);
         let mut ranges = Vec::new();
@@ -104,7 +104,7 @@
         ranges
     }
 
-    /// The requested entries, from memory or from the segments, as far as they fit an answer.
+    /// Returns the requested entries, from memory or from the segments, up to the maximum size of an answer.
     async fn fetch(&self, ranges: &[Range]) -> Result<Vec<Bytes>, Status> {
         let mut answer = EntriesAnswer::default();
         for range in ranges.iter().take(MAX_ENTRIES as usize) {
@@ -121,7 +121,7 @@
         Ok(answer.encoded)
     }
 
-    /// Adds the entries of a range; returns whether all fit.
+    /// Adds the entries of a range to the answer. Returns whether all fit.
     async fn fetch_range(
         &self,
         id: IncarnationId,
@@ -134,7 +134,7 @@
         if let Some(recent) = recent {
             return Ok(answer.add_all(&recent));
         }
-        // Some are not in memory: all of the range comes from the segments.
+        // If any entry is not in memory, the whole range is read from the segments.
         let segments = lock(&self.ledger.index).segments_with(id, numbers);
         for number in segments {
             let entries = self.segment(number, last).await?;
@@ -146,7 +146,7 @@
         Ok(true)
     }
 
-    /// The entries of a segment. The cached ones are used only if they reach `last`: a segment that is written to grows.
+    /// Returns the entries of a segment. The cache is used only if it contains `last`, as the current segment grows.
     async fn segment(&self, number: u64, last: EntryId) -> Result<Arc<Vec<Entry>>, Status> {
         let cached = lock(&self.cache).clone().filter(|cached| cached.number == number);
         if let Some(cached) = cached.filter(|cached| cached.entries.iter().any(|entry| entry.id == last)) {
--- a/crates/gateway/src/ledger/usage_lookup.rs
+++ b/crates/gateway/src/ledger/usage_lookup.rs
@@ -1,4 +1,4 @@
-//! Asks nodes about requests whose end was not seen.
+//! Queries nodes about requests whose result is unknown.
 
 use super::{lock, LedgerHandle};
 use crate::telemetry::add;
@@ -12,23 +12,23 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// How often unsettled requests are checked.
+/// Interval between two checks for lookups that are due.
 const CHECK_MICROS: Micros = 100_000;
-/// Nodes that are asked at once: each call takes a descriptor for a moment.
+/// Maximum number of nodes that are queried concurrently. Each call uses a file descriptor.
 const MAX_NODES: usize = 8;
-/// How long a node may take to answer.
+/// Timeout of a query.
 const CALL_TIMEOUT_MICROS: Micros = 2_000_000;
-/// Bytes of a node's answer.
+/// Maximum size of a node's answer.
 const MAX_ANSWER_BYTES: usize = 64 << 10;
 
-/// Asks regularly; calls in flight are cancelled when `alive` is closed.
+/// Queries nodes at intervals. Calls in flight are cancelled when `alive` is closed.
 pub(super) async fn run(ledger: Arc<LedgerHandle>, alive: Receiver<()>) {
     loop {
         ledger.runtime.sleep_until(ledger.runtime.now() + CHECK_MICROS).await;
         let lookups = lock(&ledger.recorder).lookups_due(ledger.runtime.now(), MOST, MAX_NODES);
         let mut calls = Vec::new();
         for (node, requests) in lookups {
-            let call = ask_node(ledger.clone(), node, requests);
+            let call = query_node(ledger.clone(), node, requests);
             calls.push(ledger.runtime.spawn(Box::pin(while_alive(alive.clone(), call))));
         }
         for call in calls {
@@ -37,7 +37,7 @@
     }
 }
 
-async fn ask_node(ledger: Arc<LedgerHandle>, node: String, requests: Vec<LookupRequest>) {
+async fn query_node(ledger: Arc<LedgerHandle>, node: String, requests: Vec<LookupRequest>) {
     add(&ledger.telemetry.ledger_asked);
     let Ok(address) = node.parse::<SocketAddr>() else { return };
     let question = Question { requests: requests.iter().map(|lookup| lookup.request.clone()).collect() };
--- a/crates/gateway/src/ledger/writer.rs
+++ b/crates/gateway/src/ledger/writer.rs
@@ -1,4 +1,5 @@
-//! The one task that writes to the ledger's disk: the recorder's entries and those of other ingresses, as one group.
+//! The only task that writes to the ledger's disk. It writes the recorder's entries and those of other ingresses as one
+//! group.
 
 use super::open::MAX_REPLICATED_GROUPS;
 use super::{lock, LedgerHandle, ReplicatedEntries};
@@ -12,13 +13,13 @@
 use std::sync::atomic::Ordering;
 use std::sync::Arc;
 
-/// How often the recorder's timers are checked while nothing is written.
+/// Interval at which the recorder's timers are checked while no entries are written.
 pub(super) const TICK_MICROS: Micros = 50_000;
 
 pub(super) struct Writer {
     ledger: Arc<LedgerHandle>,
     store: Store,
-    woken: Receiver<()>,
+    wake_receiver: Receiver<()>,
     replicated: Receiver<ReplicatedEntries>,
     snapshots: Receiver<Snapshot>,
     driver: Sender<DriverEvent>,
@@ -29,22 +30,22 @@
     pub(super) fn new(
         ledger: Arc<LedgerHandle>,
         store: Store,
-        woken: Receiver<()>,
+        wake_receiver: Receiver<()>,
         replicated: Receiver<ReplicatedEntries>,
         snapshots: Receiver<Snapshot>,
         driver: Sender<DriverEvent>,
     ) -> Self {
-        Writer { ledger, store, woken, replicated, snapshots, driver, last_tick_at: 0 }
+        Writer { ledger, store, wake_receiver, replicated, snapshots, driver, last_tick_at: 0 }
     }
 
-    /// Writes until the disk fails or the driver has stopped.
+    /// Writes entries until the disk fails or the driver has stopped.
     pub(super) async fn run(mut self) {
         loop {
             self.wait_for_work().await;
             let now = self.ledger.runtime.now();
             let mut group = self.take_own(now);
             let last_own = group.last().map(|entry| entry.id.number);
-            // Held to the end of the turn: dropping it tells those who wait that their entries are durable.
+            // Dropped at the end of this iteration, which signals to the waiting tasks that their entries are durable.
             let waiting = self.take_replicated(&mut group);
             self.compact().await;
             if group.is_empty() {
@@ -72,15 +73,15 @@
 
     async fn wait_for_work(&mut self) {
         let runtime = &self.ledger.runtime;
-        let wake = &self.woken;
+        let wake = &self.wake_receiver;
         let timer = runtime.sleep_until(runtime.now() + TICK_MICROS);
         let woken = async {
-            let _ = wake.recv().await; // closed only with the handle that this task holds
+            let _ = wake.recv().await; // never closed: this task holds the handle with the sender
         };
         future::or(woken, timer).await;
     }
 
-    /// The entries that the recorder has written.
+    /// Takes the entries that the recorder has written since the last call.
     fn take_own(&mut self, now: Micros) -> Vec<Entry> {
         let mut recorder = lock(&self.ledger.recorder);
         if now >= self.last_tick_at + TICK_MICROS {
@@ -91,13 +92,13 @@
         recorder.take_pending()
     }
 
-    /// Adds entries of other ingresses to the group; returns the senders on whose closing their tasks wait.
+    /// Adds entries of other ingresses to the group. Returns the senders whose drop signals that they are durable.
     fn take_replicated(&self, group: &mut Vec<Entry>) -> Vec<Sender<()>> {
         let mut waiting = Vec::new();
         for _ in 0..MAX_REPLICATED_GROUPS {
             let Ok(ReplicatedEntries { entries, done }) = self.replicated.try_recv() else { break };
             let totals = lock(&self.ledger.totals);
-            // An entry that came from two ingresses is written once.
+            // An entry that was fetched from two ingresses is written once.
             group.extend(entries.into_iter().filter(|entry| !totals.contains(entry.id)));
             waiting.push(done);
         }
@@ -116,7 +117,7 @@
         tracing::error!(%error, "ledger: disk failed, nothing more is written");
         lock(&self.ledger.recorder).fail_disk();
         self.replicated.close();
-        let _ = self.driver.send(DriverEvent::LedgerProgress).await; // closed: the instance has stopped
+        let _ = self.driver.send(DriverEvent::LedgerProgress).await; // fails if the instance has stopped
     }
 
     fn add_to_totals(&self, group: &[Entry]) {
