--- a/crates/gateway/src/driver/attempts.rs
+++ b/crates/gateway/src/driver/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts: started, cancelled, timed out, ended.
+//! The attempts of a request: start, cancellation, deadline and result.
 
 use super::in_flight::Attempt;
 use super::ledger_entries::{AttemptAwaitingLedger, LedgerState, Recorded};
@@ -10,11 +10,14 @@
 use chalkgap_runtime::Micros;
 use std::net::{Ipv4Addr, SocketAddr};
 
-/// Stands for the address of a backend that has left the endpoint list.
+/// Placeholder address of an attempt whose backend is no longer in the endpoint list.
 const NO_ADDRESS: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(Ipv4Addr::UNSPECIFIED), 0);
 
 impl<U: Upstream> Driver<U> {
-    /// Starts the next attempt of a request. `give_up_at` and `start_by` are absolute times; 0 means none.
+    /// Starts the next attempt of a request.
+    ///
+    /// The attempt ends at `give_up_at` or at the request's deadline, whichever is earlier, and must not be written to a
+    /// connection after `start_by`. Both are absolute times in microseconds; 0 means that there is no such limit.
     pub(super) fn start_attempt(
         &mut self,
         id: RequestId,
@@ -49,7 +52,7 @@
         });
         self.timers.set_attempt_deadline(deadline, id, attempt);
         if address.is_none() {
-            return self.hand_to_connection(call); // ends as not sent
+            return self.hand_to_connection(call); // ends it with `Outcome::NotSent`
         }
         match self.record_attempt(&call) {
             Recorded::NotNeeded => self.hand_to_connection(call),
@@ -63,7 +66,7 @@
         }
     }
 
-    /// Hands an attempt to a connection, unless it has ended meanwhile.
+    /// Hands an attempt to a connection. Does nothing if the attempt has already ended.
     pub(super) fn hand_to_connection(&mut self, mut call: OutboundAttempt<U::Work>) {
         let id = call.id;
         let attempt_number = call.attempt;
@@ -79,12 +82,12 @@
         let address = self.addresses.get(&backend).copied();
         match address.and_then(|address| self.connections.start(backend, address, call)) {
             Some(connection) => attempt.connection = connection,
-            // No connection has capacity, or the backend has left the list: nothing was written.
+            // No connection has capacity, or the backend is no longer listed: nothing was written.
             None => self.end_unsent(id, attempt_number),
         }
     }
 
-    /// Cancels an attempt for the core.
+    /// Carries out the core's `Action::Cancel`.
     pub(super) fn cancel_attempt(&mut self, id: RequestId, attempt_number: u16) {
         let Some(attempt) = self.in_flight.open_attempt_mut(id, attempt_number) else { return };
         if attempt.awaiting_ledger {
@@ -94,7 +97,7 @@
         self.connections.cancel(attempt.connection, id, attempt_number);
     }
 
-    /// Ends the attempts whose deadline has passed, whatever their connections report.
+    /// Ends the attempts whose deadline has passed, without waiting for results from their connections.
     pub(super) fn expire_attempts(&mut self, now: Micros) {
         while let Some(deadline) = self.timers.pop_attempt_deadline(now) {
             let id = deadline.id;
@@ -106,7 +109,7 @@
         }
     }
 
-    /// Ends an attempt of which nothing was written, and queues the event for the core.
+    /// Ends an attempt of which nothing was written with [`Outcome::NotSent`], and queues the event for the core.
     pub(super) fn end_unsent(&mut self, id: RequestId, attempt_number: u16) {
         let Some(attempt) = self.in_flight.open_attempt_mut(id, attempt_number) else { return };
         attempt.finished = true;
@@ -124,7 +127,8 @@
         });
     }
 
-    /// An attempt has finished: answers the client if it succeeded, records the use, informs the core.
+    /// Handles the result of an attempt: answers the client if the attempt succeeded, settles the request in the ledger, and
+    /// passes the result to the core.
     pub(super) fn on_attempt_result(&mut self, result: AttemptResult) {
         let id = result.id;
         let outcome = result.outcome;
@@ -133,7 +137,7 @@
         let was_answered = in_flight.answered;
         let Some(attempt) = in_flight.open_attempt_mut(result.attempt) else { return };
         attempt.finished = true;
-        // The node dropped a duplicate and does not know what the original used: the original may have run or died.
+        // The node dropped a duplicate and reports no units for the original, which may have run or may have failed.
         let original_unknown = outcome == Outcome::Ok && result.deduplicated && reported_units.is_none();
         attempt.may_have_run = original_unknown || result_unknown(outcome);
         let backend = attempt.backend;
@@ -166,7 +170,7 @@
     }
 }
 
-/// Whether an attempt with this outcome may have run without its result being known.
+/// Returns true if a node may have run an attempt with this outcome, with an unknown result.
 fn result_unknown(outcome: Outcome) -> bool {
     matches!(outcome, Outcome::Error | Outcome::Reset | Outcome::TimedOut | Outcome::Cancelled)
 }
--- a/crates/gateway/src/driver/endpoints.rs
+++ b/crates/gateway/src/driver/endpoints.rs
@@ -1,4 +1,4 @@
-//! Endpoint lists and their changes.
+//! Applies endpoint lists and changes to them.
 
 use super::Driver;
 use crate::messages::Upstream;
@@ -9,7 +9,7 @@
 use std::net::SocketAddr;
 
 impl<U: Upstream> Driver<U> {
-    /// Applies a complete node list; one that is not valid is dropped, and the last valid one stays in force.
+    /// Applies a complete node list. An invalid list is dropped, and the last valid one stays in force.
     pub(super) fn on_node_list(&mut self, list: &NodeList, cached: bool) {
         let endpoints = match self.endpoint_ids.convert(list) {
             Ok(endpoints) => endpoints,
@@ -22,7 +22,7 @@
         add(&self.telemetry.lists);
         tracing::info!(revision = list.revision, nodes = endpoints.len(), cached, "node list");
         if let Some(cache) = self.list_cache.as_ref().filter(|_| !cached) {
-            // A full channel drops its oldest list: only the newest is worth storing.
+            // If the channel is full, this drops its oldest list: only the newest has to be stored.
             let _ = cache.force_send(list.clone());
         }
         let ids = &self.endpoint_ids;
@@ -55,8 +55,8 @@
         self.handle(Event::Endpoints(update, endpoints));
     }
 
-    /// Cancels the attempts that are not written yet and go to a backend that is not ready or has left the list: they
-    /// would reach a draining backend, possibly after its grace period.
+    /// Cancels the attempts that are not written yet and whose backend is not ready or no longer listed. Otherwise they would
+    /// reach a draining backend, possibly after its grace period.
     fn cancel_unsent_attempts_to(&mut self, not_ready: &BTreeSet<BackendId>) {
         for (id, in_flight) in self.in_flight.iter() {
             for (number, attempt) in in_flight.attempts_on_connections() {
--- a/crates/gateway/src/driver/in_flight.rs
+++ b/crates/gateway/src/driver/in_flight.rs
@@ -1,4 +1,4 @@
-//! What the driver remembers of a request until it is answered and all its attempts have ended.
+//! State of the requests in flight. A request is kept until it is answered and all its attempts have ended.
 
 use super::ledger_entries::LedgerState;
 use crate::messages::PendingRequest;
@@ -11,18 +11,18 @@
 pub(super) struct Attempt {
     pub backend: BackendId,
     pub address: SocketAddr,
-    /// The connection it was handed to; 0 before that.
+    /// Number of the connection that it was handed to; 0 before that.
     pub connection: u64,
     pub started_at: Micros,
     pub finished: bool,
-    /// Its ledger entry is not durable yet: nothing of it has been handed to a connection.
+    /// Its ledger entry is not durable yet, so it has not been handed to a connection.
     pub awaiting_ledger: bool,
-    /// It ended without a usable answer and may have run.
+    /// It ended without a usable answer, and the node may have run it.
     pub may_have_run: bool,
 }
 
 impl Attempt {
-    /// Whether a connection has it: it has not ended and does not wait for the ledger.
+    /// Returns true if the attempt was handed to a connection and has not ended.
     pub fn is_on_connection(&self) -> bool {
         !self.finished && !self.awaiting_ledger
     }
@@ -37,22 +37,22 @@
 }
 
 impl<W> InFlightRequest<W> {
-    /// An attempt that has not ended.
+    /// Returns an attempt by its number, if it has not ended.
     pub fn open_attempt_mut(&mut self, attempt: u16) -> Option<&mut Attempt> {
         self.attempts.get_mut(usize::from(attempt)).filter(|attempt| !attempt.finished)
     }
 
-    /// The attempts that a connection has, with their numbers.
+    /// Returns the attempts that were handed to a connection and have not ended, with their numbers.
     pub fn attempts_on_connections(&self) -> impl Iterator<Item = (u16, &Attempt)> {
         (0..).zip(&self.attempts).filter(|(_, attempt)| attempt.is_on_connection())
     }
 
-    /// Whether it is answered and no attempt is open.
+    /// Returns true if the request is answered and all its attempts have ended.
     pub fn is_finished(&self) -> bool {
         self.answered && self.attempts.iter().all(|attempt| attempt.finished)
     }
 
-    /// Addresses of the nodes that may have run it without the result being known.
+    /// Returns the addresses of the nodes that may have run the request, with an unknown result.
     pub fn nodes_that_may_have_run(&self) -> BTreeSet<String> {
         let attempts = self.attempts.iter().filter(|attempt| attempt.may_have_run);
         attempts.map(|attempt| attempt.address.to_string()).collect()
@@ -95,7 +95,7 @@
         self.get(id)?.attempts.get(usize::from(attempt))
     }
 
-    /// An attempt that has not ended.
+    /// Returns an attempt by its request and number, if it has not ended.
     pub fn open_attempt_mut(&mut self, id: RequestId, attempt: u16) -> Option<&mut Attempt> {
         self.get_mut(id)?.open_attempt_mut(attempt)
     }
--- a/crates/gateway/src/driver/ledger_entries.rs
+++ b/crates/gateway/src/driver/ledger_entries.rs
@@ -1,5 +1,5 @@
-//! Ledger entries of requests: an attempt leaves only after the entry that names its node is durable, and the end of a
-//! request is recorded once.
+//! Ledger entries of requests. An attempt is handed to a connection only after the entry that names its node is durable,
+//! and the end of a request is recorded once.
 
 use super::Driver;
 use crate::ledger::LedgerHandle;
@@ -11,23 +11,23 @@
 use chalkgap_runtime::Micros;
 use std::sync::Arc;
 
-/// Where a request stands in the ledger.
+/// State of a request in the ledger.
 pub(super) enum LedgerState {
     /// Nothing is recorded yet.
     Unrecorded,
-    /// Nothing will be recorded: there is no ledger, or it has failed and the settings say to serve without it.
+    /// Nothing will be recorded: there is no ledger, or it has failed and the settings permit to serve without it.
     Unbilled,
-    /// Its open entry is recorded.
+    /// The entry that opens the request is recorded.
     Open(EntryHandle),
-    /// Its end is recorded.
+    /// The end of the request is recorded.
     Settled,
 }
 
-/// What the ledger allows for a new request.
+/// The ledger's decision on a new request.
 pub(super) enum LedgerDecision {
-    /// Take the request, in this state.
-    Take(LedgerState),
-    /// Reject it.
+    /// The request is accepted, with this initial state.
+    Accept(LedgerState),
+    /// The request is rejected; the client may retry after this time.
     Reject { retry_after: Micros },
 }
 
@@ -47,16 +47,16 @@
     pub call: OutboundAttempt<W>,
 }
 
-/// The ledger of an instance, with what is needed to describe a request in it.
+/// The ledger of an instance, and the data from which its entries are made.
 pub(super) struct LedgerRecorder {
     pub handle: Arc<LedgerHandle>,
     pub settings: Arc<Compiled>,
-    /// Distinguishes this process's request ids from those of every other start.
+    /// Prefix of the ids by which nodes know requests; it differs between instances and between starts of one instance.
     pub instance_name: String,
 }
 
 impl LedgerRecorder {
-    /// The open entry of a request that goes to `node`.
+    /// Returns the entry that opens a request whose first attempt goes to `node`.
     fn open_entry<W>(&self, request: &PendingRequest<W>, node: String) -> OpenEntry {
         let settings = &self.settings.settings;
         let plan = settings.plans.get(usize::from(request.customer.plan));
@@ -73,12 +73,12 @@
 }
 
 impl<U: Upstream> Driver<U> {
-    /// Asks the ledger whether a new request may be taken.
+    /// Asks the ledger whether a new request may be accepted.
     pub(super) fn reserve_in_ledger(&self) -> LedgerDecision {
-        let Some(ledger) = &self.ledger else { return LedgerDecision::Take(LedgerState::Unbilled) };
+        let Some(ledger) = &self.ledger else { return LedgerDecision::Accept(LedgerState::Unbilled) };
         match ledger.handle.reserve() {
-            Reservation::Recorded => LedgerDecision::Take(LedgerState::Unrecorded),
-            Reservation::Unrecorded => LedgerDecision::Take(LedgerState::Unbilled),
+            Reservation::Recorded => LedgerDecision::Accept(LedgerState::Unrecorded),
+            Reservation::Unrecorded => LedgerDecision::Accept(LedgerState::Unbilled),
             Reservation::Rejected { retry_after } => LedgerDecision::Reject { retry_after },
         }
     }
@@ -91,7 +91,7 @@
         let node = attempt.map_or_else(String::new, |attempt| attempt.address.to_string());
         let sequence = match &in_flight.ledger {
             LedgerState::Unbilled => return Recorded::NotNeeded,
-            // One more attempt for a request that was answered: its use is counted already.
+            // Another attempt of a request whose use is already recorded.
             LedgerState::Settled => return Recorded::NotNeeded,
             LedgerState::Open(entry) => ledger.handle.add_attempt(*entry, node),
             LedgerState::Unrecorded => {
@@ -112,7 +112,8 @@
         }
     }
 
-    /// More entries are durable, or the disk has failed: starts the attempts that waited for it, or ends them.
+    /// Hands over the waiting attempts whose entries have become durable. If the ledger's disk has failed, hands over all
+    /// waiting attempts where the settings permit to serve without the ledger, and ends them unsent otherwise.
     pub(super) fn on_ledger_progress(&mut self) {
         let Some(ledger) = self.ledger.as_ref().map(|ledger| ledger.handle.clone()) else { return };
         let durable_to = ledger.durable_up_to();
@@ -147,15 +148,15 @@
         let Some(in_flight) = self.in_flight.get_mut(id) else { return };
         let LedgerState::Open(entry) = in_flight.ledger else { return };
         in_flight.ledger = LedgerState::Settled;
-        // A node may report less than was admitted; a report of more is not accepted.
+        // A node may report fewer units than were admitted. A report of more is capped at the admitted units.
         let admitted_units = in_flight.request.units as u64;
         let units = reported_units.map_or(admitted_units, |reported| admitted_units.min(reported.into()));
         ledger.handle.settle(entry, units, settlement);
     }
 
-    /// Records that an answered request has ended without a result that names the node that ran it.
+    /// Records the end of an answered request for which no result names the node that ran it.
     ///
-    /// Returns false if its entry is open and there is no ledger to settle it in.
+    /// Returns false if the request has an open entry, but there is no ledger in which to settle it.
     pub(super) fn settle_without_result(&mut self, id: RequestId) -> bool {
         let Some(in_flight) = self.in_flight.get(id) else { return true };
         let LedgerState::Open(_) = in_flight.ledger else { return true };
--- a/crates/gateway/src/driver/mod.rs
+++ b/crates/gateway/src/driver/mod.rs
@@ -1,13 +1,13 @@
-//! The one task that owns the core's state machine ([`Gateway`]): it turns what happens into events, in the order in which
-//! it happened, passes them to the core, and carries out the returned actions in their order. The decisions on
-//! requests are the core's, but for those beyond the limit in flight and those that the ledger cannot record.
+//! The task that owns the core's state machine ([`Gateway`]). It converts inputs to events in the order of their arrival,
+//! passes them to the core, and carries out the returned actions in their order. The core decides on all requests except
+//! two kinds that the driver rejects: requests beyond the limit in flight, and requests that the ledger cannot record.
 //!
-//! The driver itself guarantees two things that must not depend on others. A request is answered at most once. An attempt
-//! ends at its deadline, even if its connection's task reports nothing.
+//! The driver guarantees two properties that depend neither on the core nor on connections: a request is answered at most
+//! once, and an attempt ends at its deadline even if its connection's task reports nothing.
 //!
 //! - [`requests`]: requests from arrival to final answer
 //! - [`attempts`]: their attempts on connections to nodes
-//! - [`in_flight`]: what is remembered of both
+//! - [`in_flight`]: the state of both
 //! - [`ledger_entries`]: their entries in the billing ledger
 //! - [`endpoints`]: endpoint lists
 //! - [`timers`]: timers of the core, deadlines of attempts
@@ -37,23 +37,23 @@
 use std::task::Poll;
 use timers::Timers;
 
-/// Events that are handled before timers are checked again.
+/// Maximum number of events that are handled before timers are checked again.
 const MAX_EVENTS_PER_TURN: usize = 256;
 
-/// Limits of a [`Driver`], and its place in the fleet.
+/// Limits of a [`Driver`], and its identity in the fleet.
 #[derive(Clone, Copy, Debug)]
 pub struct DriverLimits {
     /// Number of gateways in the fleet.
     pub gateway_count: u16,
     /// This gateway's id.
     pub self_id: u16,
-    /// Requests in flight at once that the core is configured for; more are rejected.
+    /// Maximum number of requests in flight, as configured in the core. The driver rejects further requests.
     pub max_in_flight: usize,
-    /// `Retry-After` of requests beyond `max_in_flight`; 0 for none.
+    /// `Retry-After` for requests beyond `max_in_flight`, in microseconds; 0 for none.
     pub rejection_retry_after: Micros,
 }
 
-/// Gossip that the core sends to one peer.
+/// A gossip message of the core, with the id of the peer that it is sent to.
 pub type OutboundGossip = (u16, Vec<u8>);
 
 /// Owns the core and runs it. Generic over the protocol to the nodes.
@@ -66,22 +66,22 @@
     events: Pin<Box<Receiver<DriverEvent<U::Work>>>>,
     gossip: Option<Sender<OutboundGossip>>,
     ledger: Option<LedgerRecorder>,
-    /// Ordered by sequence number.
+    /// Attempts whose ledger entries are not durable yet, ordered by sequence number.
     awaiting_ledger: VecDeque<AttemptAwaitingLedger<U::Work>>,
     in_flight: InFlightRequests<U::Work>,
     timers: Timers,
-    /// Events that carrying out actions has produced.
+    /// Events that are still to be passed to the core; carrying out actions adds to them.
     queue: VecDeque<Event>,
     /// Empty between events; its allocation is reused.
     actions: Vec<Action>,
     endpoint_ids: EndpointIds,
-    /// The endpoints that are listed and not gone.
+    /// Addresses of the listed endpoints, without those that are marked as gone.
     addresses: BTreeMap<BackendId, SocketAddr>,
     list_cache: Option<Sender<NodeList>>,
 }
 
 impl<U: Upstream> Driver<U> {
-    /// Creates a driver of `core` that reads `events`, without gossip, ledger and list cache.
+    /// Creates a driver that passes `events` to `core`. It has no gossip, no ledger and no list cache.
     pub fn new(
         runtime: Shared,
         limits: DriverLimits,
@@ -110,7 +110,7 @@
         }
     }
 
-    /// Reads complete node lists with `endpoint_ids`.
+    /// Converts complete node lists to endpoints with `endpoint_ids`.
     pub(crate) fn with_endpoint_ids(mut self, endpoint_ids: EndpointIds) -> Self {
         self.endpoint_ids = endpoint_ids;
         self
@@ -144,11 +144,11 @@
         let mut alarm = Alarm::new(self.runtime.clone());
         loop {
             let next_due = self.timers.next_due();
-            let first = future::poll_fn(|cx| match self.events.as_mut().poll_next(cx) {
+            let event_or_timer = future::poll_fn(|cx| match self.events.as_mut().poll_next(cx) {
                 Poll::Ready(event) => Poll::Ready(Some(event)),
                 Poll::Pending => alarm.poll(next_due, cx).map(|()| None),
             });
-            match first.await {
+            match event_or_timer.await {
                 Some(Some(event)) => self.on_event(event),
                 Some(None) => return,
                 None => {}
@@ -161,7 +161,7 @@
             }
             self.fire_timers();
             if next_due.is_some_and(|due_at| due_at <= self.runtime.now()) {
-                // A busy driver lets the connections write what it has answered.
+                // Yields, so that connections can write answers even while events keep arriving.
                 future::yield_now().await;
             }
         }
@@ -196,7 +196,8 @@
         }
     }
 
-    /// Passes an event to the core and carries out the actions, and those of the events that they produce.
+    /// Passes an event to the core and carries out the returned actions, then does the same with the events that these
+    /// actions produce.
     fn handle(&mut self, event: Event) {
         self.queue.push_back(event);
         self.process_queue();
@@ -227,7 +228,8 @@
             Action::SendGossip { to, bytes } => self.send_gossip(to, &bytes),
             Action::CloseIdle(backend) => self.connections.close_idle(backend),
             Action::Log(text) => tracing::info!(target: "chalkgap::core", "{text}"),
-            // Not permitted by the limits that the core is configured with; a discovery task that polls does so by itself.
+            // The limits that the core is configured with do not permit these actions. A polling discovery task has its own
+            // timer.
             Action::CheckHealth(_)
             | Action::AddToCounter { .. }
             | Action::WatchEndpoints(_)
@@ -235,13 +237,13 @@
         }
     }
 
-    /// Sends gossip to one peer, or to all.
+    /// Sends gossip to the peer `to`, or to all peers if `to` is `None`.
     fn send_gossip(&self, to: Option<GatewayId>, bytes: &[u8]) {
         let Some(gossip) = &self.gossip else { return };
-        let everyone = 0..self.limits.gateway_count;
-        let receivers = to.map_or(everyone, |peer| peer.0..peer.0 + 1);
+        let all_gateways = 0..self.limits.gateway_count;
+        let receivers = to.map_or(all_gateways, |peer| peer.0..peer.0 + 1);
         for peer in receivers.filter(|peer| *peer != self.limits.self_id) {
-            // A full queue drops it, as the network may: the core tolerates lost gossip.
+            // If the queue is full, the message is dropped: the core tolerates lost gossip.
             if gossip.try_send((peer, bytes.to_vec())).is_ok() {
                 add(&self.telemetry.peer_out);
             }
--- a/crates/gateway/src/driver/requests.rs
+++ b/crates/gateway/src/driver/requests.rs
@@ -1,4 +1,4 @@
-//! Requests: taken, cancelled by their clients, answered, removed.
+//! Requests: arrival, cancellation by the client, final answer and removal.
 
 use super::in_flight::InFlightRequest;
 use super::ledger_entries::{LedgerDecision, LedgerState};
@@ -9,19 +9,19 @@
 use chalkgap_runtime::Micros;
 
 impl<U: Upstream> Driver<U> {
-    /// Takes a new request, or rejects it if too many are in flight or the ledger cannot record it.
+    /// Passes a new request to the core, or rejects it if too many are in flight or the ledger cannot record it.
     pub(super) fn on_request(&mut self, request: Box<PendingRequest<U::Work>>) {
         add(&self.telemetry.requests);
         if self.in_flight.len() >= self.limits.max_in_flight {
-            // The core is never shown more than the limit it was configured with.
+            // The core never gets more requests than the limit that it is configured with.
             add(&self.telemetry.refused);
-            return reject_untaken(&request, self.limits.rejection_retry_after);
+            return reject_before_core(&request, self.limits.rejection_retry_after);
         }
         let ledger = match self.reserve_in_ledger() {
-            LedgerDecision::Take(state) => state,
+            LedgerDecision::Accept(state) => state,
             LedgerDecision::Reject { retry_after } => {
                 add(&self.telemetry.ledger_refused);
-                return reject_untaken(&request, retry_after);
+                return reject_before_core(&request, retry_after);
             }
         };
         if self.ledger.is_some() && matches!(ledger, LedgerState::Unbilled) {
@@ -42,7 +42,7 @@
         self.handle(Event::Request(core_request));
     }
 
-    /// The client has gone: a request without an answer is cancelled.
+    /// Cancels a request whose client has cancelled it or has disconnected, unless it is already answered.
     pub(super) fn on_client_gone(&mut self, id: RequestId) {
         if self.in_flight.get(id).is_none_or(|in_flight| in_flight.answered) {
             return;
@@ -53,14 +53,14 @@
         self.remove_if_finished(id);
     }
 
-    /// Rejects a request that the core has seen.
+    /// Carries out the core's `Action::Reject`.
     pub(super) fn reject(&mut self, id: RequestId, retry_after: Micros) {
         add(&self.telemetry.refused);
         self.answer(id, Answer::Rejected { retry_after });
         self.remove_if_finished(id);
     }
 
-    /// Answers a request with a failure: it may have run.
+    /// Carries out the core's `Action::Fail`: the request failed and may have run.
     pub(super) fn fail(&mut self, id: RequestId) {
         add(&self.telemetry.failed);
         let now = self.runtime.now();
@@ -69,15 +69,15 @@
         self.remove_if_finished(id);
     }
 
-    /// Sends the one final answer of a request; a second one is logged and dropped.
+    /// Sends the final answer of a request. A second one is logged and dropped.
     pub(super) fn answer(&mut self, id: RequestId, answer: Answer) {
         let Some(in_flight) = self.in_flight.get_mut(id) else { return };
         let already_answered = std::mem::replace(&mut in_flight.answered, true);
         if already_answered {
             return tracing::error!(id = id.0, ?answer, "second final answer dropped");
         }
-        // Nobody waits for attempts that are not written yet. The settings may forbid to cancel one that has begun, but not
-        // these.
+        // Attempts that are not written yet are no longer needed. The settings may forbid to cancel an attempt that has begun,
+        // but not one that is still unsent.
         for (number, attempt) in in_flight.attempts_on_connections() {
             self.connections.cancel_unsent(attempt.connection, id, number);
         }
@@ -95,13 +95,14 @@
     }
 }
 
-/// Rejects a request that the core never sees.
-fn reject_untaken<W>(request: &PendingRequest<W>, retry_after: Micros) {
+/// Rejects a request that is not passed to the core.
+fn reject_before_core<W>(request: &PendingRequest<W>, retry_after: Micros) {
     send_response(request, Answer::Rejected { retry_after });
 }
 
 fn send_response<W>(request: &PendingRequest<W>, answer: Answer) {
     let response = Response { token: request.token, id: request.id, answer };
-    // Never full: the frontend bounds its open requests by the channel's capacity. Closed: the client is gone.
+    // The channel is never full, as the frontend bounds its open requests by the capacity. It is closed if the client has
+    // disconnected.
     let _ = request.response_sender.try_send(response);
 }
--- a/crates/gateway/src/driver/timers.rs
+++ b/crates/gateway/src/driver/timers.rs
@@ -1,4 +1,4 @@
-//! The points in time at which the driver has to act: timers that the core has set, and deadlines of attempts.
+//! The times at which the driver has to act: timers that the core has set, and deadlines of attempts.
 
 use chalkgap_core::RequestId;
 use chalkgap_runtime::Micros;
@@ -13,7 +13,7 @@
     token: u32,
 }
 
-/// When an attempt is given up.
+/// The time at which an attempt ends if it has no result by then.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct AttemptDeadline {
     due_at: Micros,
@@ -21,7 +21,7 @@
     pub attempt: u16,
 }
 
-/// Both queues, each ordered by time.
+/// Pending timers of the core and pending deadlines of attempts, each queue ordered by time.
 #[derive(Default)]
 pub(super) struct Timers {
     core_timers: BinaryHeap<Reverse<CoreTimer>>,
@@ -41,7 +41,7 @@
         self.attempt_deadlines.push(Reverse(AttemptDeadline { due_at, id, attempt }));
     }
 
-    /// The earliest point in time of both queues.
+    /// Returns the earliest time in either queue.
     pub fn next_due(&self) -> Option<Micros> {
         let next_timer = self.core_timers.peek().map(|timer| timer.0.due_at);
         let next_deadline = self.attempt_deadlines.peek().map(|deadline| deadline.0.due_at);
--- a/crates/gateway/src/upstream/calls.rs
+++ b/crates/gateway/src/upstream/calls.rs
@@ -1,4 +1,4 @@
-//! gRPC calls on a connection: written as requests, read as results of attempts.
+//! gRPC calls on a connection: sends attempts as calls, and converts their responses to results.
 
 use super::connection::ConnectionTask;
 use super::{Command, OutboundAttempt};
@@ -14,7 +14,7 @@
 use prost::Message;
 use std::sync::atomic::Ordering;
 
-/// A call that was written and whose answer is not complete.
+/// A call that was written and whose response is not complete.
 pub(super) struct OpenCall {
     pub call: Box<OutboundAttempt>,
     body: Deframer,
@@ -23,24 +23,24 @@
     status_ok: bool,
 }
 
-/// The result of an attempt without an answer.
-pub(super) fn result(call: &OutboundAttempt, outcome: Outcome) -> AttemptResult {
+/// Returns the result of an attempt that received no answer.
+pub(super) fn result_without_answer(call: &OutboundAttempt, outcome: Outcome) -> AttemptResult {
     AttemptResult::without_answer(call.id, call.attempt, outcome)
 }
 
 impl ConnectionTask {
-    /// Opens streams for the attempts that are not written yet, as far as the node permits.
+    /// Opens streams for the attempts that are not written yet, up to the node's limit on concurrent streams.
     pub(super) fn write_unsent(&mut self, pipe: &mut Pipe<Command>) {
         while pipe.conn.greeted() && pipe.conn.can_open().is_ok() {
             let Some(call) = self.unsent.pop_front() else { return };
             let now = self.shared.runtime.now();
             let time_left = call.deadline.saturating_sub(now);
             if time_left == 0 || call.start_by.is_some_and(|start_by| now > start_by) {
-                self.results.push(result(&call, Outcome::NotSent));
+                self.results.push(result_without_answer(&call, Outcome::NotSent));
                 continue;
             }
             let Ok(stream) = pipe.conn.open(&self.headers(&call, time_left), false) else {
-                self.results.push(result(&call, Outcome::NotSent));
+                self.results.push(result_without_answer(&call, Outcome::NotSent));
                 continue;
             };
             // Cannot fail: the stream is new and its buffer empty.
@@ -84,7 +84,7 @@
                     // RFC 9113, section 8.7: with REFUSED_STREAM the node has not processed the request.
                     let not_processed = code == Code::REFUSED_STREAM && !ours;
                     let outcome = if not_processed { Outcome::Rejected } else { Outcome::Reset };
-                    self.results.push(result(&open.call, outcome));
+                    self.results.push(result_without_answer(&open.call, outcome));
                     self.idle_since = self.shared.runtime.now();
                 }
                 Event::GoAway(code) => {
@@ -96,7 +96,7 @@
         }
     }
 
-    /// Response headers, or trailers.
+    /// Handles response headers or trailers.
     fn on_headers(&mut self, stream: u32, fields: &[Field], end: bool, pipe: &mut Pipe<Command>) {
         let Some(open) = self.open.get_mut(&stream) else { return };
         if !open.status_ok {
@@ -113,12 +113,13 @@
         match open.body.message() {
             Ok(Some(message)) if open.message.is_none() => open.message = Some(message),
             Ok(None) if !end => {}
-            // Too large, a second message, or an end without trailers: it ran, and there is no usable answer.
+            // The message is too large, or is a second one, or the stream ended without trailers: the node ran the request,
+            // but there is no usable answer.
             _ => self.finish(stream, &[], pipe),
         }
     }
 
-    /// Ends a call whose answer is complete, or will not be.
+    /// Ends a call whose response is complete or cannot become complete.
     fn finish(&mut self, stream: u32, trailers: &[Field], pipe: &mut Pipe<Command>) {
         let Some(open) = self.open.remove(&stream) else { return };
         pipe.conn.reset(stream, Code::CANCEL); // no effect on a closed stream
@@ -133,12 +134,12 @@
             body,
             used_units: units,
             deduplicated: repeat,
-            ..result(&open.call, outcome)
+            ..result_without_answer(&open.call, outcome)
         });
     }
 }
 
-/// The ORCA load report in the trailers of a call.
+/// Returns the ORCA load report in the trailers of a call, if there is one.
 fn load_report(trailers: &[Field]) -> Option<LoadReport> {
     let field = trailers.iter().find(|field| field.name == orca::TRAILER)?;
     let load = orca::parse(&field.value)?;
--- a/crates/gateway/src/upstream/connection.rs
+++ b/crates/gateway/src/upstream/connection.rs
@@ -1,7 +1,7 @@
-//! The task of one connection: connects, executes commands, keeps the connection alive while it is idle, and reports the
-//! result of every attempt that was started on it.
+//! The task of one connection: connects, executes commands, closes the connection after it was idle for `keepalive_ms`, and
+//! reports the result of every attempt that was started on it.
 
-use super::calls::{result, OpenCall};
+use super::calls::{result_without_answer, OpenCall};
 use super::{Command, OutboundAttempt, SharedParts};
 use crate::messages::{AttemptResult, DriverEvent};
 use async_channel::Receiver;
@@ -15,20 +15,22 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
 
-/// How long closing a connection may take.
+/// Maximum time for closing a connection, in microseconds.
 const CLOSE_TIMEOUT: Micros = 100_000;
-/// Flow-control windows that are granted to a node, in bytes.
+/// Flow-control window granted to a node for each stream, in bytes (RFC 9113, section 5.2).
 const STREAM_WINDOW: u32 = 1 << 20;
+/// Flow-control window granted to a node for the whole connection, in bytes.
 const CONNECTION_WINDOW: u32 = 8 << 20;
 
 /// State of a connection's task.
 pub(super) struct ConnectionTask {
     pub shared: SharedParts,
     pub address: SocketAddr,
+    /// Set to false when the connection accepts no further calls; shared with its pool.
     pub accepts_calls: Arc<AtomicBool>,
-    /// Not yet written to the connection.
+    /// Attempts that are not yet written to the connection.
     pub unsent: VecDeque<Box<OutboundAttempt>>,
-    /// Written, by stream.
+    /// Calls that are written, by stream id.
     pub open: HashMap<u32, OpenCall>,
     /// Results that the driver has not received yet.
     pub results: Vec<AttemptResult>,
@@ -42,7 +44,7 @@
     address: SocketAddr,
     commands: Receiver<Command>,
     accepts_calls: Arc<AtomicBool>,
-    alive: Receiver<()>,
+    kill: Receiver<()>,
 ) {
     let idle_since = shared.runtime.now();
     let mut task = ConnectionTask {
@@ -55,9 +57,10 @@
         idle_since,
         close_when_idle: false,
     };
-    let unsent_outcome = task.serve(&commands, alive).await;
+    let unsent_outcome = task.serve(&commands, kill).await;
     task.accepts_calls.store(false, Ordering::Relaxed);
-    // Closed before it is emptied: no start can slip in between and stay without a result.
+    // The channel is closed before it is drained, so that no attempt can be queued after the last read and stay without a
+    // result.
     commands.close();
     while let Ok(command) = commands.try_recv() {
         if let Command::Start(call) = command {
@@ -66,13 +69,13 @@
     }
     task.end_unsent(unsent_outcome);
     let open = std::mem::take(&mut task.open);
-    task.results.extend(open.values().map(|open| result(&open.call, Outcome::Reset)));
+    task.results.extend(open.values().map(|open| result_without_answer(&open.call, Outcome::Reset)));
     task.report_results().await;
 }
 
 impl ConnectionTask {
-    /// Serves the connection to its end. Returns the outcome of the attempts that were never written.
-    async fn serve(&mut self, commands: &Receiver<Command>, alive: Receiver<()>) -> Outcome {
+    /// Runs the connection until it closes. Returns the outcome of the attempts that were never written.
+    async fn serve(&mut self, commands: &Receiver<Command>, kill: Receiver<()>) -> Outcome {
         let runtime = self.shared.runtime.clone();
         let upstream = self.shared.settings.settings.upstream.clone();
         let connect_deadline = runtime.now() + upstream.connect_timeout_ms * 1000;
@@ -84,7 +87,7 @@
             ..Config::default()
         };
         let mut pipe =
-            Pipe::new(runtime.clone(), stream, Connection::client(config), commands.clone(), alive);
+            Pipe::new(runtime.clone(), stream, Connection::client(config), commands.clone(), kill);
         loop {
             let idle_deadline = self.idle_since + upstream.keepalive_ms * 1000;
             let deadline = match pipe.conn.greeted() {
@@ -156,34 +159,34 @@
         }
     }
 
-    /// Ends an attempt that is not written yet. Returns false if there is none.
+    /// Ends an attempt if it is not written yet. Returns false otherwise.
     fn cancel_unsent(&mut self, id: RequestId, attempt: u16) -> bool {
         let position = self.unsent.iter().position(|call| call.id == id && call.attempt == attempt);
         let Some(call) = position.and_then(|position| self.unsent.remove(position)) else { return false };
-        self.results.push(result(&call, Outcome::NotSent));
+        self.results.push(result_without_answer(&call, Outcome::NotSent));
         true
     }
 
-    /// Resets the stream of an attempt. The search is linear: the settings bound the streams of a connection.
+    /// Resets the stream of an attempt. A linear search suffices, as the settings limit the streams of a connection.
     fn cancel_open(&mut self, id: RequestId, attempt: u16, pipe: &mut Pipe<Command>) {
-        let is_this = |open: &OpenCall| open.call.id == id && open.call.attempt == attempt;
-        let stream = self.open.iter().find(|(_, open)| is_this(open)).map(|(stream, _)| *stream);
+        let is_attempt = |open: &OpenCall| open.call.id == id && open.call.attempt == attempt;
+        let stream = self.open.iter().find(|(_, open)| is_attempt(open)).map(|(stream, _)| *stream);
         let Some((stream, open)) = stream.and_then(|stream| self.open.remove_entry(&stream)) else { return };
         pipe.conn.reset(stream, Code::CANCEL);
-        self.results.push(result(&open.call, Outcome::Cancelled));
+        self.results.push(result_without_answer(&open.call, Outcome::Cancelled));
         self.idle_since = self.shared.runtime.now();
     }
 
     /// Ends all attempts that are not written yet.
     fn end_unsent(&mut self, outcome: Outcome) {
         let unsent = std::mem::take(&mut self.unsent);
-        self.results.extend(unsent.iter().map(|call| result(call, outcome)));
+        self.results.extend(unsent.iter().map(|call| result_without_answer(call, outcome)));
     }
 
     async fn report_results(&mut self) {
         for result in self.results.drain(..) {
+            // Fails only after the instance has stopped.
             let _ = self.shared.driver.send(DriverEvent::AttemptEnded(Box::new(result))).await;
-            // closed: the instance has stopped
         }
     }
 }
--- a/crates/gateway/src/upstream/mod.rs
+++ b/crates/gateway/src/upstream/mod.rs
@@ -1,7 +1,8 @@
-//! Connections to nodes: HTTP/2, pooled, one gRPC call an attempt.
+//! Pooled HTTP/2 connections to nodes. Each attempt is one gRPC call.
 //!
-//! [`Connections`] is the driver's side: the pools, and commands to the connections. Each connection is a task of its own
-//! ([`connection`]). What passed on the connection determines an attempt's outcome; in doubt it may have run.
+//! [`Connections`] is the driver's side: it holds the pools and sends commands to the connections. Each connection runs in a
+//! task of its own ([`connection`]), which derives the outcome of an attempt from what was sent and received. An attempt
+//! ends as one that has not run only if that is certain.
 
 mod calls;
 mod connection;
@@ -36,12 +37,13 @@
     CloseWhenIdle,
 }
 
+/// The driver's handle to one connection.
 struct PooledConnection {
     backend: BackendId,
     commands: Sender<Command>,
     /// False once the node has sent GOAWAY or the task has ended.
     accepts_calls: Arc<AtomicBool>,
-    /// Attempts that were started on it and have not finished.
+    /// Number of attempts that were started on it and have not finished.
     in_flight: usize,
 }
 
@@ -54,29 +56,32 @@
         self.in_flight < max_in_flight && !self.commands.is_closed() && self.accepts_calls()
     }
 
-    /// Whether its task runs, or the driver has yet to learn how its attempts ended.
+    /// Returns true while the task runs or the driver has not received the results of all its attempts.
     fn is_alive(&self) -> bool {
         self.in_flight > 0 || !self.commands.is_closed()
     }
 }
 
-/// All connections to nodes, as the driver sees them.
+/// The connections to all nodes, in one pool for each backend.
 pub struct Connections {
     shared: SharedParts,
+    /// Closes when the instance stops.
     kill: Receiver<()>,
+    /// Open connections by number.
     connections: HashMap<u64, PooledConnection>,
+    /// Numbers of the connections to each listed backend.
     pools: BTreeMap<BackendId, Vec<u64>>,
     next_connection: u64,
     max_connections: usize,
 }
 
-/// What every connection's task needs.
+/// State that all connection tasks share.
 #[derive(Clone)]
 struct SharedParts {
     runtime: Shared,
     settings: Arc<Compiled>,
     driver: Sender<DriverEvent>,
-    /// Distinguishes this process's request ids from those of every other start.
+    /// Prefix of the ids by which nodes know requests; it differs between instances and between starts of one instance.
     instance_name: Arc<str>,
 }
 
@@ -88,7 +93,7 @@
         kill: Receiver<()>,
         instance_name: &str,
     ) -> Self {
-        // The descriptors that are set aside for nodes, whatever clients use.
+        // File descriptors that are reserved for nodes; clients cannot use them.
         let max_connections = settings.settings.descriptors.nodes as usize;
         let shared = SharedParts { runtime, settings, driver, instance_name: instance_name.into() };
         Connections {
@@ -101,10 +106,10 @@
         }
     }
 
-    /// Sends a command to a connection; without effect if the connection has ended.
+    /// Sends a command to a connection. Does nothing if the connection has ended.
     fn send(&self, connection: u64, command: Command) {
         if let Some(connection) = self.connections.get(&connection) {
-            let _ = connection.commands.try_send(command); // closed: it has ended
+            let _ = connection.commands.try_send(command); // fails only if the task has ended
         }
     }
 
@@ -119,21 +124,21 @@
         });
     }
 
-    /// The least loaded connection to a backend that has capacity.
+    /// Returns the connection to a backend that has the fewest attempts in flight, if one has capacity.
     fn find_connection(&self, backend: BackendId) -> Option<u64> {
         let max_in_flight = self.shared.settings.settings.upstream.max_streams;
         let pool = self.pools.get(&backend)?;
-        let with_capacity = pool.iter().filter(|n| self.connections[*n].has_capacity(max_in_flight));
+        let with_capacity = pool.iter().filter(|number| self.connections[*number].has_capacity(max_in_flight));
         with_capacity.min_by_key(|number| self.connections[*number].in_flight).copied()
     }
 
-    /// Whether one more connection to a backend may be opened.
+    /// Returns true if another connection to a backend may be opened.
     fn may_open(&self, backend: BackendId) -> bool {
         let max_per_backend = self.shared.settings.settings.upstream.connections;
         let pool = self.pools.get(&backend).map_or(&[][..], |pool| &pool[..]);
         let accepting = pool.iter().filter(|number| self.connections[*number].accepts_calls()).count();
         accepting < max_per_backend
-            // Those that finish their last calls count as well, though less.
+            // Connections that only finish their last calls are bounded as well: the whole pool, by twice the maximum.
             && pool.len() < 2 * max_per_backend
             && self.connections.len() < self.max_connections
     }
@@ -141,7 +146,7 @@
     fn open(&mut self, backend: BackendId, address: SocketAddr) -> u64 {
         let number = self.next_connection;
         self.next_connection += 1;
-        // Bounded by `in_flight`: a start and a cancellation for each attempt, and one command to close.
+        // Its length is bounded by `in_flight`: a start and a cancellation for each attempt, and one command to close.
         let (commands, receiver) = async_channel::unbounded();
         let accepts_calls = Arc::new(AtomicBool::new(true));
         let task =
@@ -194,7 +199,8 @@
                 return true;
             }
             for number in pool {
-                // Removing it closes its commands; one with attempts goes when the last has finished.
+                // Removing a connection closes its command channel. One with attempts in flight is removed by
+                // `attempt_finished` after the last of them.
                 if connections.get(number).is_some_and(|connection| connection.in_flight == 0) {
                     connections.remove(number);
                 }
