--- a/crates/gateway/src/driver/attempts.rs
+++ b/crates/gateway/src/driver/attempts.rs
@@ -16,8 +16,8 @@
 impl<U: Upstream> Driver<U> {
     /// Starts the next attempt of a request.
     ///
-    /// The attempt ends at `give_up_at` or at the request's deadline, whichever is earlier, and must not be written to a
-    /// connection after `start_by`. Both are absolute times in microseconds; 0 means that there is no such limit.
+    /// The attempt ends at `give_up_at` or at the request's deadline, whichever is earlier, and must not be written to
+    /// a connection after `start_by`. Both are absolute times in microseconds; 0 means that there is no such limit.
     pub(super) fn start_attempt(
         &mut self,
         id: RequestId,
@@ -127,8 +127,8 @@
         });
     }
 
-    /// Handles the result of an attempt: answers the client if the attempt succeeded, settles the request in the ledger, and
-    /// passes the result to the core.
+    /// Handles the result of an attempt: answers the client if the attempt succeeded, settles the request in the
+    /// ledger, and passes the result to the core.
     pub(super) fn on_attempt_result(&mut self, result: AttemptResult) {
         let id = result.id;
         let outcome = result.outcome;
--- a/crates/gateway/src/driver/endpoints.rs
+++ b/crates/gateway/src/driver/endpoints.rs
@@ -55,8 +55,8 @@
         self.handle(Event::Endpoints(update, endpoints));
     }
 
-    /// Cancels the attempts that are not written yet and whose backend is not ready or no longer listed. Otherwise they would
-    /// reach a draining backend, possibly after its grace period.
+    /// Cancels the attempts that are not written yet and whose backend is not ready or no longer listed. Otherwise they
+    /// would reach a draining backend, possibly after its grace period.
     fn cancel_unsent_attempts_to(&mut self, not_ready: &BTreeSet<BackendId>) {
         for (id, in_flight) in self.in_flight.iter() {
             for (number, attempt) in in_flight.attempts_on_connections() {
--- a/crates/gateway/src/driver/ledger_entries.rs
+++ b/crates/gateway/src/driver/ledger_entries.rs
@@ -1,5 +1,5 @@
-//! Ledger entries of requests. An attempt is handed to a connection only after the entry that names its node is durable,
-//! and the end of a request is recorded once.
+//! Ledger entries of requests. An attempt is handed to a connection only after the entry that names its node is
+//! durable, and the end of a request is recorded once.
 
 use super::Driver;
 use crate::ledger::LedgerHandle;
@@ -112,8 +112,8 @@
         }
     }
 
-    /// Hands over the waiting attempts whose entries have become durable. If the ledger's disk has failed, hands over all
-    /// waiting attempts where the settings permit to serve without the ledger, and ends them unsent otherwise.
+    /// Hands over the waiting attempts whose entries have become durable. If the ledger's disk has failed, hands over
+    /// all waiting attempts where the settings permit to serve without the ledger, and ends them unsent otherwise.
     pub(super) fn on_ledger_progress(&mut self) {
         let Some(ledger) = self.ledger.as_ref().map(|ledger| ledger.handle.clone()) else { return };
         let durable_to = ledger.durable_up_to();
--- a/crates/gateway/src/driver/mod.rs
+++ b/crates/gateway/src/driver/mod.rs
@@ -1,9 +1,10 @@
-//! The task that owns the core's state machine ([`Gateway`]). It converts inputs to events in the order of their arrival,
-//! passes them to the core, and carries out the returned actions in their order. The core decides on all requests except
-//! two kinds that the driver rejects: requests beyond the limit in flight, and requests that the ledger cannot record.
+//! The task that owns the core's state machine ([`Gateway`]). It converts inputs to events in the order of their
+//! arrival, passes them to the core, and carries out the returned actions in their order. The core decides on all
+//! requests except two kinds that the driver rejects: requests beyond the limit in flight, and requests that the ledger
+//! cannot record.
 //!
-//! The driver guarantees two properties that depend neither on the core nor on connections: a request is answered at most
-//! once, and an attempt ends at its deadline even if its connection's task reports nothing.
+//! The driver guarantees two properties that depend neither on the core nor on connections: a request is answered at
+//! most once, and an attempt ends at its deadline even if its connection's task reports nothing.
 //!
 //! - [`requests`]: requests from arrival to final answer
 //! - [`attempts`]: their attempts on connections to nodes
@@ -228,8 +229,8 @@
             Action::SendGossip { to, bytes } => self.send_gossip(to, &bytes),
             Action::CloseIdle(backend) => self.connections.close_idle(backend),
             Action::Log(text) => tracing::info!(target: "chalkgap::core", "{text}"),
-            // The limits that the core is configured with do not permit these actions. A polling discovery task has its own
-            // timer.
+            // The limits that the core is configured with do not permit these actions. A polling discovery task has its
+            // own timer.
             Action::CheckHealth(_)
             | Action::AddToCounter { .. }
             | Action::WatchEndpoints(_)
--- a/crates/gateway/src/driver/requests.rs
+++ b/crates/gateway/src/driver/requests.rs
@@ -76,8 +76,8 @@
         if already_answered {
             return tracing::error!(id = id.0, ?answer, "second final answer dropped");
         }
-        // Attempts that are not written yet are no longer needed. The settings may forbid to cancel an attempt that has begun,
-        // but not one that is still unsent.
+        // Attempts that are not written yet are no longer needed. The settings may forbid to cancel an attempt that has
+        // begun, but not one that is still unsent.
         for (number, attempt) in in_flight.attempts_on_connections() {
             self.connections.cancel_unsent(attempt.connection, id, number);
         }
@@ -102,7 +102,7 @@
 
 fn send_response<W>(request: &PendingRequest<W>, answer: Answer) {
     let response = Response { token: request.token, id: request.id, answer };
-    // The channel is never full, as the frontend bounds its open requests by the capacity. It is closed if the client has
-    // disconnected.
+    // The channel is never full, as the frontend bounds its open requests by the capacity. It is closed if the client
+    // has disconnected.
     let _ = request.response_sender.try_send(response);
 }
--- a/crates/gateway/src/instance.rs
+++ b/crates/gateway/src/instance.rs
@@ -1,4 +1,4 @@
-//! An instance: its parts put together, and the handle to it.
+//! Starts the parts of an instance, and provides the handle to it.
 
 use crate::connection_gate::{ConnectionGate, ConnectionGateConfig};
 use crate::discovery;
@@ -24,181 +24,204 @@
 use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering};
 use std::sync::Arc;
 
-/// Inputs that may wait for the driver: beyond these, connections wait.
-const ROOM: usize = 4096;
-/// Messages that may wait to be sent to peers.
-const PEER_ROOM: usize = 1024;
+/// Maximum number of events that are queued for the driver. Connections wait while the queue is full.
+const DRIVER_QUEUE_CAPACITY: usize = 4096;
+/// Maximum number of gossip messages that are queued for sending.
+const GOSSIP_QUEUE_CAPACITY: usize = 1024;
 
-/// How long the ledger's last group may take after a drain whose time is up.
-const LAST_GROUP: Micros = 500_000;
+/// Time that the ledger's last flush may take after the deadline of a drain has passed, in microseconds.
+const LAST_FLUSH_TIMEOUT: Micros = 500_000;
 
-/// A running ingress. Many may live in one process; they share nothing but the runtime. Dropped, it is killed.
+/// A running ingress. Instances in one process share only the runtime. Dropping an instance stops it at once.
 pub struct Instance {
     runtime: Shared,
-    grpc: SocketAddr,
-    mqtt: Option<SocketAddr>,
-    peer: Option<SocketAddr>,
+    grpc_address: SocketAddr,
+    mqtt_address: Option<SocketAddr>,
+    peer_address: Option<SocketAddr>,
     driver: Sender<DriverEvent>,
     telemetry: Arc<Telemetry>,
-    open: Arc<AtomicUsize>,
+    /// Number of open client connections and listeners.
+    open_connections: Arc<AtomicUsize>,
     gate: Arc<ConnectionGate>,
-    desk: Option<Arc<LedgerHandle>>,
-    fleet: Option<Arc<MembershipService>>,
-    sessions: Option<MqttFrontend>,
+    ledger: Option<Arc<LedgerHandle>>,
+    membership: Option<Arc<MembershipService>>,
+    mqtt_frontend: Option<MqttFrontend>,
+    /// Dropped to begin the drain.
     drain: Option<Sender<()>>,
+    /// Dropped to stop all tasks.
     kill: Option<Sender<()>>,
 }
 
 impl Instance {
-    /// Starts an instance: binds its sockets, reads the list that it kept, and serves.
+    /// Starts an instance: binds its sockets, loads the cached node list, and starts to serve.
     ///
     /// # Errors
-    /// See [`StartError`]; nothing runs then.
+    /// Returns [`StartError`] if the settings are invalid, a socket cannot be bound or the ledger cannot be opened. No
+    /// task is left running then.
     #[expect(clippy::too_many_lines, reason = "not split yet, see docs/ROADMAP.md")]
     pub async fn start(settings: Settings, runtime: Shared) -> Result<Instance, StartError> {
         let settings = Arc::new(Compiled::new(settings)?);
-        let (front, fleet) = (&settings.settings.front, &settings.settings.fleet);
-        let bind = |path, address, error| StartError::Bind { path, address, error };
-        let listener =
-            runtime.listen(front.listen).map_err(|e| bind("settings.front.listen", front.listen, e))?;
-        let socket = match &fleet.peers {
+        let frontend_settings = &settings.settings.front;
+        let fleet = &settings.settings.fleet;
+        let bind_error = |path, address, error| StartError::Bind { path, address, error };
+        let grpc_listener = runtime
+            .listen(frontend_settings.listen)
+            .map_err(|error| bind_error("settings.front.listen", frontend_settings.listen, error))?;
+        let peer_socket = match &fleet.peers {
             None => None,
-            Some(p) => {
-                let socket = runtime.datagrams(p.listen);
-                Some(socket.map_err(|e| bind("settings.fleet.peers.listen", p.listen, e))?)
+            Some(peers) => {
+                let socket = runtime.datagrams(peers.listen);
+                Some(socket.map_err(|error| bind_error("settings.fleet.peers.listen", peers.listen, error))?)
             }
         };
         let mqtt = match &settings.settings.mqtt {
             None => None,
-            Some(m) => {
-                let bound = runtime.listen(m.listen);
-                let listener = bound.map_err(|e| bind("settings.mqtt.listen", m.listen, e))?;
-                Some((MqttFrontend::new(&runtime, m.clone()), listener))
+            Some(mqtt_settings) => {
+                let listener = runtime
+                    .listen(mqtt_settings.listen)
+                    .map_err(|error| bind_error("settings.mqtt.listen", mqtt_settings.listen, error))?;
+                Some((MqttFrontend::new(&runtime, mqtt_settings.clone()), listener))
             }
         };
-        let (born, telemetry) = (runtime.now(), Arc::new(Telemetry::default()));
+        let started_at = runtime.now();
+        let telemetry = Arc::new(Telemetry::default());
         let gate =
             ConnectionGate::new(runtime.clone(), ConnectionGateConfig::new(&settings), telemetry.clone());
-        let gate = gate.map_err(|e| SettingsError::Values {
+        let gate = gate.map_err(|error| SettingsError::Values {
             file: "settings".into(),
-            complaints: vec![format!("settings.descriptors: {e}")],
+            complaints: vec![format!("settings.descriptors: {error}")],
         })?;
         gate.load_known_clients().await;
-        if let Some((front, _)) = &mqtt {
-            front.load_sessions(&runtime).await;
+        if let Some((frontend, _)) = &mqtt {
+            frontend.load_sessions(&runtime).await;
         }
-        let opened = LedgerHandle::open(&runtime, &settings, &telemetry).await?;
-        let (driver, input) = async_channel::bounded(ROOM);
+        let opened_ledger = LedgerHandle::open(&runtime, &settings, &telemetry).await?;
+        let (driver, driver_events) = async_channel::bounded(DRIVER_QUEUE_CAPACITY);
         let (drain, drained) = async_channel::bounded(1);
         let (kill, killed) = async_channel::bounded(1);
-        let name = format!("{}-{born:x}", fleet.me);
+        let instance_name = format!("{}-{started_at:x}", fleet.me);
         let mut instance = Instance {
-            grpc: listener.address(),
-            mqtt: mqtt.as_ref().map(|m| m.1.address()),
-            peer: socket.as_ref().map(|s| s.address()),
+            grpc_address: grpc_listener.address(),
+            mqtt_address: mqtt.as_ref().map(|(_, listener)| listener.address()),
+            peer_address: peer_socket.as_ref().map(|socket| socket.address()),
             driver: driver.clone(),
             telemetry: telemetry.clone(),
-            open: Arc::default(),
+            open_connections: Arc::default(),
             gate: gate.clone(),
-            desk: opened.as_ref().map(|o| o.0.clone()),
-            fleet: None,
-            sessions: mqtt.as_ref().map(|m| m.0.clone()),
+            ledger: opened_ledger.as_ref().map(|(ledger, _)| ledger.clone()),
+            membership: None,
+            mqtt_frontend: mqtt.as_ref().map(|(frontend, _)| frontend.clone()),
             drain: Some(drain),
             kill: Some(kill),
             runtime: runtime.clone(),
         };
-        let (alive, spawner) = (killed.clone(), runtime.clone());
-        let start = |task: chalkgap_runtime::BoxFuture<'static, ()>| {
-            spawner.spawn(Box::pin(while_alive(alive.clone(), task))).detach();
+        let spawn_killed = killed.clone();
+        let spawn_runtime = runtime.clone();
+        let spawn = |task: chalkgap_runtime::BoxFuture<'static, ()>| {
+            spawn_runtime.spawn(Box::pin(while_alive(spawn_killed.clone(), task))).detach();
         };
 
-        let (tell, told) = async_channel::bounded(PEER_ROOM);
-        let mut peers = None;
-        if let (Some(p), Some(socket)) = (&fleet.peers, socket) {
+        let (gossip_sender, gossip_receiver) = async_channel::bounded(GOSSIP_QUEUE_CAPACITY);
+        let mut gossip = None;
+        if let (Some(peers), Some(socket)) = (&fleet.peers, peer_socket) {
             let socket: Arc<dyn Datagrams> = Arc::from(socket);
-            // Checked with the settings' values; those who build settings in place skip that.
-            let complaint = || SettingsError::Values {
+            // Settings from a file are checked when they are read; settings that are built in code are not.
+            let invalid_key = || SettingsError::Values {
                 file: "settings".into(),
                 complaints: vec!["settings.fleet.peers.key: expected 64 hexadecimal digits".into()],
             };
-            let key = Key::parse(&p.key).ok_or_else(complaint)?;
-            let view = MembershipService::new(MembershipParams {
+            let key = Key::parse(&peers.key).ok_or_else(invalid_key)?;
+            let membership = MembershipService::new(MembershipParams {
                 runtime: &runtime,
                 socket: &socket,
-                peers: p,
+                peers,
                 key: key.clone(),
                 self_id: fleet.me,
                 gateway_count: fleet.ingresses,
-                incarnation: born,
+                incarnation: started_at,
                 telemetry: &telemetry,
                 driver: &driver,
             });
-            let sealer = Sealer::new(Channel::Gossip, key.clone(), fleet.me, born);
-            let rates = ReceiveRates { gossip: p.per_second, membership: MembershipService::receive_rate(p) };
+            let sealer = Sealer::new(Channel::Gossip, key.clone(), fleet.me, started_at);
+            let rates =
+                ReceiveRates { gossip: peers.per_second, membership: MembershipService::receive_rate(peers) };
             let opener = Opener::new(key, fleet.me, fleet.ingresses, rates);
-            let whereabouts = match &view {
-                Some(view) => Whereabouts::Found(view.clone()),
-                None => Whereabouts::Fixed(p.addresses.clone()),
+            let addresses = match &membership {
+                Some(membership) => PeerAddresses::Membership(membership.clone()),
+                None => PeerAddresses::Static(peers.addresses.clone()),
             };
-            start(Box::pin(tell_peers(socket.clone(), sealer, whereabouts, told)));
-            let ears = (telemetry.clone(), driver.clone(), view.clone());
-            start(Box::pin(hear_peers(runtime.clone(), socket, opener, ears)));
-            if let Some(view) = &view {
-                start(Box::pin(view.clone().run()));
+            spawn(Box::pin(send_gossip(socket.clone(), sealer, addresses, gossip_receiver)));
+            spawn(Box::pin(receive_datagrams(
+                runtime.clone(),
+                socket,
+                opener,
+                telemetry.clone(),
+                driver.clone(),
+                membership.clone(),
+            )));
+            if let Some(membership) = &membership {
+                spawn(Box::pin(membership.clone().run()));
             }
-            instance.fleet = view;
-            peers = Some(tell);
+            instance.membership = membership;
+            gossip = Some(gossip_sender);
         }
 
-        let desk = instance.desk.clone();
-        if let Some((desk, writer)) = opened {
-            desk.tasks(writer, driver.clone(), &killed).into_iter().for_each(start);
+        let ledger = instance.ledger.clone();
+        if let Some((ledger, resources)) = opened_ledger {
+            ledger.tasks(resources, driver.clone(), &killed).into_iter().for_each(spawn);
         }
-        let core = Gateway::new(settings.core(), runtime.random(), born);
-        let connections =
-            Connections::new(runtime.clone(), settings.clone(), driver.clone(), killed.clone(), &name);
+        let core = Gateway::new(settings.core(), runtime.random(), started_at);
+        let connections = Connections::new(
+            runtime.clone(),
+            settings.clone(),
+            driver.clone(),
+            killed.clone(),
+            &instance_name,
+        );
         let limits = &settings.settings.limits;
-        let figures = DriverLimits {
+        let driver_limits = DriverLimits {
             gateway_count: fleet.ingresses,
             self_id: fleet.me,
             max_in_flight: limits.max_open as usize,
             rejection_retry_after: if limits.retry_after { limits.max_retry_after_ms * 1000 } else { 0 },
         };
-        let book = EndpointIds::new(settings.zones.clone(), settings.settings.nodes.most);
-        let main = Driver::new(runtime.clone(), figures, telemetry.clone(), core, connections, input)
-            .with_endpoint_ids(book)
-            .with_gossip(peers)
-            .with_ledger(desk, settings.clone(), name.clone());
+        let endpoint_ids = EndpointIds::new(settings.zones.clone(), settings.settings.nodes.most);
+        let driver_task =
+            Driver::new(runtime.clone(), driver_limits, telemetry.clone(), core, connections, driver_events)
+                .with_endpoint_ids(endpoint_ids)
+                .with_gossip(gossip)
+                .with_ledger(ledger, settings.clone(), instance_name.clone());
         let nodes = &settings.settings.nodes;
-        let mut keep = None;
+        let mut list_cache = None;
         if let Some(path) = &nodes.cache {
             if let Some(list) = discovery::cache::load(&runtime, path).await {
-                // The channel is new and empty.
+                // Cannot fail: the channel is new and empty.
                 let _ = driver.try_send(DriverEvent::NodeList { list: Box::new(list), cached: true });
             }
             let (sender, lists) = async_channel::bounded(16);
-            start(Box::pin(discovery::cache::store_lists(runtime.clone(), path.clone(), lists)));
-            keep = Some(sender);
+            spawn(Box::pin(discovery::cache::store_lists(runtime.clone(), path.clone(), lists)));
+            list_cache = Some(sender);
         }
-        start(Box::pin(main.with_list_cache(keep).run()));
+        spawn(Box::pin(driver_task.with_list_cache(list_cache).run()));
         match &nodes.source {
             ListSource::File { path, every_ms } => {
-                let every = every_ms * 1000;
-                let telemetry = telemetry.clone();
-                let driver = driver.clone();
-                start(Box::pin(discovery::file::watch(
+                spawn(Box::pin(discovery::file::watch(
                     runtime.clone(),
-                    telemetry,
+                    telemetry.clone(),
                     path.clone(),
-                    every,
-                    driver,
+                    every_ms * 1000,
+                    driver.clone(),
                 )));
             }
             ListSource::Roster { address } => {
-                let (telemetry, driver, alive) = (telemetry.clone(), driver.clone(), killed.clone());
-                let task =
-                    discovery::service::watch(runtime.clone(), telemetry, fleet.me, *address, driver, alive);
-                start(Box::pin(task));
+                spawn(Box::pin(discovery::service::watch(
+                    runtime.clone(),
+                    telemetry.clone(),
+                    fleet.me,
+                    *address,
+                    driver.clone(),
+                    killed.clone(),
+                )));
             }
             ListSource::Handle => {}
         }
@@ -207,97 +230,104 @@
             telemetry,
             drain: drained,
             kill: killed.clone(),
-            open: instance.open.clone(),
+            open: instance.open_connections.clone(),
             gate: gate.clone(),
         };
-        let ids = Arc::new(AtomicU64::new(1));
         let context = FrontendContext {
             acceptor: acceptor.clone(),
             settings: settings.clone(),
             driver,
-            next_request: ids,
-            instance_name: name,
+            next_request: Arc::new(AtomicU64::new(1)),
+            instance_name,
         };
-        start(Box::pin(gate.run()));
-        if let Some((front, listener)) = mqtt {
-            start(Box::pin(front.clone().run(runtime.clone())));
-            start(Box::pin(frontends::listen(front, context.clone(), acceptor.clone(), listener)));
+        spawn(Box::pin(gate.run()));
+        if let Some((frontend, listener)) = mqtt {
+            spawn(Box::pin(frontend.clone().run(runtime.clone())));
+            spawn(Box::pin(frontends::listen(frontend, context.clone(), acceptor.clone(), listener)));
         }
-        start(Box::pin(frontends::listen(GrpcFrontend, context, acceptor, listener)));
-        tracing::info!(ingress = fleet.me, grpc = %instance.grpc, "started");
+        spawn(Box::pin(frontends::listen(GrpcFrontend, context, acceptor, grpc_listener)));
+        tracing::info!(ingress = fleet.me, grpc = %instance.grpc_address, "started");
         Ok(instance)
     }
 
-    /// Where the gRPC front listens.
+    /// Returns the address on which gRPC clients are accepted.
     pub fn grpc_address(&self) -> SocketAddr {
-        self.grpc
+        self.grpc_address
     }
 
-    /// Where the MQTT front listens.
+    /// Returns the address on which MQTT clients are accepted. `None`: the settings have no MQTT frontend.
     pub fn mqtt_address(&self) -> Option<SocketAddr> {
-        self.mqtt
+        self.mqtt_address
     }
 
-    /// Where messages of peers are received.
+    /// Returns the address on which datagrams of peers are received. `None`: the settings have no peers.
     pub fn peer_address(&self) -> Option<SocketAddr> {
-        self.peer
+        self.peer_address
     }
 
-    /// Who is there, as of now; none where the settings have no view.
+    /// Returns the members of the fleet as this instance knows them now. `None`: the settings do not enable membership.
     pub fn fleet(&self) -> Option<FleetSnapshot> {
-        self.fleet.as_ref().map(|f| f.snapshot())
+        self.membership.as_ref().map(|membership| membership.snapshot())
     }
 
-    /// Ends when a later start of this one's number is in the fleet: this one has to go. Never, where there is no view.
+    /// Completes when a process that was started later with the same gateway id has joined the fleet. This instance
+    /// must stop then, as the two together could admit twice a gateway's share.
+    ///
+    /// Never completes if the settings do not enable membership.
     pub fn superseded(&self) -> impl Future<Output = ()> + Send + 'static {
-        let over = self.fleet.as_ref().map(|f| f.superseded());
+        let superseded = self.membership.as_ref().map(|membership| membership.superseded());
         async move {
-            match over {
-                Some(over) => over.await,
+            match superseded {
+                Some(superseded) => superseded.await,
                 None => std::future::pending().await,
             }
         }
     }
 
-    /// Running totals since the start.
+    /// Returns the totals since the start.
     pub fn counts(&self) -> Counts {
         self.telemetry.counts()
     }
 
-    /// Tells a node list, as a source would.
+    /// Replaces the node list, as a source of lists does.
     pub async fn nodes(&self, list: NodeList) {
-        let input = DriverEvent::NodeList { list: Box::new(list), cached: false };
-        let _ = self.driver.send(input).await; // closed: it has been stopped
+        let event = DriverEvent::NodeList { list: Box::new(list), cached: false };
+        let _ = self.driver.send(event).await; // fails only after the instance has stopped
     }
 
-    /// Drains: no new connections, clients are told to go elsewhere, what was taken gets its answer. Ends when all
-    /// connections are closed, or at `until`; true if none was left.
+    /// Drains the instance: accepts no new connections, asks clients to reconnect elsewhere, and answers the requests
+    /// that were accepted.
+    ///
+    /// Returns true when all connections are closed, or false if some are still open at `until`, an absolute time in
+    /// microseconds.
     pub async fn drain(&mut self, until: Micros) -> bool {
         self.drain = None;
         self.gate.drain();
-        if let Some(fleet) = &self.fleet {
-            fleet.leave().await;
+        if let Some(membership) = &self.membership {
+            membership.leave().await;
         }
         self.gate.store_known_clients().await;
-        let mut whole = true;
-        while whole && self.open.load(Ordering::Relaxed) > 0 {
+        let mut all_closed = true;
+        while all_closed && self.open_connections.load(Ordering::Relaxed) > 0 {
             let now = self.runtime.now();
-            whole = now < until;
+            all_closed = now < until;
             self.runtime.sleep_until((now + 5000).min(until)).await;
         }
-        if let Some(front) = &self.sessions {
-            front.store_sessions(&self.runtime).await;
+        if let Some(frontend) = &self.mqtt_frontend {
+            frontend.store_sessions(&self.runtime).await;
         }
-        if let Some(desk) = &self.desk {
-            // Ends of requests are in no hurry, but now is the last chance to write them down.
-            desk.flush(until.max(self.runtime.now() + LAST_GROUP)).await;
+        if let Some(ledger) = &self.ledger {
+            // Entries that settle requests are not written at once; this is the last chance to make them durable.
+            ledger.flush(until.max(self.runtime.now() + LAST_FLUSH_TIMEOUT)).await;
         }
-        whole
+        all_closed
     }
 
-    /// Stops at once: connections break, what was taken is the clients' to try again.
+    /// Stops the instance at once: resets its connections and leaves open requests unanswered, for their clients to
+    /// retry.
     pub fn stop(&mut self) {
-        (self.drain, self.kill) = (None, None);
+        self.drain = None;
+        self.kill = None;
     }
 }
 
@@ -307,60 +337,64 @@
     }
 }
 
-/// Where peers are.
-enum Whereabouts {
-    /// As settings say, by number.
-    Fixed(Vec<SocketAddr>),
-    /// As the view has it.
-    Found(Arc<MembershipService>),
+/// Source of the peers' addresses.
+enum PeerAddresses {
+    /// The addresses in the settings, indexed by gateway id.
+    Static(Vec<SocketAddr>),
+    /// The addresses that the membership protocol has found.
+    Membership(Arc<MembershipService>),
 }
 
-impl Whereabouts {
-    fn of(&self, number: u16) -> Option<SocketAddr> {
+impl PeerAddresses {
+    fn address(&self, peer: u16) -> Option<SocketAddr> {
         match self {
-            Whereabouts::Fixed(list) => list.get(usize::from(number)).copied(),
-            Whereabouts::Found(fleet) => fleet.address(number),
+            PeerAddresses::Static(addresses) => addresses.get(usize::from(peer)).copied(),
+            PeerAddresses::Membership(membership) => membership.address(peer),
         }
     }
 }
 
-async fn tell_peers(
+/// Sends the core's gossip to peers. A message to a peer without a known address is dropped.
+async fn send_gossip(
     socket: Arc<dyn Datagrams>,
     mut sealer: Sealer,
-    whereabouts: Whereabouts,
-    told: Receiver<(u16, Vec<u8>)>,
+    addresses: PeerAddresses,
+    gossip: Receiver<(u16, Vec<u8>)>,
 ) {
-    while let Ok((to, message)) = told.recv().await {
-        let Some(address) = whereabouts.of(to) else { continue };
-        // Lost without a word, as any datagram may be: the module reckons with it.
+    while let Ok((to, message)) = gossip.recv().await {
+        let Some(address) = addresses.address(to) else { continue };
+        // A send error counts as a lost datagram, which the core tolerates.
         let _ = socket.send(&sealer.seal(to, &message), address).await;
     }
 }
 
-async fn hear_peers(
+/// Receives the datagrams of peers: passes gossip to the driver, and membership messages to the membership service.
+async fn receive_datagrams(
     runtime: Shared,
     socket: Arc<dyn Datagrams>,
     mut opener: Opener,
-    (telemetry, driver, view): (Arc<Telemetry>, Sender<DriverEvent>, Option<Arc<MembershipService>>),
+    telemetry: Arc<Telemetry>,
+    driver: Sender<DriverEvent>,
+    membership: Option<Arc<MembershipService>>,
 ) {
     let mut buffer = [0; MAX_DATAGRAM + 1];
     loop {
-        let (n, source) = match socket.receive(&mut buffer).await {
-            Ok(got) => got,
+        let (length, source) = match socket.receive(&mut buffer).await {
+            Ok(received) => received,
             Err(_) => {
-                // A peer that is down comes back as an error of the socket: the next receive is fine.
+                // The socket reports an unreachable peer as an error of `receive`; a later call can succeed.
                 runtime.sleep_until(runtime.now() + 1000).await;
                 continue;
             }
         };
-        match (opener.open(runtime.now(), &buffer[..n]), &view) {
+        match (opener.open(runtime.now(), &buffer[..length]), &membership) {
             (Ok(Opened { channel: Channel::Gossip, from, message }), _) => {
-                let input = DriverEvent::Gossip { from, bytes: message.to_vec() };
-                if driver.send(input).await.is_err() {
+                let event = DriverEvent::Gossip { from, bytes: message.to_vec() };
+                if driver.send(event).await.is_err() {
                     return;
                 }
             }
-            (Ok(o), Some(view)) => view.receive(o.from, source, o.message).await,
+            (Ok(opened), Some(membership)) => membership.receive(opened.from, source, opened.message).await,
             (Ok(_), None) | (Err(_), _) => add(&telemetry.peer_dropped),
         }
     }
--- a/crates/gateway/src/upstream/calls.rs
+++ b/crates/gateway/src/upstream/calls.rs
@@ -113,8 +113,8 @@
         match open.body.message() {
             Ok(Some(message)) if open.message.is_none() => open.message = Some(message),
             Ok(None) if !end => {}
-            // The message is too large, or is a second one, or the stream ended without trailers: the node ran the request,
-            // but there is no usable answer.
+            // The message is too large, or is a second one, or the stream ended without trailers: the node ran the
+            // request, but there is no usable answer.
             _ => self.finish(stream, &[], pipe),
         }
     }
--- a/crates/gateway/src/upstream/connection.rs
+++ b/crates/gateway/src/upstream/connection.rs
@@ -1,5 +1,5 @@
-//! The task of one connection: connects, executes commands, closes the connection after it was idle for `keepalive_ms`, and
-//! reports the result of every attempt that was started on it.
+//! The task of one connection: connects, executes commands, closes the connection after it was idle for `keepalive_ms`,
+//! and reports the result of every attempt that was started on it.
 
 use super::calls::{result_without_answer, OpenCall};
 use super::{Command, OutboundAttempt, SharedParts};
@@ -59,8 +59,8 @@
     };
     let unsent_outcome = task.serve(&commands, kill).await;
     task.accepts_calls.store(false, Ordering::Relaxed);
-    // The channel is closed before it is drained, so that no attempt can be queued after the last read and stay without a
-    // result.
+    // The channel is closed before it is drained, so that no attempt can be queued after the last read and stay without
+    // a result.
     commands.close();
     while let Ok(command) = commands.try_recv() {
         if let Command::Start(call) = command {
