--- a/crates/gateway/src/connection_gate/config.rs
+++ b/crates/gateway/src/connection_gate/config.rs
@@ -6,14 +6,14 @@
 use chalkgap_admission::{Caps, CidrBlock, DescriptorReservations};
 use std::path::PathBuf;
 
-/// The smallest capacity for addresses without a connection that the decider remembers.
+/// Minimum capacity for addresses that are remembered although they have no connection.
 const MIN_REMEMBERED_ADDRESSES: usize = 1024;
 
 /// Configuration of a [`ConnectionGate`](super::ConnectionGate).
 pub struct ConnectionGateConfig {
     /// How the process's file descriptors are divided.
     pub split: DescriptorReservations,
-    /// An upper bound on the descriptors in use, below the process's own limit.
+    /// Maximum number of descriptors in use; has no effect if the process's own limit is lower.
     pub max_descriptors: u64,
     /// Limits of connection admission.
     pub caps: Caps,
@@ -21,14 +21,14 @@
     pub known_clients: KnownClientLimits,
     /// Blocks of addresses that always count as known clients.
     pub always_known: Vec<CidrBlock>,
-    /// The file in which known clients are stored; `None`: they are forgotten at a restart.
+    /// The file in which known clients are stored. `None`: they are forgotten at a restart.
     pub known_clients_file: Option<PathBuf>,
-    /// Below which throughput a client counts as too slow.
+    /// The throughput below which a client counts as too slow.
     pub minimum_throughput: MinimumThroughput,
 }
 
 impl ConnectionGateConfig {
-    /// The configuration that the settings describe.
+    /// Creates the configuration that the settings describe.
     pub(crate) fn new(settings: &Compiled) -> ConnectionGateConfig {
         let admission = &settings.settings.admission;
         let descriptors = &settings.settings.descriptors;
--- a/crates/gateway/src/connection_gate/mod.rs
+++ b/crates/gateway/src/connection_gate/mod.rs
@@ -1,7 +1,7 @@
 //! Connection admission for all frontends of an instance.
 //!
-//! A frontend requests a [`Permit`] for each connection from the one [`ConnectionGate`] and reports on it what happens on
-//! the connection. The decisions are those of `chalkgap_admission`.
+//! A frontend requests a [`Permit`] for each connection from the instance's [`ConnectionGate`], and reports the events
+//! of the connection through it. `chalkgap_admission` takes the decisions.
 
 mod config;
 mod permit;
@@ -25,30 +25,30 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-/// Bytes of the file of known clients: a few hundred for each address.
+/// Maximum size of the file of known clients, in bytes. An address takes a few hundred bytes.
 const MAX_KNOWN_CLIENTS_BYTES: u64 = 1 << 30;
-/// Time between two looks at stalls and deadlines.
+/// Interval of the periodic checks, in microseconds.
 const TICK: Micros = 100_000;
-/// The process's limit on descriptors is read once a second.
+/// Ticks between two checks of the process's limit on descriptors: one second.
 const TICKS_PER_LIMIT_CHECK: u64 = 10;
-/// Known clients are stored every ten seconds.
+/// Ticks between two writes of the known clients to their file: ten seconds.
 const TICKS_PER_STORE: u64 = 100;
-/// An instance does not start if its descriptors leave fewer than these for clients.
+/// Minimum number of descriptors for clients; an instance with fewer does not start.
 const MIN_CLIENT_DESCRIPTORS: u64 = 8;
 
 struct State {
     admission: Admission,
     stall_detector: StallDetector,
-    /// Dropped to evict a connection, or to begin the drain.
+    /// One sender for each connection, dropped to evict the connection or to begin the drain.
     signals: HashMap<ConnId, Sender<()>>,
-    /// Dropped to cut a lingering close short.
+    /// One sender for each connection in a lingering close, dropped to cut the close short.
     lingering: HashMap<ConnId, Sender<()>>,
     draining: bool,
     next_id: u64,
     log: RejectionLog,
 }
 
-/// The one gate of an instance.
+/// Admits the client connections of an instance.
 pub struct ConnectionGate {
     runtime: Shared,
     telemetry: Arc<Telemetry>,
@@ -62,10 +62,10 @@
 }
 
 impl ConnectionGate {
-    /// Creates a gate without connections.
+    /// Creates a gate that has no connections yet.
     ///
     /// # Errors
-    /// The descriptors that are set aside leave too few for clients.
+    /// Returns [`BudgetError`] if the reserved descriptors leave too few for clients.
     pub fn new(
         runtime: Shared,
         config: ConnectionGateConfig,
@@ -104,7 +104,7 @@
     /// Decides on a connection that was accepted from `address`.
     ///
     /// # Errors
-    /// It is rejected.
+    /// Returns [`Rejection`] if the connection is not admitted.
     pub fn admit(self: &Arc<Self>, address: IpAddr) -> Result<Permit, Rejection> {
         let now = self.runtime.now();
         let mut state = self.state();
@@ -119,7 +119,7 @@
                 }
                 let (signal, receiver) = async_channel::bounded(1);
                 if !state.draining {
-                    state.signals.insert(id, signal); // else dropped here: the connection sees the drain at once
+                    state.signals.insert(id, signal); // otherwise dropped here, which signals the drain at once
                 }
                 state.end_lingering_for_others();
                 Ok(Permit { gate: self.clone(), id, signal: receiver })
@@ -133,12 +133,12 @@
         }
     }
 
-    /// The number of open connections.
+    /// Returns the number of open connections.
     pub fn open_connections(&self) -> usize {
         self.state().admission.open_by_standing().iter().sum::<u64>() as usize
     }
 
-    /// Accepting a connection failed for lack of a resource. Returns the time of the next try.
+    /// Records that accepting a connection failed for lack of a resource. Returns the time at which to try again.
     pub fn accept_failed(&self, error: &std::io::Error) -> Micros {
         add(&self.telemetry.accept_failed);
         let now = self.runtime.now();
@@ -148,14 +148,15 @@
         retry_at
     }
 
-    /// Signals the drain to every connection.
+    /// Signals the drain to all connections, including later ones.
     pub fn drain(&self) {
         let mut state = self.state();
         state.draining = true;
         state.signals.clear();
     }
 
-    /// Loads the stored known clients. A file that is missing or damaged does not keep an instance from starting.
+    /// Loads the stored known clients. A missing or damaged file does not prevent the instance from
+    /// starting.
     pub async fn load_known_clients(&self) {
         let Some(path) = &self.known_clients_file else { return };
         let bytes = match self.runtime.files().read(path, MAX_KNOWN_CLIENTS_BYTES).await {
@@ -172,7 +173,7 @@
         }
     }
 
-    /// Stores the known clients.
+    /// Stores the known clients in their file, if the settings name one.
     pub async fn store_known_clients(&self) {
         let Some(path) = &self.known_clients_file else { return };
         let bytes = self.state().admission.known_clients.snapshot();
@@ -181,8 +182,8 @@
         }
     }
 
-    /// Runs for as long as the instance lives: detects stalls, follows the process's descriptor limit, stores known
-    /// clients.
+    /// Runs the periodic checks until the instance stops: detects stalls of the process, follows its descriptor limit,
+    /// and stores known clients.
     pub async fn run(self: Arc<Self>) {
         for tick in 1u64.. {
             self.runtime.sleep_until(self.runtime.now() + TICK).await;
@@ -208,10 +209,10 @@
         if old == limit {
             return;
         }
-        // A limit below what is set aside leaves nothing for clients; those with open requests are still served.
+        // If the limit is below the reservations, clients get no descriptors. Connections with open requests are kept.
         let no_clients = DescriptorBudget { clients: 0, nodes: self.split.nodes, spare: self.split.spare };
         let budget = self.split.split(limit, 1).unwrap_or(no_clients);
-        tracing::warn!(old, limit, clients = budget.clients, "the limit of descriptors changed");
+        tracing::warn!(old, limit, clients = budget.clients, "file descriptor limit changed");
         let mut state = self.state();
         for id in state.admission.rebudget(now, budget) {
             add(&self.telemetry.connections_evicted);
@@ -222,7 +223,7 @@
 }
 
 impl State {
-    /// Cuts the lingering closes short whose descriptors are needed for other connections.
+    /// Cuts short the lingering closes whose descriptors are needed for other connections.
     fn end_lingering_for_others(&mut self) {
         for id in self.admission.wanted() {
             self.lingering.remove(&id);
--- a/crates/gateway/src/connection_gate/permit.rs
+++ b/crates/gateway/src/connection_gate/permit.rs
@@ -1,4 +1,4 @@
-//! The handles that connections have: of one that was admitted, and of one that was rejected.
+//! Handles of connections: [`Permit`] of an admitted one, [`Rejection`] of a rejected one.
 
 use super::ConnectionGate;
 use async_channel::Receiver;
@@ -21,16 +21,16 @@
 /// How a request on a connection ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestEnd {
-    /// It was served: its client's address becomes a known one.
+    /// The request was served. The client's address becomes a known client.
     Served {
-        /// The number of the account.
+        /// The account's number.
         account: u64,
-        /// Whether the account's plan is one of the most expensive.
+        /// Whether the account's plan is one of the most expensive ones.
         preferred: bool,
     },
-    /// It was rejected.
+    /// The request was rejected.
     Rejected,
-    /// Neither, or it does not count.
+    /// The request ended otherwise, or does not count for admission.
     Other,
 }
 
@@ -40,17 +40,17 @@
         act(&mut self.gate.state().admission, now, self.id)
     }
 
-    /// The client has completed its handshake.
+    /// Records that the client has completed its handshake.
     pub fn handshake_completed(&self) {
         self.with_admission(|admission, now, id| admission.handshaken(now, id));
     }
 
-    /// A request has arrived.
+    /// Records that a request has arrived.
     pub fn request_started(&self) {
         self.with_admission(|admission, now, id| admission.request(now, id));
     }
 
-    /// A request has ended.
+    /// Records that a request has ended.
     pub fn request_ended(&self, end: RequestEnd) {
         let served = match end {
             RequestEnd::Served { account, preferred } => Some((account, preferred)),
@@ -60,22 +60,23 @@
         self.with_admission(|admission, now, id| admission.ended(now, id, served, rejected));
     }
 
-    /// The time by which clients are judged: it does not advance while this process stalls.
+    /// Returns the time by which the timeouts of clients are measured. It does not advance while this process stalls.
     pub fn time_without_stalls(&self) -> Micros {
         self.with_admission(|admission, now, _| admission.own_time(now))
     }
 
-    /// The earliest time at which bytes that are read now may have arrived: before the process stalled, if it did.
+    /// Returns the earliest time at which bytes that are read now may have arrived. After a stall of this process, that
+    /// is the time before the stall.
     pub fn earliest_arrival(&self) -> Micros {
         self.gate.state().stall_detector.earliest_arrival(self.gate.runtime.now())
     }
 
-    /// Whether the signal means that the gateway drains, and not that this connection is evicted.
+    /// Returns true if `signal` is closed because the gateway drains, and not because this connection is evicted.
     pub fn draining(&self) -> bool {
         self.gate.state().draining
     }
 
-    /// Refuses an eviction, because the connection has a request by now. Returns its new signal.
+    /// Refuses an eviction, because a request has arrived on the connection in the meantime. Returns the new signal.
     pub fn refuse_eviction(&self) -> Receiver<()> {
         let mut state = self.gate.state();
         let (signal, receiver) = async_channel::bounded(1);
@@ -86,8 +87,8 @@
         receiver
     }
 
-    /// Runs the lingering close of a connection: `close` writes what is left and waits for the client to close its side.
-    /// It is cut short when another connection needs the descriptor.
+    /// Runs the lingering close of a connection: `close` writes the remaining bytes and waits for the client to close
+    /// its side. It is cut short when another connection needs the descriptor.
     pub async fn linger(&self, close: impl Future<Output = ()>) {
         let (keep_open, cut_short) = async_channel::bounded::<()>(1);
         {
@@ -102,7 +103,7 @@
         future::or(close, cut_short).await;
     }
 
-    /// Below which throughput the client counts as too slow.
+    /// Returns the throughput below which the client counts as too slow.
     pub fn minimum_throughput(&self) -> MinimumThroughput {
         self.gate.minimum_throughput
     }
@@ -120,13 +121,13 @@
 
 /// A connection that was not admitted.
 pub struct Rejection {
-    /// After how long the client may come back.
+    /// Time after which the client may reconnect, in microseconds.
     pub retry_after: Micros,
-    /// Held while the rejection is written. `None`: there is no descriptor to wait with, and the connection is closed.
+    /// Held while the rejection is written. `None`: no spare descriptor is free, and the connection is closed at once.
     pub slot: Option<RejectionSlot>,
 }
 
-/// A descriptor for writing one rejection. Returned to the gate when dropped.
+/// The right to keep one spare descriptor open while a rejection is written. Returned to the gate when dropped.
 pub struct RejectionSlot(Arc<ConnectionGate>);
 
 impl RejectionSlot {
--- a/crates/gateway/src/connection_gate/rejection_log.rs
+++ b/crates/gateway/src/connection_gate/rejection_log.rs
@@ -1,20 +1,23 @@
-//! Log lines about connections that were not accepted: one a second at most, with counts.
+//! Log lines about connections that were not accepted: at most one line a second, with counts.
 
 use chalkgap_admission::Reason;
 use chalkgap_runtime::Micros;
 use std::net::IpAddr;
 
+/// Minimum time between two log lines, in microseconds.
 const MIN_LOG_INTERVAL: Micros = 1_000_000;
 
-/// Rejections by reason since the last log line, and when that was written.
+/// Counts rejections between log lines.
 #[derive(Default)]
 pub(super) struct RejectionLog {
+    /// Rejections by reason since the last log line.
     unlogged: [u64; 5],
+    /// Time of the last log line.
     logged_at: Micros,
 }
 
 impl RejectionLog {
-    /// Counts a rejection, and logs the counts if the last line is old enough.
+    /// Counts a rejection, and logs the counts if [`MIN_LOG_INTERVAL`] has passed since the last line.
     pub fn rejected(&mut self, now: Micros, address: IpAddr, reason: Reason) {
         self.unlogged[reason as usize] += 1;
         if !self.is_due(now) {
@@ -25,7 +28,7 @@
         tracing::warn!(address_cap, prefix, rate, handshakes, full, ?last, "connections rejected");
     }
 
-    /// Logs that the listener could not accept, if the last line is old enough.
+    /// Logs that the listener could not accept, if [`MIN_LOG_INTERVAL`] has passed since the last line.
     pub fn accept_failed(&mut self, now: Micros, error: &std::io::Error) {
         if self.is_due(now) {
             tracing::error!(%error, "accept failed, listener backs off");
--- a/crates/gateway/src/instance.rs
+++ b/crates/gateway/src/instance.rs
@@ -323,7 +323,7 @@
         all_closed
     }
 
-    /// Stops the instance at once: resets its connections and leaves open requests unanswered, for their clients to
+    /// Stops the instance at once: drops its connections and leaves open requests unanswered. Their clients have to
     /// retry.
     pub fn stop(&mut self) {
         self.drain = None;
--- a/crates/gateway/src/messages.rs
+++ b/crates/gateway/src/messages.rs
@@ -1,5 +1,5 @@
-//! The messages between the driver and its surroundings: frontends, upstream connections, discovery, peers and the
-//! ledger. They stand apart from all of these, so that none has to depend on another.
+//! Messages between the driver and the frontends, upstream connections, discovery, peers and ledger. They have a module
+//! of their own, so that none of these modules has to depend on another.
 
 use crate::node_list::NodeList;
 use crate::settings::Customer;
@@ -14,7 +14,7 @@
 pub struct Work {
     /// The message with its gRPC framing.
     pub(crate) body: Bytes,
-    /// The key by which nodes recognize duplicates.
+    /// The idempotency key, by which nodes recognize duplicates.
     pub(crate) idempotency_key: Option<Bytes>,
 }
 
@@ -28,15 +28,15 @@
     pub account: String,
     /// The customer whose quota it uses.
     pub customer: Customer,
-    /// Units that it takes from the quota.
+    /// Number of units that it takes from the quota.
     pub units: f64,
-    /// When its client stops waiting.
+    /// Time at which its client stops waiting, in microseconds.
     pub deadline: Micros,
-    /// Forwarded to nodes.
+    /// The part that is forwarded to nodes.
     pub work: W,
     /// Receives the response. The frontend bounds its open requests by the capacity of this channel.
     pub response_sender: Sender<Response>,
-    /// Returned in the response; identifies the call to the frontend.
+    /// Identifies the call to the frontend; copied to the response.
     pub token: u32,
 }
 
@@ -44,7 +44,7 @@
 pub struct Response {
     /// The token of the request.
     pub token: u32,
-    /// The request.
+    /// The id of the request.
     pub id: RequestId,
     /// Its final answer.
     pub answer: Answer,
@@ -53,7 +53,7 @@
 /// A final answer.
 #[derive(Debug)]
 pub enum Answer {
-    /// A node has answered.
+    /// A node has answered the request.
     Served {
         /// The body of the node's answer.
         body: Bytes,
@@ -62,41 +62,41 @@
     },
     /// The request has not run; it may be retried without risk.
     Rejected {
-        /// When to retry, in microseconds from now; 0 for no advice.
+        /// Time after which the client should retry, in microseconds; 0 for no advice.
         retry_after: Micros,
     },
-    /// The request may have run.
+    /// The request failed, and may have run.
     Failed {
-        /// Its deadline has passed.
+        /// Whether the request's deadline has passed.
         late: bool,
     },
-    /// No answer, because the client has gone.
+    /// No answer is sent, because the client has cancelled the request or has disconnected.
     ClientGone,
 }
 
-/// The end of an attempt, as its connection saw it.
+/// The result of an attempt, as its connection reports it.
 #[derive(Debug)]
 pub struct AttemptResult {
-    /// The request.
+    /// The id of the request.
     pub id: RequestId,
     /// The number of the attempt within the request.
     pub attempt: u16,
-    /// How it ended.
+    /// How the attempt ended.
     pub outcome: Outcome,
-    /// The answer's body, with [`Outcome::Ok`].
+    /// The body of the node's answer; empty unless the outcome is [`Outcome::Ok`].
     pub body: Bytes,
-    /// The node's load report.
+    /// The load report in the node's answer.
     pub report: Option<LoadReport>,
-    /// The customer's metered use, from nodes that report it.
+    /// The customer's metered use, if the node reports it.
     pub metered_use: Option<f64>,
-    /// Units that the node reports as used.
+    /// Number of units that the node reports as used.
     pub used_units: Option<u32>,
-    /// The node ran nothing, because it had seen the request's idempotency key before.
+    /// Whether the node did not run the request because it has already seen the request's idempotency key.
     pub deduplicated: bool,
 }
 
 impl AttemptResult {
-    /// The result of an attempt that received no answer.
+    /// Creates the result of an attempt that received no answer.
     pub fn without_answer(id: RequestId, attempt: u16, outcome: Outcome) -> Self {
         AttemptResult {
             id,
@@ -115,36 +115,36 @@
 pub enum DriverEvent<W = Work> {
     /// A client's request has arrived.
     Request(Box<PendingRequest<W>>),
-    /// The client of a request has gone.
+    /// The client of a request has cancelled it or has disconnected.
     ClientGone(RequestId),
     /// An attempt has ended.
     AttemptEnded(Box<AttemptResult>),
-    /// A connection to a node has closed, or will when its last attempt ends.
+    /// A connection to a node has closed, or closes as soon as its last attempt ends.
     ConnectionClosed {
         /// The connection's number.
         connection: u64,
-        /// It broke as soon as it was written to.
+        /// Whether the connection broke as soon as it was written to.
         broke_on_first_write: bool,
     },
-    /// Gossip has arrived.
+    /// A gossip message has arrived.
     Gossip {
         /// The id of the sending peer.
         from: u16,
         /// The message.
         bytes: Vec<u8>,
     },
-    /// The membership has lost a peer, or regained it.
+    /// The membership protocol has lost a peer, or has found it again.
     PeerReachability {
         /// The id of the peer.
         peer: u16,
-        /// Whether it counts as a member now.
+        /// Whether the peer counts as a member now.
         reachable: bool,
     },
     /// A complete list of nodes.
     NodeList {
         /// The list.
         list: Box<NodeList>,
-        /// It was read from the cache of an earlier incarnation.
+        /// Whether the list was read from the cache file, which an earlier start of this instance has written.
         cached: bool,
     },
     /// A snapshot of the endpoints, or a change to them, in the core's types.
@@ -158,34 +158,35 @@
     LedgerProgress,
 }
 
-/// An attempt that is to be made.
+/// An attempt that a connection has to make.
 pub struct OutboundAttempt<W = Work> {
-    /// The request.
+    /// The id of the request.
     pub id: RequestId,
     /// The number of the attempt within the request.
     pub attempt: u16,
     /// Index of the request's class in the settings.
     pub class: u8,
-    /// Forwarded to the node.
+    /// The part of the request that is forwarded to the node.
     pub work: W,
-    /// When the request's ledger entry was written.
+    /// Time of the ledger entry that opened the request, in microseconds. `None`: the request has no ledger entry.
     pub ledger_entry_at: Option<Micros>,
-    /// When the attempt is given up.
+    /// Time at which the attempt ends if it has no result by then, in microseconds.
     pub deadline: Micros,
-    /// After this, an attempt that has not begun must not begin.
+    /// Latest time at which the attempt may be written to a connection, in microseconds. `None`: no limit.
     pub start_by: Option<Micros>,
 }
 
 /// Connections to nodes in some protocol.
 ///
-/// Each attempt that [`start`](Upstream::start) accepts ends with one [`DriverEvent::AttemptEnded`]; the driver also ends
-/// it at its deadline, whatever the connection reports. An implementation bounds the attempts it accepts.
+/// Each attempt that [`start`](Upstream::start) accepts ends with one [`DriverEvent::AttemptEnded`]. At its deadline,
+/// the driver ends an attempt without waiting for this event. An implementation limits the number of attempts that it
+/// accepts.
 pub trait Upstream: Send {
     /// The part of a request that is forwarded to nodes.
     type Work: Clone + Send + 'static;
 
-    /// Hands an attempt to a connection and returns the connection's number. `None`: there is no capacity, and nothing
-    /// was written.
+    /// Hands an attempt to a connection and returns the connection's number. `None`: no connection has capacity, and
+    /// nothing was written.
     fn start(
         &mut self,
         backend: BackendId,
@@ -193,17 +194,17 @@
         call: OutboundAttempt<Self::Work>,
     ) -> Option<u64>;
 
-    /// Cancels an attempt, or ends it at its deadline.
+    /// Cancels an attempt. The driver also calls this for an attempt whose deadline has passed.
     fn cancel(&mut self, connection: u64, id: RequestId, attempt: u16);
 
-    /// Cancels an attempt if nothing of it was written; it then ends with [`Outcome::NotSent`]. One that has begun
-    /// continues.
+    /// Cancels an attempt if nothing of it was written; it then ends with [`Outcome::NotSent`]. An attempt that was
+    /// written continues.
     fn cancel_unsent(&mut self, connection: u64, id: RequestId, attempt: u16);
 
-    /// An attempt on this connection has ended.
+    /// Called when an attempt on this connection has ended.
     fn attempt_finished(&mut self, connection: u64);
 
-    /// The connection has closed, or will when its last attempt ends.
+    /// Called when the connection has closed, or closes as soon as its last attempt ends.
     fn connection_closed(&mut self, _connection: u64, _broke_on_first_write: bool) {}
 
     /// Drops the pools of backends that are no longer listed: their connections close after their last attempt.
@@ -213,7 +214,7 @@
     fn close_idle(&mut self, backend: BackendId);
 }
 
-/// The id under which nodes see a request: unique over all instances and their restarts.
+/// Returns the id by which nodes know a request. It is unique across all instances and their restarts.
 pub(crate) fn node_request_id(instance_name: &str, id: RequestId) -> String {
     format!("{instance_name}-{}", id.0)
 }
