--- a/crates/gateway/src/discovery/cache.rs
+++ b/crates/gateway/src/discovery/cache.rs
@@ -1,4 +1,4 @@
-//! The file that stores the last node list for the next start.
+//! Cache file of the last node list, which the next start of the instance reads.
 
 use super::MAX_LIST_BYTES;
 use crate::node_list::NodeList;
@@ -6,7 +6,7 @@
 use chalkgap_runtime::Shared;
 use std::path::{Path, PathBuf};
 
-/// Loads the cached list. `None` if there is none, or if it cannot be read.
+/// Loads the cached list. Returns `None` if there is none, or if it cannot be read or is invalid.
 pub(crate) async fn load(runtime: &Shared, path: &Path) -> Option<NodeList> {
     let bytes = match runtime.files().read(path, MAX_LIST_BYTES).await {
         Ok(bytes) => bytes,
@@ -31,7 +31,7 @@
         while let Ok(newer) = lists.try_recv() {
             list = newer;
         }
-        let Ok(bytes) = serde_json::to_vec(&list) else { continue }; // plain data: always serializable
+        let Ok(bytes) = serde_json::to_vec(&list) else { continue }; // cannot fail: a list is plain data
         if let Err(error) = runtime.files().replace(&path, bytes).await {
             tracing::warn!(path = %path.display(), %error, "node list not cached");
         }
--- a/crates/gateway/src/discovery/file.rs
+++ b/crates/gateway/src/discovery/file.rs
@@ -1,4 +1,4 @@
-//! A node list in a file.
+//! Node lists from a file that is polled.
 
 use super::MAX_LIST_BYTES;
 use crate::messages::DriverEvent;
@@ -9,7 +9,8 @@
 use std::path::PathBuf;
 use std::sync::Arc;
 
-/// Polls a file and passes each changed list to the driver, until the instance stops.
+/// Polls a file every `poll_interval` microseconds and passes each changed list to the driver, until the instance
+/// stops.
 pub(crate) async fn watch(
     runtime: Shared,
     telemetry: Arc<Telemetry>,
@@ -27,7 +28,7 @@
             }
             let bytes = runtime.files().read(&path, MAX_LIST_BYTES).await;
             let bytes = bytes.map_err(|error| error.to_string())?;
-            // A write during the read changes the stamp again: the next poll reads the list that it leaves.
+            // A write during the read changes the stamp again, so that the next poll reads the file again.
             let list = NodeList::parse(&bytes).map_err(|error| error.to_string());
             last_stamp = Some(stamp);
             list.map(Some)
@@ -41,7 +42,7 @@
                 }
             }
             Ok(None) => {}
-            // Logged and counted once, not at every poll.
+            // An error that persists is logged and counted once, not at every poll.
             Err(error) if error == last_error => {}
             Err(error) => {
                 add(&telemetry.lists_bad);
--- a/crates/gateway/src/discovery/mod.rs
+++ b/crates/gateway/src/discovery/mod.rs
@@ -1,6 +1,6 @@
-//! Discovery: where node lists come from.
+//! Discovery: the sources of node lists.
 //!
-//! - [`cache`]: the last list, stored for the next start
+//! - [`cache`]: the file that keeps the last list for the next start
 //! - [`file`]: a file that is polled
 //! - [`service`]: a discovery service that pushes lists over gRPC
 
@@ -8,5 +8,5 @@
 pub(crate) mod file;
 pub(crate) mod service;
 
-/// Most bytes of a list: room for some ten thousand nodes.
+/// Maximum size of a list in bytes, enough for about ten thousand nodes.
 const MAX_LIST_BYTES: u64 = 16 << 20;
--- a/crates/gateway/src/discovery/service.rs
+++ b/crates/gateway/src/discovery/service.rs
@@ -1,4 +1,4 @@
-//! A discovery service: a gRPC call that streams node lists.
+//! Node lists from a discovery service, which streams them in a gRPC call.
 
 use super::MAX_LIST_BYTES;
 use crate::messages::DriverEvent;
@@ -16,12 +16,13 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// Backoff between two calls; it doubles from the smallest to the largest.
+/// Initial backoff between two calls, in microseconds. It doubles after each call that brought no new list.
 const MIN_BACKOFF: Micros = 50_000;
+/// Maximum backoff between two calls, in microseconds.
 const MAX_BACKOFF: Micros = 5_000_000;
-/// How long connecting may take.
+/// Maximum time for connecting, in microseconds.
 const CONNECT_TIMEOUT: Micros = 5_000_000;
-/// A silent connection is pinged after this, and closed after as long again.
+/// Time without data after which the connection is pinged, and after the same time again closed, in microseconds.
 const PING_AFTER: Micros = 5_000_000;
 
 /// Why a call to the discovery service ended.
@@ -72,17 +73,17 @@
         }
         add(&telemetry.lists_bad);
         if !logged {
-            // Once for each outage.
-            logged = true;
+            logged = true; // one log line for each outage
             tracing::warn!(roster = %address, %error, revision, "discovery call ended, keeping the last list");
         }
-        // Jitter: gateways that lost the service together do not return together.
+        // Jitter spreads the reconnects of gateways that lost the service at the same time.
         let jitter = runtime.random() % (backoff / 2);
         runtime.sleep_until(runtime.now() + backoff / 2 + jitter).await;
         backoff = (backoff * 2).min(MAX_BACKOFF);
     }
 }
 
+/// State that is kept between calls to the discovery service.
 struct Watcher {
     runtime: Shared,
     gateway: u16,
@@ -153,7 +154,7 @@
         future::or(self.runtime.connect(self.address), timeout).await.map_err(CallError::Connect)
     }
 
-    /// Opens the call's stream and returns its number.
+    /// Opens the call's stream and returns its id.
     fn open_call(&self, connection: &mut Connection) -> Option<u32> {
         let fields = [
             Field::constant(":method", "POST"),
--- a/crates/gateway/src/node_list/endpoint_ids.rs
+++ b/crates/gateway/src/node_list/endpoint_ids.rs
@@ -1,29 +1,30 @@
-//! Conversion of node lists to the core's endpoints, which have numbers in place of names.
+//! Conversion of node lists to the core's endpoints, which have numbers instead of names.
 
 use super::{Node, NodeList, State};
 use chalkgap_core::{Availability, BackendId, Endpoint};
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
-/// Why a list is rejected. The one before stays in force.
+/// Reason why a node list is rejected. The previous list stays in force.
 #[derive(Debug, thiserror::Error)]
 #[allow(missing_docs)]
 pub enum ListError {
-    #[error("the list is not readable: {0}")]
-    Form(#[from] serde_json::Error),
-    #[error("{0} nodes, at most {1} are taken")]
+    #[error("invalid node list: {0}")]
+    Malformed(#[from] serde_json::Error),
+    #[error("nodes: expected at most {1}, found {0}")]
     TooMany(usize, usize),
-    #[error("nodes[{0}].address: {1} is there twice")]
+    #[error("nodes[{0}].address: {1} is listed twice")]
     Duplicate(usize, SocketAddr),
-    #[error("nodes[{0}].zone: {1:?} is none of the settings' zones")]
+    #[error("nodes[{0}].zone: expected a zone of the settings, found {1:?}")]
     Zone(usize, String),
     #[error("nodes[{0}].size: expected a positive number, found {1}")]
     Size(usize, f64),
-    #[error("nodes[{0}].{1}: more names than can be told apart since the start")]
+    #[error("nodes[{0}].{1}: more than 65536 different names since the start")]
     TooManyNames(usize, &'static str),
 }
 
-/// The id of the backend at an address: an IPv4 address with its port, or 63 bits of a hash of an IPv6 address.
+/// Returns the id of the backend at `address`: an IPv4 address with its port, or 63 bits of a hash of an IPv6 address
+/// with its port.
 pub fn backend_id(address: SocketAddr) -> BackendId {
     BackendId(match address {
         SocketAddr::V4(address) => u64::from(u32::from(*address.ip())) << 16 | u64::from(address.port()),
@@ -36,9 +37,10 @@
     })
 }
 
-/// Numbers for the names in node lists, and the addresses of the last list.
+/// Assigns numbers to the names in node lists, and keeps the addresses of the last list.
 ///
-/// A number is never reused while the instance lives: two cells with one number could run a duplicate twice.
+/// A number is not reused while the instance runs: if two cells had the same number, both could run a duplicate
+/// request.
 pub struct EndpointIds {
     zones: HashMap<String, u8>,
     max_nodes: usize,
@@ -48,7 +50,7 @@
 }
 
 impl EndpointIds {
-    /// For lists of at most `max_nodes` nodes in these zones.
+    /// Creates a conversion for lists of at most `max_nodes` nodes in `zones`.
     pub fn new(zones: HashMap<String, u8>, max_nodes: usize) -> Self {
         EndpointIds {
             zones,
@@ -59,10 +61,10 @@
         }
     }
 
-    /// Converts a complete list.
+    /// Converts a complete list to endpoints.
     ///
     /// # Errors
-    /// See [`ListError`]; the addresses of the last list stay.
+    /// Returns [`ListError`] if the list is invalid. The addresses of the last valid list are kept.
     pub fn convert(&mut self, list: &NodeList) -> Result<Vec<Endpoint>, ListError> {
         if list.nodes.len() > self.max_nodes {
             return Err(ListError::TooMany(list.nodes.len(), self.max_nodes));
@@ -100,18 +102,18 @@
         })
     }
 
-    /// The address of a node in the last list.
+    /// Returns the address of a node in the last valid list.
     pub fn address(&self, backend: BackendId) -> Option<SocketAddr> {
         self.addresses.get(&backend).copied()
     }
 }
 
-/// Numbers in the order in which names are first seen.
+/// Numbers names in the order of their first use.
 #[derive(Default)]
 struct NameNumbers(HashMap<String, u16>);
 
 impl NameNumbers {
-    /// The number of a name. `None` if it is new and all numbers are taken.
+    /// Returns the number of a name. `None`: the name is new and all numbers are in use.
     fn number(&mut self, name: &str) -> Option<u16> {
         if let Some(number) = self.0.get(name) {
             return Some(*number);
--- a/crates/gateway/src/node_list/mod.rs
+++ b/crates/gateway/src/node_list/mod.rs
@@ -1,6 +1,6 @@
 //! The list of nodes: its format in files and in memory, and its conversion to the core's endpoints.
 //!
-//! There is no I/O here; the `discovery` module obtains lists.
+//! This module does no I/O. The `discovery` module obtains lists.
 
 mod endpoint_ids;
 #[cfg(test)]
@@ -15,10 +15,10 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct NodeList {
-    /// Increases with each change.
+    /// Version of the list; it increases with each change.
     #[serde(default)]
     pub revision: u64,
-    /// The nodes. One that is not in the list is gone.
+    /// All nodes. A node that is not in the list counts as removed.
     pub nodes: Vec<Node>,
 }
 
@@ -26,7 +26,7 @@
     /// Parses a list in JSON.
     ///
     /// # Errors
-    /// [`ListError::Form`].
+    /// Returns [`ListError::Malformed`] if `bytes` is not a list in JSON.
     pub fn parse(bytes: &[u8]) -> Result<NodeList, ListError> {
         Ok(serde_json::from_slice(bytes)?)
     }
@@ -49,10 +49,10 @@
     /// Whether it accepts requests.
     #[serde(default)]
     pub state: State,
-    /// Its size, with the meaning that the settings give it.
+    /// Its size, in the unit that the settings define.
     #[serde(default = "default_size")]
     pub size: f64,
-    /// When its process started, in milliseconds since 1970; 0 if that is long ago.
+    /// Time at which its process started, in milliseconds since 1970; 0 if it started long ago.
     #[serde(default)]
     pub started_ms: u64,
 }
@@ -65,11 +65,11 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum State {
-    /// It does.
+    /// The node accepts requests.
     #[default]
     Ready,
-    /// It completes those that it has.
+    /// The node completes its open requests and accepts no further ones.
     Draining,
-    /// It has been removed.
+    /// The node has been removed.
     Gone,
 }
--- a/crates/gateway/src/node_list/tests.rs
+++ b/crates/gateway/src/node_list/tests.rs
@@ -23,17 +23,17 @@
 
 #[test]
 fn an_invalid_list_is_rejected_as_a_whole_with_its_path() {
-    let entry = |more: &str| format!(r#"{{"address": "127.0.0.1:80", "zone": "a"{more}}}"#);
-    let of = |lines: &[String]| format!(r#"{{"nodes": [{}]}}"#, lines.join(","));
-    let text = |text: &str| convert(text).unwrap_err().to_string();
-    assert!(text("{\"nodes\": [").starts_with("the list is not readable: EOF"));
-    assert_eq!(text(&of(&[entry(""), entry("")])), "nodes[1].address: 127.0.0.1:80 is there twice");
-    assert_eq!(text(&of(&[entry(", \"size\": 0")])), "nodes[0].size: expected a positive number, found 0");
-    let other = r#"{"address": "127.0.0.1:80", "zone": "x"}"#.to_owned();
-    assert_eq!(text(&of(&[other])), "nodes[0].zone: \"x\" is none of the settings' zones");
-    let many: Vec<String> = (1..5).map(|n| entry("").replace("80", &n.to_string())).collect();
-    assert_eq!(text(&of(&many)), "4 nodes, at most 3 are taken");
-    assert!(text(&of(&[entry(", \"weight\": 1")])).contains("unknown field `weight`"));
+    let entry = |more_fields: &str| format!(r#"{{"address": "127.0.0.1:80", "zone": "a"{more_fields}}}"#);
+    let list = |entries: &[String]| format!(r#"{{"nodes": [{}]}}"#, entries.join(","));
+    let error = |text: &str| convert(text).unwrap_err().to_string();
+    assert!(error("{\"nodes\": [").starts_with("invalid node list: EOF"));
+    assert_eq!(error(&list(&[entry(""), entry("")])), "nodes[1].address: 127.0.0.1:80 is listed twice");
+    assert_eq!(error(&list(&[entry(", \"size\": 0")])), "nodes[0].size: expected a positive number, found 0");
+    let unknown_zone = r#"{"address": "127.0.0.1:80", "zone": "x"}"#.to_owned();
+    assert_eq!(error(&list(&[unknown_zone])), "nodes[0].zone: expected a zone of the settings, found \"x\"");
+    let four_nodes: Vec<String> = (1..5).map(|port| entry("").replace("80", &port.to_string())).collect();
+    assert_eq!(error(&list(&four_nodes)), "nodes: expected at most 3, found 4");
+    assert!(error(&list(&[entry(", \"weight\": 1")])).contains("unknown field `weight`"));
 }
 
 #[test]
@@ -48,8 +48,11 @@
         size: 1.0,
         started_ms: 0,
     };
-    let one = ids.convert(&NodeList { revision: 1, nodes: vec![node(1, "x"), node(2, "y")] }).unwrap();
-    let two = ids.convert(&NodeList { revision: 2, nodes: vec![node(3, "z"), node(2, "y")] }).unwrap();
-    assert_eq!(one[1].cell, two[1].cell);
-    assert!(one.iter().all(|l| l.cell != two[0].cell), "a gone cell's number is not given again");
+    let first = ids.convert(&NodeList { revision: 1, nodes: vec![node(1, "x"), node(2, "y")] }).unwrap();
+    let second = ids.convert(&NodeList { revision: 2, nodes: vec![node(3, "z"), node(2, "y")] }).unwrap();
+    assert_eq!(first[1].cell, second[1].cell);
+    assert!(
+        first.iter().all(|endpoint| endpoint.cell != second[0].cell),
+        "the number of a removed cell is not reused"
+    );
 }
