--- a/crates/gateway/src/peers/mod.rs
+++ b/crates/gateway/src/peers/mod.rs
@@ -1,5 +1,5 @@
-//! Datagrams between gateways: gossip and membership messages, authenticated by a keyed BLAKE3 hash and protected against
-//! replay.
+//! Datagrams between gateways: gossip and membership messages, authenticated by a keyed BLAKE3 hash and protected
+//! against replay.
 //!
 //! Format of a datagram, with big-endian numbers:
 //!
@@ -13,13 +13,13 @@
 //! | up to 256 | message |
 //! | 32 | hash over all fields before it |
 //!
-//! A later incarnation replaces an earlier one. Within an incarnation, each number is accepted once, down to 64 behind the
-//! highest. On the membership channel the receiver may be [`chalkgap_membership::ANY_MEMBER`] and the sender a
-//! [`chalkgap_membership::OBSERVER`] outside of the fleet, and earlier incarnations are accepted, so that they can be told
-//! that they are superseded.
+//! A later incarnation replaces an earlier one. Within an incarnation, each number is accepted once, down to 64 behind
+//! the highest. On the membership channel, the receiver may be [`chalkgap_membership::ANY_MEMBER`] and the sender a
+//! [`chalkgap_membership::OBSERVER`] outside of the fleet. Earlier incarnations are accepted there as well, so that the
+//! receiver can reply that they are superseded.
 //!
-//! After a restart, datagrams to the incarnation before could be replayed. No guarantee of the core depends on a single
-//! message, which bounds the damage.
+//! A restarted gateway does not know which datagrams its previous incarnation has accepted, so these can be replayed.
+//! The damage is limited, as no guarantee of the core depends on a single message.
 
 mod opener;
 #[cfg(test)]
@@ -32,17 +32,17 @@
 const HEADER_BYTES: usize = 1 + 2 + 2 + 8 + 8;
 const HASH_BYTES: usize = 32;
 const KEY_BYTES: usize = 32;
-/// Most bytes of a message, which is the core's own limit.
+/// Maximum size of a message in bytes, equal to the core's limit.
 pub const MAX_MESSAGE: usize = 256;
-/// Most bytes of a datagram.
+/// Maximum size of a datagram in bytes.
 pub const MAX_DATAGRAM: usize = HEADER_BYTES + MAX_MESSAGE + HASH_BYTES;
 
-/// What a datagram is for. The numbers are those on the wire.
+/// The protocol that a datagram belongs to. The discriminants are the values on the wire.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Channel {
     /// Gossip between cores.
     Gossip = 1,
-    /// Membership detection.
+    /// Messages of the membership protocol.
     Membership = 2,
 }
 
@@ -51,7 +51,7 @@
 pub struct Key([u8; KEY_BYTES]);
 
 impl Key {
-    /// Parses 64 hexadecimal digits.
+    /// Parses 64 hexadecimal digits. Returns `None` for any other text.
     pub fn parse(text: &str) -> Option<Key> {
         let digits = text.as_bytes();
         if digits.len() != 2 * KEY_BYTES {
@@ -70,7 +70,7 @@
     }
 }
 
-/// Writes datagrams.
+/// Encodes and authenticates datagrams.
 pub struct Sealer {
     channel: Channel,
     key: Key,
@@ -80,12 +80,13 @@
 }
 
 impl Sealer {
-    /// A sealer for one incarnation of gateway `self_id`; a later start must have a higher one.
+    /// Creates a sealer for gateway `self_id`. Each start of the gateway needs a higher `incarnation` than the one
+    /// before.
     pub fn new(channel: Channel, key: Key, self_id: u16, incarnation: u64) -> Self {
         Sealer { channel, key, self_id, incarnation, last_number: 0 }
     }
 
-    /// The datagram with a message to one peer.
+    /// Returns the datagram that carries `message` to the peer `to`.
     pub fn seal(&mut self, to: u16, message: &[u8]) -> Vec<u8> {
         self.last_number += 1;
         let mut datagram = Vec::with_capacity(HEADER_BYTES + message.len() + HASH_BYTES);
--- a/crates/gateway/src/peers/opener.rs
+++ b/crates/gateway/src/peers/opener.rs
@@ -1,26 +1,26 @@
-//! Reading of datagrams: authentication, replay protection, rate limits.
+//! Decoding of received datagrams: authentication, replay protection and rate limits.
 
 use super::token_bucket::TokenBucket;
 use super::{Channel, Key, HASH_BYTES, HEADER_BYTES, MAX_DATAGRAM};
 use chalkgap_membership::{ANY_MEMBER, OBSERVER};
 use std::collections::HashMap;
 
-/// How far a datagram's number may be behind the highest of its sender.
+/// A datagram is rejected if its number is this far behind the highest number of its sender, or further.
 const REPLAY_WINDOW: u64 = 64;
 
-/// Why a datagram is dropped.
+/// Reason why a datagram is dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[allow(missing_docs)]
 pub enum OpenError {
     #[error("malformed")]
     Malformed,
-    #[error("not by a holder of the key, or changed on the way")]
+    #[error("authentication failed: sent without the key, or modified")]
     Forged,
     #[error("for another gateway, or not from a gateway of the fleet")]
     NotAddressed,
     #[error("from an earlier incarnation of its sender")]
     StaleIncarnation,
-    #[error("a replay, or too far behind")]
+    #[error("replayed, or too far behind the sender's highest number")]
     Replayed,
     #[error("over the rate limit")]
     RateLimited,
@@ -29,15 +29,15 @@
 /// A datagram that was accepted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Opened<'d> {
-    /// What it is for.
+    /// The protocol that it belongs to.
     pub channel: Channel,
-    /// The id of its sender.
+    /// The id of the sender.
     pub from: u16,
     /// The message.
     pub message: &'d [u8],
 }
 
-/// Most messages accepted in a second, by channel.
+/// Maximum number of messages that are accepted in a second, by channel.
 #[derive(Clone, Copy, Debug)]
 pub struct ReceiveRates {
     /// On [`Channel::Gossip`].
@@ -46,7 +46,7 @@
     pub membership: f64,
 }
 
-/// Reads datagrams.
+/// Authenticates and decodes datagrams.
 pub struct Opener {
     key: Key,
     self_id: u16,
@@ -66,21 +66,23 @@
 }
 
 impl Header {
-    /// `datagram` is at least as long as a header.
+    /// Parses the header of a datagram, which must be at least [`HEADER_BYTES`] long. Returns `None` if the channel is
+    /// unknown.
     fn parse(datagram: &[u8]) -> Option<Header> {
         let channel = match datagram[0] {
             1 => Channel::Gossip,
             2 => Channel::Membership,
             _ => return None,
         };
-        let short = |at: usize| u16::from_be_bytes([datagram[at], datagram[at + 1]]);
-        let long = |at: usize| datagram[at..at + 8].iter().fold(0u64, |n, byte| n << 8 | u64::from(*byte));
-        Some(Header { channel, to: short(1), from: short(3), incarnation: long(5), number: long(13) })
+        let u16_at = |at: usize| u16::from_be_bytes([datagram[at], datagram[at + 1]]);
+        let u64_at =
+            |at: usize| datagram[at..at + 8].iter().fold(0u64, |value, byte| value << 8 | u64::from(*byte));
+        Some(Header { channel, to: u16_at(1), from: u16_at(3), incarnation: u64_at(5), number: u64_at(13) })
     }
 }
 
 impl Opener {
-    /// An opener for gateway `self_id` of a fleet of `gateway_count`.
+    /// Creates an opener for gateway `self_id` of a fleet of `gateway_count` gateways.
     pub fn new(key: Key, self_id: u16, gateway_count: u16, rates: ReceiveRates) -> Self {
         Opener {
             key,
@@ -92,10 +94,10 @@
         }
     }
 
-    /// The message in a datagram that arrived at `now` (microseconds).
+    /// Returns the message in a datagram that arrived at `now` (microseconds).
     ///
     /// # Errors
-    /// See [`OpenError`].
+    /// Returns [`OpenError`] if the datagram has to be dropped.
     pub fn open<'d>(&mut self, now: u64, datagram: &'d [u8]) -> Result<Opened<'d>, OpenError> {
         if datagram.len() < HEADER_BYTES + HASH_BYTES || datagram.len() > MAX_DATAGRAM {
             return Err(OpenError::Malformed);
@@ -116,19 +118,19 @@
             if header.channel == Channel::Gossip {
                 return Err(OpenError::StaleIncarnation);
             }
-            // Membership informs an earlier incarnation, and answers a visitor. Neither changes any state here, so replays are
-            // harmless, and the rate limit bounds their cost.
+            // The membership protocol replies to earlier incarnations and to observers. Neither changes any state here,
+            // so replays are harmless, and the rate limit bounds their cost.
         } else if !window.accept(header.incarnation, header.number) {
             return Err(OpenError::Replayed);
         }
-        // Checked last: datagrams that are not a peer's messages do not use up what peers may send.
+        // The rate limit is checked last, so that forged and replayed datagrams do not use it up.
         if !limit.take(now) {
             return Err(OpenError::RateLimited);
         }
         Ok(opened)
     }
 
-    /// Checks the hash and returns what it covers.
+    /// Checks the hash of a datagram and returns the bytes that the hash covers.
     fn authenticate<'d>(&self, datagram: &'d [u8]) -> Result<&'d [u8], OpenError> {
         let (body, received) = datagram.split_at(datagram.len() - HASH_BYTES);
         let mut received_hash = [0; HASH_BYTES];
@@ -140,8 +142,8 @@
         Ok(body)
     }
 
-    /// Whether receiver and sender are allowed on the channel. On the membership channel, a sender may have this gateway's own
-    /// id: two processes with one id have to find out.
+    /// Returns true if the channel permits this receiver and this sender. On the membership channel, the sender may
+    /// have this gateway's own id, so that two processes with the same id can detect each other.
     fn is_addressed(&self, header: &Header) -> bool {
         let membership = header.channel == Channel::Membership;
         let to_self = header.to == self.self_id || membership && header.to == ANY_MEMBER;
@@ -150,11 +152,11 @@
     }
 }
 
-/// The datagrams of one sender that were accepted.
+/// Numbers of the datagrams that were accepted from one sender on one channel.
 struct ReplayWindow {
     incarnation: u64,
     highest: u64,
-    /// Bit n: the datagram with the number `highest` - n was accepted.
+    /// Bit n is set if the datagram with the number `highest` - n was accepted.
     accepted: u64,
 }
 
@@ -163,9 +165,9 @@
         ReplayWindow { incarnation, highest: 0, accepted: 0 }
     }
 
-    /// Marks a datagram as accepted. Returns false if it was accepted before or is too old to tell.
+    /// Marks a datagram as accepted. Returns false if it was accepted before, or is too old for the window.
     ///
-    /// `incarnation` is the window's own or a later one, which starts a new window.
+    /// `incarnation` must not be lower than that of the window. A higher one starts a new window.
     fn accept(&mut self, incarnation: u64, number: u64) -> bool {
         if incarnation > self.incarnation {
             *self = ReplayWindow::new(incarnation);
