--- a/crates/gateway/src/fleet/mod.rs
+++ b/crates/gateway/src/fleet/mod.rs
@@ -1,8 +1,8 @@
 //! Membership of the fleet: which gateways are running.
 //!
-//! `MembershipService` connects the state machine of `chalkgap_membership` to the socket and the clock, logs its changes,
-//! and reports the reachability of peers to the driver. [`fetch_snapshot`] queries any running gateway for its view, as
-//! the command line does.
+//! `MembershipService` connects the state machine of `chalkgap_membership` to the socket and the clock, logs its
+//! changes, and reports the reachability of peers to the driver. [`fetch_snapshot`] queries a running gateway for the
+//! members that it knows, as the command `chalkgap fleet show` does.
 
 mod query;
 mod snapshot;
@@ -18,13 +18,13 @@
 use chalkgap_membership::{Config, Event, MemberId, Membership, Micros, Transmit};
 use chalkgap_runtime::{Datagrams, Shared};
 use futures_lite::future;
-use snapshot::{standing_name, state_name};
+use snapshot::{partition_status_name, state_name};
 use std::future::Future;
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-/// Messages accepted in a second, as a multiple of those that one member sends: after a partition heals, many members send
-/// to one.
+/// Rate limit of received messages, as a multiple of the rate at which one member may send: after a partition heals,
+/// many members send to one.
 const RECEIVE_RATE_FACTOR: f64 = 4.0;
 
 struct State {
@@ -41,11 +41,11 @@
     driver: Sender<DriverEvent>,
     /// Wakes [`run`](Self::run) because the next deadline may have changed.
     wake: (Sender<()>, Receiver<()>),
-    /// Closed when a later incarnation of this gateway's id has appeared.
+    /// Closed when a later incarnation of this gateway has appeared.
     superseded: (Sender<()>, Receiver<()>),
 }
 
-/// What a [`MembershipService`] is made of.
+/// Parameters of [`MembershipService::new`].
 pub(crate) struct MembershipParams<'a> {
     pub runtime: &'a Shared,
     pub socket: &'a Arc<dyn Datagrams>,
@@ -59,7 +59,7 @@
 }
 
 impl MembershipService {
-    /// Creates the service. `None` if the settings do not enable it.
+    /// Creates the service. Returns `None` if the settings do not enable it.
     pub fn new(params: MembershipParams<'_>) -> Option<Arc<MembershipService>> {
         let settings = params.peers.view.as_ref()?;
         let config = Config {
@@ -86,7 +86,7 @@
         }))
     }
 
-    /// Most membership messages that an instance accepts in a second.
+    /// Returns the maximum number of membership messages that an instance accepts in a second.
     pub fn receive_rate(peers: &Peers) -> f64 {
         peers.view.as_ref().map_or(0.0, |settings| settings.per_second * RECEIVE_RATE_FACTOR)
     }
@@ -95,7 +95,7 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The members as this instance knows them now.
+    /// Returns the members as this instance knows them now.
     pub fn snapshot(&self) -> FleetSnapshot {
         let state = self.lock();
         let now = self.runtime.now();
@@ -107,14 +107,14 @@
         FleetSnapshot::new(state.membership.view_summary(), view.digest(), members.collect())
     }
 
-    /// The address of a gateway that counts as a member.
+    /// Returns the address of a gateway, if it counts as a member.
     pub fn address(&self, member: MemberId) -> Option<SocketAddr> {
         let state = self.lock();
         let member = state.membership.view().get(member)?;
         member.record.state.is_live().then_some(member.record.address)
     }
 
-    /// Completes when a later incarnation of this gateway's id has appeared.
+    /// Completes when a later incarnation of this gateway has appeared.
     pub fn superseded(&self) -> impl Future<Output = ()> + Send + 'static {
         let superseded = self.superseded.1.clone();
         async move {
@@ -122,7 +122,7 @@
         }
     }
 
-    /// Runs the protocol's timers for as long as the instance lives.
+    /// Runs the protocol's timers until the instance stops.
     pub async fn run(self: Arc<Self>) {
         loop {
             let next_deadline = {
@@ -133,7 +133,7 @@
                 }
                 state.membership.next_timeout()
             };
-            self.carry_out().await;
+            self.process_output().await;
             let sleep = self.runtime.sleep_until(next_deadline);
             let woken = async {
                 let _ = self.wake.1.recv().await; // cannot be closed: `self` holds a sender
@@ -142,25 +142,25 @@
         }
     }
 
-    /// Handles a message from another member or a visitor.
+    /// Handles a message from another member or an observer.
     pub async fn receive(&self, from: MemberId, source: SocketAddr, message: &[u8]) {
         let handled = self.lock().membership.handle_message(self.runtime.now(), from, source, message);
         match handled {
             Ok(()) => add(&self.telemetry.view_in),
             Err(_) => add(&self.telemetry.peer_dropped),
         }
-        self.carry_out().await;
-        let _ = self.wake.0.try_send(()); // full: it is about to wake
+        self.process_output().await;
+        let _ = self.wake.0.try_send(()); // full: a wake-up is already pending
     }
 
     /// Announces that this instance leaves the fleet.
     pub async fn leave(&self) {
         self.lock().membership.leave(self.runtime.now());
-        self.carry_out().await;
+        self.process_output().await;
     }
 
-    /// Sends the pending messages, logs the pending changes, and reports reachability to the driver after all of them.
-    async fn carry_out(&self) {
+    /// Sends the pending messages and logs the pending changes, then reports the changes of reachability to the driver.
+    async fn process_output(&self) {
         let mut reachability = Vec::new();
         loop {
             let next_datagram = {
@@ -176,16 +176,16 @@
             };
             let Some((datagram, address)) = next_datagram else { break };
             add(&self.telemetry.view_out);
-            // An error counts as a lost datagram, which the protocol tolerates.
+            // A send error counts as a lost datagram, which the protocol tolerates.
             let _ = self.socket.send(&datagram, address).await;
         }
         for event in reachability {
-            let _ = self.driver.send(event).await; // closed: the instance has stopped
+            let _ = self.driver.send(event).await; // fails only after the instance has stopped
         }
     }
 
-    /// One log line for each change. The fault drills read these lines: their fields and the first word of their messages
-    /// are an interface.
+    /// Writes a log line for each change. The fault drills parse these lines, so their fields and the first word of
+    /// their messages must stay.
     fn log(&self, membership: &Membership, change: &Event) {
         let me = membership.id();
         let at = self.runtime.now();
@@ -194,15 +194,15 @@
         let counting = view.live_count();
         let digest = format!("{:016x}", view.digest());
         match change {
-            Event::MemberChanged(fact) => {
+            Event::MemberChanged(record) => {
                 tracing::info!(
                     target: "chalkgap::fleet",
-                    me, at, of = fact.id, state = state_name(fact.state), turn = fact.version, start = fact.incarnation,
-                    by = fact.reported_by, number, counting, digest, "member"
+                    me, at, of = record.id, state = state_name(record.state), turn = record.version,
+                    start = record.incarnation, by = record.reported_by, number, counting, digest, "member"
                 );
             }
-            Event::PartitionStatusChanged(standing) => {
-                let standing = standing_name(*standing as u8);
+            Event::PartitionStatusChanged(status) => {
+                let standing = partition_status_name(*status as u8);
                 let of = membership.voter_count();
                 tracing::warn!(target: "chalkgap::fleet", me, at, standing, counting, of, number, digest, "standing");
             }
@@ -216,11 +216,11 @@
     }
 }
 
-/// What a change means for the reachability of another gateway.
+/// Returns the driver's event for a change of another gateway's state.
 fn reachability_event(membership: &Membership, change: &Event) -> Option<DriverEvent> {
-    let Event::MemberChanged(fact) = change else { return None };
-    if fact.id == membership.id() {
+    let Event::MemberChanged(record) = change else { return None };
+    if record.id == membership.id() {
         return None;
     }
-    Some(DriverEvent::PeerReachability { peer: fact.id, reachable: fact.state.is_live() })
+    Some(DriverEvent::PeerReachability { peer: record.id, reachable: record.state.is_live() })
 }
--- a/crates/gateway/src/fleet/query.rs
+++ b/crates/gateway/src/fleet/query.rs
@@ -1,4 +1,4 @@
-//! The query for the members that a running gateway knows.
+//! Query for the members that a running gateway knows.
 
 use super::{FleetSnapshot, MemberSnapshot};
 use crate::peers::{Channel, Key, Opener, ReceiveRates, Sealer, MAX_DATAGRAM};
@@ -8,34 +8,35 @@
 use futures_lite::future;
 use std::net::{IpAddr, Ipv4Addr, Ipv6Addr, SocketAddr};
 
-/// Why there is no answer to a query.
+/// Reason why a query has no result.
 #[derive(Debug, thiserror::Error)]
 pub enum FetchError {
     /// The socket cannot be opened.
-    #[error("a socket for datagrams: {0}")]
+    #[error("cannot open a datagram socket: {0}")]
     Socket(std::io::Error),
     /// No gateway with this key answers at the address.
     #[error(
-        "{0} does not answer: it is not there, has no view (settings.fleet.peers.view), or has another key"
+        "no answer from {0}: no gateway runs there, or it has no view (settings.fleet.peers.view) or another key"
     )]
     NoAnswer(SocketAddr),
-    /// The view changed during every try, or is inconsistent.
-    #[error("{0}: the view changed all the time, or it makes no sense")]
+    /// A page does not continue after the one before.
+    #[error("{0}: inconsistent view: a page continues at a member that was already sent")]
     Inconsistent(SocketAddr),
 }
 
-/// Tries for each page of a view.
+/// Number of times that a page is requested before the query fails.
 const TRIES_PER_PAGE: u32 = 5;
+/// Time to wait for the answer to one request, in microseconds.
 const TRY_TIMEOUT: Micros = 400_000;
-/// Each page has at least one of at most 65,536 members, and usually more than three.
+/// Maximum number of pages. A view has at most 65,536 members; a page has at least one, and usually more than three.
 const MAX_PAGES: usize = 20_000;
-/// Does not limit a query.
+/// Rate limits for received datagrams, too high to limit a query.
 const RECEIVE_RATES: ReceiveRates = ReceiveRates { gossip: 1.0, membership: 10_000.0 };
 
-/// Fetches the members that the gateway knows which receives datagrams at `address`.
+/// Fetches the view of the gateway that receives datagrams at `address`.
 ///
 /// # Errors
-/// See [`FetchError`].
+/// Returns [`FetchError`] if the socket cannot be opened, no answer arrives or the answers are inconsistent.
 pub async fn fetch_snapshot(
     runtime: &Shared,
     key: Key,
@@ -51,22 +52,25 @@
     };
     let mut from = 0;
     let mut members = Vec::new();
-    let mut last_page: Option<(ViewSummary, u64)> = None;
+    let mut last_summary: Option<(ViewSummary, u64)> = None;
     for _ in 0..MAX_PAGES {
-        let (shown, message) = query.fetch_page(from).await?;
-        members.extend(message.records.iter().map(|(fact, held)| MemberSnapshot::new(fact, *held)));
+        let (summary, message) = query.fetch_page(from).await?;
+        members.extend(
+            message.records.iter().map(|(record, in_state_for)| MemberSnapshot::new(record, *in_state_for)),
+        );
         // If the view changes between pages, the result has the version of the last one.
-        last_page = Some((shown, message.digest));
-        match shown.next {
+        last_summary = Some((summary, message.digest));
+        match summary.next {
             Some(next) if next > from => from = next,
             Some(_) => return Err(FetchError::Inconsistent(address)),
             None => break,
         }
     }
-    let (shown, digest) = last_page.ok_or(FetchError::NoAnswer(address))?;
-    Ok(FleetSnapshot::new(shown, digest, members))
+    let (summary, digest) = last_summary.ok_or(FetchError::NoAnswer(address))?;
+    Ok(FleetSnapshot::new(summary, digest, members))
 }
 
+/// Returns the local address to bind for datagrams to `remote`.
 fn local_address_for(remote: IpAddr) -> SocketAddr {
     let ip = match remote {
         ip if ip.is_loopback() => ip,
@@ -85,13 +89,13 @@
 }
 
 impl Query<'_> {
-    /// Fetches the members from the id `from` on, as many as fit into one answer.
+    /// Fetches one page: the members from the id `from` on that fit into one answer.
     async fn fetch_page(&mut self, from: MemberId) -> Result<(ViewSummary, Message), FetchError> {
         for _ in 0..TRIES_PER_PAGE {
             let nonce = self.runtime.random() as u32;
             let request = Message::new(Kind::ViewRequest { from }, nonce, 0);
             let datagram = self.sealer.seal(ANY_MEMBER, &request.encode());
-            // An error shows as a missing answer.
+            // A send error is treated like a lost datagram: no answer arrives.
             let _ = self.socket.send(&datagram, self.address).await;
             let deadline = self.runtime.now() + TRY_TIMEOUT;
             let mut buffer = [0; MAX_DATAGRAM + 1];
@@ -102,8 +106,8 @@
                 if message.nonce != nonce {
                     continue; // the answer to an earlier try
                 }
-                if let Kind::ViewPage(shown) = message.kind {
-                    return Ok((shown, message));
+                if let Kind::ViewPage(summary) = message.kind {
+                    return Ok((summary, message));
                 }
             }
         }
