--- a/crates/gateway/src/error.rs
+++ b/crates/gateway/src/error.rs
@@ -1,11 +1,11 @@
-//! Why an instance does not start.
+//! Errors of starting an instance.
 
 use crate::settings::SettingsError;
 use chalkgap_ledger::StoreError;
 use std::io;
 use std::net::SocketAddr;
 
-/// Why an instance does not start.
+/// Reason why [`Instance::start`](crate::Instance::start) failed.
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
     /// The settings are invalid.
@@ -14,17 +14,17 @@
     /// An address cannot be bound.
     #[error("{path}: {address} cannot be bound: {error}")]
     Bind {
-        /// The path of the setting.
+        /// The path of the setting that names the address.
         path: &'static str,
         /// The address.
         address: SocketAddr,
-        /// The system's error.
+        /// The error that the operating system has returned.
         error: io::Error,
     },
     /// The ledger cannot be opened.
     #[error("settings.ledger.folder: {error}")]
     Ledger {
-        /// What is wrong with it.
+        /// The error of the ledger's store.
         error: StoreError,
     },
 }
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,8 +1,8 @@
 //! chalkgap as a library: an API gateway that enforces quotas and priorities over a fleet of instances.
 //!
-//! An [`Instance`] is started from [`settings::Settings`] on a [`runtime`]. It serves the public gRPC rate limit service and
-//! MQTT, forwards admitted requests to nodes, exchanges gossip with its peers, and is drained or stopped through its handle.
-//! `chalkgap-core` takes all decisions on requests; the driver carries them out.
+//! An [`Instance`] is started from [`settings::Settings`] on a [`runtime`]. It serves the public gRPC rate limit
+//! service and MQTT, forwards admitted requests to nodes, exchanges gossip with its peers, and is drained or stopped
+//! through its handle. `chalkgap-core` takes all decisions on requests; the driver carries them out.
 //!
 //! - [`frontend`]: the driver, the connection gate and the traits for further protocols
 //! - [`fleet`]: membership of the fleet
@@ -17,19 +17,17 @@
 mod error;
 pub mod fleet;
 mod frontends;
-
 mod instance;
 mod ledger;
 mod messages;
 pub mod node_list;
 pub mod peers;
 pub mod settings;
-
 pub mod telemetry;
 mod upstream;
 
-/// What a protocol in a crate of its own is built on: the driver that owns the core, the messages to and from it, and the
-/// gate that admits connections. An [`Instance`] consists of the same parts.
+/// The parts from which a crate builds a further protocol: the driver that owns the core, the messages to and from it,
+/// and the gate that admits connections. An [`Instance`] consists of the same parts.
 pub mod frontend {
     pub use crate::connection_gate::{ConnectionGate, ConnectionGateConfig, Permit, RequestEnd};
     pub use crate::driver::{Driver, DriverLimits};
--- a/crates/gateway/src/telemetry.rs
+++ b/crates/gateway/src/telemetry.rs
@@ -1,19 +1,20 @@
-//! What an instance counts. The counters are logged when it stops, and read through the library: no decision reads them.
+//! Counters of an instance. They are logged when the instance stops and can be read through the library. No decision
+//! depends on them.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
 macro_rules! counts {
     ($($(#[doc = $doc:literal])+ $name:ident,)+) => {
-        /// Running totals since the start of an instance.
+        /// Counters of an instance since its start.
         #[derive(Default)]
         pub struct Telemetry { $($(#[doc = $doc])+ pub $name: AtomicU64,)+ }
 
-        /// [`Telemetry`] at one moment.
+        /// The values of [`Telemetry`] at one time.
         #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, serde::Serialize)]
         pub struct Counts { $($(#[doc = $doc])+ pub $name: u64,)+ }
 
         impl Telemetry {
-            /// The totals now.
+            /// Returns the current values.
             pub fn counts(&self) -> Counts {
                 Counts { $($name: self.$name.load(Ordering::Relaxed),)+ }
             }
@@ -22,85 +23,85 @@
 }
 
 counts! {
-    /// Connections of clients.
+    /// Client connections that were admitted.
     connections,
-    /// Connections of clients that were given up for an error of theirs.
+    /// Client connections that were closed because of an error of the client.
     connections_bad,
-    /// Connections of clients that were refused.
+    /// Client connections that were rejected.
     connections_refused,
-    /// Idle connections that were closed to make room.
+    /// Idle client connections that were closed to free descriptors.
     connections_evicted,
-    /// Times that accepting failed for want of a resource.
+    /// Failures to accept a connection for lack of a resource.
     accept_failed,
-    /// Calls and connections given up because they moved too slowly.
+    /// Calls and connections that were closed because the client was too slow.
     too_slow,
-    /// Calls that were answered without reaching the core: they are invalid.
+    /// Calls that were invalid and were answered without reaching the core.
     invalid,
     /// Requests that were passed to the driver.
     requests,
-    /// Answered with a node's answer.
+    /// Requests that were answered with a node's answer.
     served,
-    /// Refused.
+    /// Requests that were rejected by the core, or because too many were in flight.
     refused,
-    /// Failed.
+    /// Requests that failed and may have run.
     failed,
-    /// The client left before an answer.
+    /// Requests whose client cancelled or disconnected before the answer.
     withdrawn,
-    /// Attempts handed to a connection.
+    /// Attempts that were started.
     attempts,
-    /// Attempts that ended by their time.
+    /// Attempts that reached their deadline.
     timed_out,
-    /// Attempts that found no connection.
+    /// Attempts whose connection could not be established.
     connect_failed,
-    /// Messages of peers taken.
+    /// Gossip messages that were accepted from peers.
     peer_in,
-    /// Messages of peers dropped.
+    /// Datagrams and messages from peers that were dropped.
     peer_dropped,
-    /// Messages sent to peers.
+    /// Gossip messages that were queued for sending to peers.
     peer_out,
-    /// Messages of the view of the fleet taken.
+    /// Membership messages that were accepted.
     view_in,
-    /// Messages sent for the view of the fleet.
+    /// Membership messages that were sent.
     view_out,
-    /// Node lists taken.
+    /// Node lists that were accepted.
     lists,
-    /// Node lists refused.
+    /// Node lists that were invalid or could not be read, and discovery calls that ended.
     lists_bad,
-    /// Connections of MQTT clients that were let in, and those that were not for their user or password.
+    /// MQTT connections whose user and password were accepted.
     mqtt_connected,
-    /// See `mqtt_connected`.
+    /// MQTT connections whose user or password was rejected.
     mqtt_denied,
-    /// Publishes that came again with DUP, and may have run elsewhere: not run.
+    /// MQTT publishes with the DUP flag that were not run because they may have run on another gateway.
     mqtt_repeated,
-    /// Sessions that were taken over by a new connection.
+    /// MQTT sessions that were taken over by a new connection.
     mqtt_taken_over,
-    /// Requests refused because the ledger's disk was slow or had failed.
+    /// Requests that were rejected because the ledger's disk was slow or had failed.
     ledger_refused,
-    /// Requests served without an entry, as the ledger's disk had failed.
+    /// Requests that were accepted without a ledger entry because the ledger's disk had failed.
     ledger_without,
-    /// Entries that the ledger's disk has, copies of others' in.
+    /// Ledger entries that are on disk, including copies of other ingresses' entries.
     ledger_entries,
-    /// Groups of entries that were written and synced.
+    /// Groups of ledger entries that were written and synced.
     ledger_groups,
-    /// Lookups sent to nodes for requests whose end nobody saw; without an answer: `ledger_unanswered`.
+    /// Lookups that were sent to nodes for requests whose result is not known.
     ledger_asked,
-    /// See `ledger_asked`.
+    /// Lookups that a node did not answer.
     ledger_unanswered,
-    /// Ends that were presumed.
+    /// Requests whose result remained unknown, so that the ledger presumed it.
     ledger_presumed,
-    /// Entries of others that say something else than the ones here.
+    /// Entries of other ingresses that contradict an entry in this ledger.
     ledger_conflicts,
-    /// Calls to other ingresses about their ledgers that failed, or whose answers were not taken.
+    /// Replication calls to other ingresses that failed or whose answers were invalid.
     ledger_peer_failed,
-    /// Calls of others that were not taken: not by a holder of the key, or broken.
+    /// Replication calls of other ingresses that were rejected: sent without the key, or malformed.
     ledger_peer_refused,
-    /// Batches that the consumer has, handed over by this ingress.
+    /// Export batches that the consumer has stored.
     ledger_exported,
-    /// Batches that got no word, or another's in their place.
+    /// Export batches that the consumer did not confirm, or in whose place it has another batch.
     ledger_export_again,
 }
 
-/// Counts one more.
+/// Increments a counter by one.
 pub fn add(counter: &AtomicU64) {
     counter.fetch_add(1, Ordering::Relaxed);
 }
