--- a/crates/gateway/src/driver/attempts.rs
+++ b/crates/gateway/src/driver/attempts.rs
@@ -109,7 +109,7 @@
         }
     }
 
-    /// Ends an attempt of which nothing was written with [`Outcome::NotSent`], and queues the event for the core.
+    /// Ends an attempt with [`Outcome::NotSent`], as nothing of it was written, and queues the event for the core.
     pub(super) fn end_unsent(&mut self, id: RequestId, attempt_number: u16) {
         let Some(attempt) = self.in_flight.open_attempt_mut(id, attempt_number) else { return };
         attempt.finished = true;
@@ -170,7 +170,7 @@
     }
 }
 
-/// Returns true if a node may have run an attempt with this outcome, with an unknown result.
+/// Returns true if an attempt with this outcome may have run although its result is not known.
 fn result_unknown(outcome: Outcome) -> bool {
     matches!(outcome, Outcome::Error | Outcome::Reset | Outcome::TimedOut | Outcome::Cancelled)
 }
--- a/crates/gateway/src/driver/in_flight.rs
+++ b/crates/gateway/src/driver/in_flight.rs
@@ -52,7 +52,7 @@
         self.answered && self.attempts.iter().all(|attempt| attempt.finished)
     }
 
-    /// Returns the addresses of the nodes that may have run the request, with an unknown result.
+    /// Returns the addresses of the nodes that may have run the request although its result is not known.
     pub fn nodes_that_may_have_run(&self) -> BTreeSet<String> {
         let attempts = self.attempts.iter().filter(|attempt| attempt.may_have_run);
         attempts.map(|attempt| attempt.address.to_string()).collect()
