--- a/crates/gateway/src/connection_gate/mod.rs
+++ b/crates/gateway/src/connection_gate/mod.rs
@@ -155,8 +155,7 @@
         state.signals.clear();
     }
 
-    /// Loads the stored known clients. A missing or damaged file does not prevent the instance from
-    /// starting.
+    /// Loads the stored known clients. A missing or damaged file does not prevent the instance from starting.
     pub async fn load_known_clients(&self) {
         let Some(path) = &self.known_clients_file else { return };
         let bytes = match self.runtime.files().read(path, MAX_KNOWN_CLIENTS_BYTES).await {
--- a/crates/gateway/src/node_list/endpoint_ids.rs
+++ b/crates/gateway/src/node_list/endpoint_ids.rs
@@ -39,8 +39,8 @@
 
 /// Assigns numbers to the names in node lists, and keeps the addresses of the last list.
 ///
-/// A number is not reused while the instance runs: if two cells had the same number, both could run a duplicate
-/// request.
+/// A number is not reused while the instance runs: if two cells had the same number, a request and its duplicate could
+/// run in both.
 pub struct EndpointIds {
     zones: HashMap<String, u8>,
     max_nodes: usize,
--- a/crates/gateway/src/node_list/mod.rs
+++ b/crates/gateway/src/node_list/mod.rs
@@ -49,7 +49,7 @@
     /// Whether it accepts requests.
     #[serde(default)]
     pub state: State,
-    /// Its size, in the unit that the settings define.
+    /// Its size. The settings define what the number means.
     #[serde(default = "default_size")]
     pub size: f64,
     /// Time at which its process started, in milliseconds since 1970; 0 if it started long ago.
