--- a/crates/fault-injection/benches/admission.rs
+++ b/crates/fault-injection/benches/admission.rs
@@ -55,7 +55,7 @@
             size: 1.0,
             started_ms: 0,
         };
-        ingress.nodes(NodeList { revision: 1, nodes: vec![line] }).await;
+        ingress.set_node_list(NodeList { revision: 1, nodes: vec![line] }).await;
         println!("{}", ingress.grpc_address());
         std::future::pending::<()>().await;
     });
--- a/crates/fault-injection/benches/ingress.rs
+++ b/crates/fault-injection/benches/ingress.rs
@@ -135,7 +135,7 @@
             size: 1.0,
             started_ms: 0,
         };
-        ingress.nodes(NodeList { revision: 1, nodes: node.into_iter().map(line).collect() }).await;
+        ingress.set_node_list(NodeList { revision: 1, nodes: node.into_iter().map(line).collect() }).await;
         println!("{}", ingress.grpc_address());
         println!("{}", ingress.mqtt_address().unwrap());
         std::future::pending::<()>().await;
--- a/crates/gateway/src/instance.rs
+++ b/crates/gateway/src/instance.rs
@@ -290,7 +290,7 @@
     }
 
     /// Replaces the node list, as a source of lists does.
-    pub async fn nodes(&self, list: NodeList) {
+    pub async fn set_node_list(&self, list: NodeList) {
         let event = DriverEvent::NodeList { list: Box::new(list), cached: false };
         let _ = self.driver.send(event).await; // fails only after the instance has stopped
     }
--- a/crates/gateway/tests/common/mod.rs
+++ b/crates/gateway/tests/common/mod.rs
@@ -83,7 +83,7 @@
         let start = |m| Node::start(runtime.clone(), ([127, 0, 0, 1], 0).into(), m, journal.clone()).unwrap();
         let nodes: Vec<Node> = machines.into_iter().map(start).collect();
         let ingress = Instance::start(settings, runtime.clone()).await.unwrap();
-        ingress.nodes(list(&nodes.iter().collect::<Vec<_>>())).await;
+        ingress.set_node_list(list(&nodes.iter().collect::<Vec<_>>())).await;
         let to = ingress.grpc_address();
         let client = Client::connect(runtime.clone(), to, 0, journal.clone()).await.unwrap();
         Small { runtime, journal, nodes, tallies, ingress, client }
--- a/crates/gateway/tests/interop.rs
+++ b/crates/gateway/tests/interop.rs
@@ -40,7 +40,7 @@
     let node = node.unwrap();
     let ingress = futures_lite::future::block_on(async {
         let ingress = Instance::start(settings, system.clone()).await.unwrap();
-        ingress.nodes(list(&[&node])).await;
+        ingress.set_node_list(list(&[&node])).await;
         ingress
     });
     Fleet { system, ingress, _node: node }
@@ -210,7 +210,7 @@
 
 async fn with_node(system: &Arc<System>, node: SocketAddr) -> (Instance, Client) {
     let ingress = Instance::start(settings(), system.clone()).await.unwrap();
-    ingress.nodes(NodeList { revision: 1, nodes: vec![line_at(node)] }).await;
+    ingress.set_node_list(NodeList { revision: 1, nodes: vec![line_at(node)] }).await;
     let client =
         Client::connect(system.clone(), ingress.grpc_address(), 0, Journal::default()).await.unwrap();
     (ingress, client)
--- a/crates/gateway/tests/ledger/main.rs
+++ b/crates/gateway/tests/ledger/main.rs
@@ -166,7 +166,7 @@
         let mut ingresses = Vec::new();
         for s in &settings {
             let i = Instance::start(s.clone(), system.clone()).await.unwrap();
-            i.nodes(list.clone()).await;
+            i.set_node_list(list.clone()).await;
             ingresses.push(Some(i));
         }
         let mut rng = SmallRng::seed_from_u64(seed);
@@ -186,7 +186,7 @@
             }
             if round == restarted_in {
                 let i = Instance::start(settings[victim].clone(), system.clone()).await.unwrap();
-                i.nodes(list.clone()).await;
+                i.set_node_list(list.clone()).await;
                 let to = i.grpc_address();
                 clients[victim] =
                     Client::connect(system.clone(), to, 0, journal.clone()).await.ok().map(Arc::new);
@@ -377,7 +377,7 @@
             assert!(files(".seg") < 20, "400 requests are some 25 segments: {}", files(".seg"));
             s.ingress.stop();
             s.ingress = Instance::start(settings.clone(), system.clone()).await.unwrap();
-            s.ingress.nodes(list(&s.nodes.iter().collect::<Vec<_>>())).await;
+            s.ingress.set_node_list(list(&s.nodes.iter().collect::<Vec<_>>())).await;
             let to = s.ingress.grpc_address();
             s.client = Client::connect(system.clone(), to, 0, s.journal.clone()).await.unwrap();
         }
--- a/crates/gateway/tests/mqtt.rs
+++ b/crates/gateway/tests/mqtt.rs
@@ -419,7 +419,7 @@
         let end = s.runtime.now() + 3_000_000;
         assert!(s.ingress.drain(end).await);
         s.ingress = chalkgap::Instance::start(settings, system.clone()).await.unwrap();
-        s.ingress.nodes(list(&s.nodes.iter().collect::<Vec<_>>())).await;
+        s.ingress.set_node_list(list(&s.nodes.iter().collect::<Vec<_>>())).await;
         let mut present = 0;
         for client in ["other-0", "other-1", "c"] {
             let (mut h, first) = Hand::open(&s, hello(Version::V5, client)).await;
@@ -541,7 +541,7 @@
         assert_eq!(std::fs::read(&path).unwrap(), recorded, "as it was, when nobody came");
 
         s.ingress = chalkgap::Instance::start(with_snapshot(&path), system).await.unwrap();
-        s.ingress.nodes(list(&s.nodes.iter().collect::<Vec<_>>())).await;
+        s.ingress.set_node_list(list(&s.nodes.iter().collect::<Vec<_>>())).await;
         let (mut h, first) = Hand::open(&s, hello(Version::V5, "c")).await;
         assert!(
             matches!(first, Packet::ConnAck(ConnAck { session_present: true, code: 0, .. })),
--- a/crates/gateway/tests/simulated_runtime.rs
+++ b/crates/gateway/tests/simulated_runtime.rs
@@ -44,7 +44,7 @@
         for life in 0..2 {
             let (host, mut power) = again.host(1, 0);
             let ingress = Instance::start(with_ledger(), host).await.unwrap();
-            ingress.nodes(list(&[&node])).await;
+            ingress.set_node_list(list(&[&node])).await;
             let to = ingress.grpc_address();
             let client = Client::connect(clients.clone(), to, 0, journal.clone()).await.unwrap();
             for _ in 0..600 {
