--- a/crates/gateway/src/peers/tests.rs
+++ b/crates/gateway/src/peers/tests.rs
@@ -33,7 +33,11 @@
     let mut later = Sealer::new(Channel::Gossip, key("a"), 1, 200);
     assert!(opener.open(1, &later.seal(0, b"y")).is_ok());
     assert_eq!(opener.open(1, &old), Err(OpenError::StaleIncarnation));
-    assert_eq!(opener.open(1, &later.seal(2, b"y")), Err(OpenError::NotAddressed), "addressed to another gateway");
+    assert_eq!(
+        opener.open(1, &later.seal(2, b"y")),
+        Err(OpenError::NotAddressed),
+        "addressed to another gateway"
+    );
     assert_eq!(
         opener.open(1, &Sealer::new(Channel::Gossip, key("a"), 0, 9).seal(0, b"")),
         Err(OpenError::NotAddressed),
--- a/crates/gateway/src/upstream/connection.rs
+++ b/crates/gateway/src/upstream/connection.rs
@@ -86,8 +86,7 @@
             connection_window: CONNECTION_WINDOW,
             ..Config::default()
         };
-        let mut pipe =
-            Pipe::new(runtime.clone(), stream, Connection::client(config), commands.clone(), kill);
+        let mut pipe = Pipe::new(runtime.clone(), stream, Connection::client(config), commands.clone(), kill);
         loop {
             let idle_deadline = self.idle_since + upstream.keepalive_ms * 1000;
             let deadline = match pipe.conn.greeted() {
--- a/crates/gateway/src/upstream/mod.rs
+++ b/crates/gateway/src/upstream/mod.rs
@@ -128,7 +128,8 @@
     fn find_connection(&self, backend: BackendId) -> Option<u64> {
         let max_in_flight = self.shared.settings.settings.upstream.max_streams;
         let pool = self.pools.get(&backend)?;
-        let with_capacity = pool.iter().filter(|number| self.connections[*number].has_capacity(max_in_flight));
+        let with_capacity =
+            pool.iter().filter(|number| self.connections[*number].has_capacity(max_in_flight));
         with_capacity.min_by_key(|number| self.connections[*number].in_flight).copied()
     }
 
