--- a/crates/gateway/src/driver/mod.rs
+++ b/crates/gateway/src/driver/mod.rs
@@ -76,7 +76,7 @@
     /// Empty between events; its allocation is reused.
     actions: Vec<Action>,
     endpoint_ids: EndpointIds,
-    /// Addresses of the listed endpoints, without those that are marked as gone.
+    /// Addresses of all listed endpoints whose availability is not `Gone`.
     addresses: BTreeMap<BackendId, SocketAddr>,
     list_cache: Option<Sender<NodeList>>,
 }
--- a/crates/gateway/src/driver/timers.rs
+++ b/crates/gateway/src/driver/timers.rs
@@ -13,7 +13,7 @@
     token: u32,
 }
 
-/// The time at which an attempt ends if it has no result by then.
+/// Deadline of an attempt. The attempt times out if it has no result by then.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct AttemptDeadline {
     due_at: Micros,
--- a/crates/gateway/src/fleet/query.rs
+++ b/crates/gateway/src/fleet/query.rs
@@ -89,7 +89,7 @@
 }
 
 impl Query<'_> {
-    /// Fetches one page: the members from the id `from` on that fit into one answer.
+    /// Fetches one page of the view: the members with ids of at least `from`, as many as fit into one answer.
     async fn fetch_page(&mut self, from: MemberId) -> Result<(ViewSummary, Message), FetchError> {
         for _ in 0..TRIES_PER_PAGE {
             let nonce = self.runtime.random() as u32;
--- a/crates/gateway/src/messages.rs
+++ b/crates/gateway/src/messages.rs
@@ -123,7 +123,7 @@
     ConnectionClosed {
         /// The connection's number.
         connection: u64,
-        /// Whether the connection broke as soon as it was written to.
+        /// Whether the connection broke immediately after a request was written to it.
         broke_on_first_write: bool,
     },
     /// A gossip message has arrived.
@@ -170,7 +170,7 @@
     pub work: W,
     /// Time of the ledger entry that opened the request, in microseconds. `None`: the request has no ledger entry.
     pub ledger_entry_at: Option<Micros>,
-    /// Time at which the attempt ends if it has no result by then, in microseconds.
+    /// Deadline of the attempt, in microseconds. The attempt times out if it has no result by then.
     pub deadline: Micros,
     /// Latest time at which the attempt may be written to a connection, in microseconds. `None`: no limit.
     pub start_by: Option<Micros>,
--- a/crates/gateway/src/node_list/mod.rs
+++ b/crates/gateway/src/node_list/mod.rs
@@ -49,7 +49,7 @@
     /// Whether it accepts requests.
     #[serde(default)]
     pub state: State,
-    /// Its size. The settings define what the number means.
+    /// Its size, a positive number whose meaning the settings define.
     #[serde(default = "default_size")]
     pub size: f64,
     /// Time at which its process started, in milliseconds since 1970; 0 if it started long ago.
--- a/crates/gateway/src/peers/opener.rs
+++ b/crates/gateway/src/peers/opener.rs
@@ -152,7 +152,7 @@
     }
 }
 
-/// Numbers of the datagrams that were accepted from one sender on one channel.
+/// Replay protection for one sender on one channel: records which datagram numbers were accepted.
 struct ReplayWindow {
     incarnation: u64,
     highest: u64,
--- a/crates/gateway/src/upstream/mod.rs
+++ b/crates/gateway/src/upstream/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! [`Connections`] is the driver's side: it holds the pools and sends commands to the connections. Each connection runs
 //! in a task of its own ([`connection`]), which derives the outcome of an attempt from what was sent and received. An
-//! attempt ends as one that has not run only if that is certain.
+//! attempt is reported as not run only if this is certain.
 
 mod calls;
 mod connection;
