--- a/crates/quota-lease/src/holder.rs
+++ b/crates/quota-lease/src/holder.rs
@@ -1,154 +1,171 @@
-//! Who spends. One holder for one account and one limit.
+//! Holders: spend the units granted by owners. One holder for each account and limit.
 
-use crate::{Epoch, Grant, Micros, Number, Terms, Units};
+use crate::{Epoch, Grant, IngressId, LeaseTerms, Micros, Units};
 
-/// Grants that a holder has at once at most; more are given back unspent.
-pub const MOST_GRANTS: usize = 8;
+/// Maximum number of grants that a holder has at once. Further ones are not accepted.
+pub const MAX_GRANTS: usize = 8;
 
-/// Closed questions that are told with each question: one of so many gets through.
-pub const MOST_CLOSED: usize = 8;
-/// The part of a term that an answer may take before another question is asked.
-const ANSWER: u64 = 10;
+/// Number of abandoned requests that are reported with each new request. Each is reported several times, so that one
+/// message that arrives is enough.
+pub const MAX_ABANDONED: usize = 8;
+/// A request is abandoned without an answer after the lease duration divided by this.
+const ANSWER_TIMEOUT_DIVISOR: u64 = 10;
 
-/// What a holder asks its owner.
+/// A request of a holder for a grant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Ask {
-    /// Comes back with the answer.
-    pub question: u64,
-    /// Questions whose answers did not come, and will not be taken any more; 0: none.
-    pub closed: [u64; MOST_CLOSED],
-    /// The epoch that the holder goes by.
+pub struct GrantRequest {
+    /// Number of the request, returned with the answer.
+    pub id: u64,
+    /// Requests that had no answer in time and whose answers are no longer accepted; 0 marks an unused entry.
+    pub abandoned: [u64; MAX_ABANDONED],
+    /// The highest epoch that the holder has seen.
     pub epoch: Epoch,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Held {
+struct HeldGrant {
     grant: Grant,
     spent: Units,
-    until: Micros,
+    expires_at: Micros,
 }
 
-/// A holder.
+/// Holds and spends the grants of one ingress.
 #[derive(Clone, Debug)]
 pub struct Holder {
-    me: Number,
-    terms: Terms,
-    /// The highest epoch that was seen: grants of lower ones are not taken.
+    ingress: IngressId,
+    terms: LeaseTerms,
+    /// The highest epoch seen; grants of lower epochs are not accepted.
     epoch: Epoch,
-    held: Vec<Held>,
-    /// Grants that were taken, by the highest id of the epoch, and a bit for each of those below it: each counts once,
-    /// however often it comes, and may overtake others.
-    highest: u64,
-    taken: u64,
-    /// The question that is open, and when it was asked.
-    open: Option<(u64, Micros)>,
-    /// The last ones that were closed without an answer.
-    closed: [u64; MOST_CLOSED],
-    questions: u64,
+    grants: Vec<HeldGrant>,
+    /// The highest id of an accepted grant of the epoch.
+    highest_grant_id: u64,
+    /// Bit `n` is set if the grant with id `highest_grant_id - n` was accepted. Each grant is accepted once, even if its
+    /// message is duplicated or reordered.
+    accepted_grant_ids: u64,
+    /// The request that waits for an answer, and when it was sent.
+    open_request: Option<(u64, Micros)>,
+    /// The latest requests that were abandoned without an answer.
+    abandoned: [u64; MAX_ABANDONED],
+    last_request_id: u64,
 }
 
 impl Holder {
-    /// A holder of nothing. `start`: later than at all starts before, as its questions are numbered from there: what an
-    /// earlier one asked and spent must not be taken for a question of this one.
-    pub fn new(me: Number, terms: Terms, start: u64) -> Holder {
+    /// Creates a holder without grants.
+    ///
+    /// `start` must be larger than at any earlier start of this ingress, for example a time: request ids continue from it,
+    /// so that an answer to a request of an earlier start is never accepted.
+    pub fn new(ingress: IngressId, terms: LeaseTerms, start: u64) -> Holder {
         Holder {
-            me,
+            ingress,
             terms,
             epoch: 0,
-            held: Vec::new(),
-            highest: 0,
-            taken: 0,
-            open: None,
-            closed: [0; MOST_CLOSED],
-            questions: start,
+            grants: Vec::new(),
+            highest_grant_id: 0,
+            accepted_grant_ids: 0,
+            open_request: None,
+            abandoned: [0; MAX_ABANDONED],
+            last_request_id: start,
         }
     }
 
-    /// Asks. None: a question is open, and its answer may still come. One that was open for long is closed: its answer is
-    /// never taken from now on, and the owner may have back what it granted.
-    pub fn ask(&mut self, now: Micros) -> Option<Ask> {
-        if let Some((question, asked)) = self.open {
-            if now < asked + self.terms.term / ANSWER {
+    /// Returns a new request to send to the owner; `None` while an answer to the open request may still arrive.
+    ///
+    /// A request without an answer for a tenth of the lease duration is abandoned: its answer is no longer accepted, and
+    /// the owner may reclaim the units granted to it.
+    pub fn request(&mut self, now: Micros) -> Option<GrantRequest> {
+        if let Some((request_id, sent_at)) = self.open_request {
+            if now < sent_at + self.terms.duration / ANSWER_TIMEOUT_DIVISOR {
                 return None;
             }
-            self.closed.rotate_right(1);
-            self.closed[0] = question;
+            self.abandoned.rotate_right(1);
+            self.abandoned[0] = request_id;
         }
-        self.questions += 1;
-        self.open = Some((self.questions, now));
-        Some(Ask { question: self.questions, closed: self.closed, epoch: self.epoch })
+        self.last_request_id += 1;
+        self.open_request = Some((self.last_request_id, now));
+        Some(GrantRequest { id: self.last_request_id, abandoned: self.abandoned, epoch: self.epoch })
     }
 
-    /// Takes the answer to a question. False: late, doubled, of a lower epoch, or another's; it is not spent here, and
-    /// ends by its term.
-    pub fn take(&mut self, now: Micros, question: u64, grant: Grant) -> bool {
-        let Some((_, asked)) = self.open.filter(|o| o.0 == question) else { return false };
-        let until = self.terms.holder_until(asked);
-        self.drop_over(now);
-        if grant.holder != self.me || now >= until || self.held.len() >= MOST_GRANTS || !self.is_new(grant) {
+    /// Accepts the grant that answers a request. Returns whether it was accepted.
+    ///
+    /// A grant that is late, duplicated, of a lower epoch or for another holder is not accepted: it is not spent here, and
+    /// expires at the owner.
+    pub fn accept(&mut self, now: Micros, request_id: u64, grant: Grant) -> bool {
+        let Some((_, sent_at)) = self.open_request.filter(|open| open.0 == request_id) else { return false };
+        let expires_at = self.terms.holder_expiry(sent_at);
+        self.drop_expired(now);
+        if grant.holder != self.ingress
+            || now >= expires_at
+            || self.grants.len() >= MAX_GRANTS
+            || !self.record_if_new(grant)
+        {
             return false;
         }
-        self.open = None;
-        self.held.push(Held { grant, spent: 0, until });
+        self.open_request = None;
+        self.grants.push(HeldGrant { grant, spent: 0, expires_at });
         true
     }
 
-    /// Whether a grant was not taken yet, and is of no lower epoch; notes it.
-    fn is_new(&mut self, grant: Grant) -> bool {
+    /// Returns whether a grant was not accepted before and is not of a lower epoch, and if so records it as accepted.
+    fn record_if_new(&mut self, grant: Grant) -> bool {
         if grant.epoch > self.epoch {
-            (self.epoch, self.highest, self.taken) = (grant.epoch, 0, 0);
+            self.epoch = grant.epoch;
+            self.highest_grant_id = 0;
+            self.accepted_grant_ids = 0;
         }
-        let known = grant.epoch == self.epoch;
-        if known && grant.id > self.highest {
-            let by = grant.id - self.highest;
-            self.taken = if by < 64 { self.taken << by | 1 } else { 1 };
-            self.highest = grant.id;
+        let is_current_epoch = grant.epoch == self.epoch;
+        if is_current_epoch && grant.id > self.highest_grant_id {
+            let shift = grant.id - self.highest_grant_id;
+            self.accepted_grant_ids = if shift < 64 { self.accepted_grant_ids << shift | 1 } else { 1 };
+            self.highest_grant_id = grant.id;
             return true;
         }
-        let behind = self.highest.saturating_sub(grant.id);
-        let new = known && grant.id > 0 && behind < 64 && self.taken >> behind & 1 == 0;
-        if new {
-            self.taken |= 1 << behind;
+        let bit = self.highest_grant_id.saturating_sub(grant.id);
+        let is_new = is_current_epoch && grant.id > 0 && bit < 64 && self.accepted_grant_ids >> bit & 1 == 0;
+        if is_new {
+            self.accepted_grant_ids |= 1 << bit;
         }
-        new
+        is_new
     }
 
-    fn drop_over(&mut self, now: Micros) {
-        self.held.retain(|h| h.until > now);
+    fn drop_expired(&mut self, now: Micros) {
+        self.grants.retain(|held| held.expires_at > now);
     }
 
-    /// Spends units if that much is held: of what ends soonest first.
+    /// Spends units if that many are available, from the grants that expire first. Returns whether it spent them.
     pub fn spend(&mut self, now: Micros, units: Units) -> bool {
-        // The clock is looked at with each spending: one that slept wakes with nothing.
-        self.drop_over(now);
-        if self.left(now) < units {
+        // Checked at each call: a process that was suspended past the expiry of its grants must not spend them.
+        self.drop_expired(now);
+        if self.available(now) < units {
             return false;
         }
         let mut rest = units;
-        self.held.sort_by_key(|h| h.until);
-        for h in &mut self.held {
-            let part = rest.min(h.grant.units - h.spent);
-            h.spent += part;
+        self.grants.sort_by_key(|held| held.expires_at);
+        for held in &mut self.grants {
+            let part = rest.min(held.grant.units - held.spent);
+            held.spent += part;
             rest -= part;
         }
         true
     }
 
-    /// What may be spent now.
-    pub fn left(&self, now: Micros) -> Units {
-        self.held.iter().filter(|h| h.until > now).map(|h| h.grant.units - h.spent).sum()
+    /// Returns the units that can be spent at `now`.
+    pub fn available(&self, now: Micros) -> Units {
+        let unexpired = self.grants.iter().filter(|held| held.expires_at > now);
+        unexpired.map(|held| held.grant.units - held.spent).sum()
     }
 
-    /// Grants of which nothing is left, to be told to the owner: what is out takes the room of what could be granted.
-    pub fn done(&mut self) -> Vec<(Grant, Units)> {
-        let all = |h: &Held| h.spent == h.grant.units;
-        let done = self.held.iter().filter(|h| all(h)).map(|h| (h.grant, h.spent)).collect();
-        self.held.retain(|h| !all(h));
-        done
+    /// Removes the grants that are spent in full. Returns them with their spent units, to be returned to the owner:
+    /// outstanding units occupy room in its bucket, and fewer are refilled.
+    pub fn take_exhausted(&mut self) -> Vec<(Grant, Units)> {
+        let is_exhausted = |held: &HeldGrant| held.spent == held.grant.units;
+        let exhausted = self.grants.iter().filter(|held| is_exhausted(held));
+        let exhausted = exhausted.map(|held| (held.grant, held.spent)).collect();
+        self.grants.retain(|held| !is_exhausted(held));
+        exhausted
     }
 
-    /// Gives up what it holds, with what was spent of each: to be told to the owner. From now on nothing of it is spent.
-    pub fn give_up(&mut self) -> Vec<(Grant, Units)> {
-        std::mem::take(&mut self.held).into_iter().map(|h| (h.grant, h.spent)).collect()
+    /// Removes all grants. Returns them with their spent units, to be returned to the owner.
+    pub fn take_all(&mut self) -> Vec<(Grant, Units)> {
+        std::mem::take(&mut self.grants).into_iter().map(|held| (held.grant, held.spent)).collect()
     }
 }
--- a/crates/quota-lease/src/lib.rs
+++ b/crates/quota-lease/src/lib.rs
@@ -1,57 +1,59 @@
-//! Limits shared by leased grants. An owner has an account's store and hands parts of it to holders, each with a term; a
-//! holder spends what it holds, until its own clock says that the term is over, less a margin for clocks that differ.
-//! Free of I/O and clock.
+//! Limits shared through leased grants. An owner has the token bucket of an account and grants units of it to holders,
+//! each grant for the duration of a lease. A holder spends a grant until, by its own clock, the lease ends, less a margin
+//! for clock drift. Performs no I/O and reads no clock.
 //!
-//! What is handed out is taken from the store at once, and what is out fills the store's room: so all that holders can
-//! spend at any moment would have fitted the store of somebody who saw everything. Nothing comes back but what a holder
-//! itself returns; what ends by its term counts as spent. Limits are never passed, whoever dies, sleeps or is cut off; what
-//! fails costs service.
+//! Granted units are taken from the bucket at once, and outstanding units occupy room in it. All that holders can spend at
+//! any time would therefore fit the bucket of a single process that sees every request. Units return to the bucket only
+//! when their holder returns them; units of an expired grant count as spent. So the limit is never exceeded, whichever
+//! members fail, are suspended or are disconnected; a failure makes fewer units available instead.
 //!
-//! - [`store`]: a store that fills at a rate
-//! - [`owner`]: who hands out
-//! - [`holder`]: who spends
-//! - [`slot`]: who may be the owner: whoever has the votes of most of a fixed committee, for a term
+//! - [`token_bucket`]: token bucket in whole units
+//! - [`owner`]: grants units to holders
+//! - [`holder`]: spends granted units
+//! - [`slot`]: election of owners by a majority of a fixed committee, for the duration of a lease
 
 pub mod holder;
 pub mod owner;
 pub mod slot;
-pub mod store;
+pub mod token_bucket;
 
-pub use holder::{Ask, Holder};
-pub use owner::{Grant, Owner, Refused};
+pub use holder::{GrantRequest, Holder};
+pub use owner::{Grant, GrantError, Owner};
 pub use slot::{Candidate, Voter};
-pub use store::{Limit, Store};
+pub use token_bucket::{Limit, TokenBucket};
 
-/// A span of time, or a time on an instance's own clock, in microseconds.
+/// A duration, or a time on the clock of one ingress, in microseconds.
 pub type Micros = u64;
 
-/// Units of a limit. Whole: what is split must add up again to the last of them.
+/// Units of a limit. Integers, so that the parts of a split amount add up to it exactly.
 pub type Units = u64;
 
-/// Counts the owners of a slot; a lower one is never honoured.
+/// Number of an ownership of a slot. Grants of a lower epoch than the highest seen are not accepted.
 pub type Epoch = u64;
 
-/// The number of an ingress.
-pub type Number = u16;
+/// Number of an ingress.
+pub type IngressId = u16;
 
-/// How long grants and votes last, and how much clocks may differ.
+/// Duration of grants and votes, and the tolerated clock drift.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Terms {
-    /// How long a grant, or a vote, lasts.
-    pub term: Micros,
-    /// By how much two clocks may run apart, in parts of a thousand.
-    pub drift: u32,
+pub struct LeaseTerms {
+    /// Duration of a grant or a vote.
+    pub duration: Micros,
+    /// Maximum drift between two clocks, in thousandths.
+    pub max_drift_permille: u32,
 }
 
-impl Terms {
-    /// When somebody who asked at `asked` stops using what it got: sooner than the term, by its own clock, which may be
-    /// slow. It counts from its question, as it cannot know when the answer was given; that was later.
-    pub fn holder_until(&self, asked: Micros) -> Micros {
-        asked + self.term * u64::from(1000 - self.drift.min(999)) / 1000
+impl LeaseTerms {
+    /// Returns the time at which the receiver of a grant or vote stops using it, by its own clock: earlier than the
+    /// duration, because that clock may be slow. Counted from the request, because the receiver does not know when it was
+    /// granted; that was later.
+    pub fn holder_expiry(&self, requested_at: Micros) -> Micros {
+        requested_at + self.duration * u64::from(1000 - self.max_drift_permille.min(999)) / 1000
     }
 
-    /// When somebody who gave at `given` takes it for over: later than the term, by its own clock, which may be fast.
-    pub fn giver_until(&self, given: Micros) -> Micros {
-        given + self.term * u64::from(1000 + self.drift) / 1000
+    /// Returns the time at which the sender of a grant or vote treats it as expired, by its own clock: later than the
+    /// duration, because that clock may be fast.
+    pub fn grantor_expiry(&self, granted_at: Micros) -> Micros {
+        granted_at + self.duration * u64::from(1000 + self.max_drift_permille) / 1000
     }
 }
--- a/crates/quota-lease/src/owner.rs
+++ b/crates/quota-lease/src/owner.rs
@@ -1,154 +1,174 @@
-//! Who hands out. One owner for one account and one limit.
+//! Owners: grant units to holders. One owner for each account and limit.
 
-use crate::{Ask, Epoch, Limit, Micros, Number, Store, Terms, Units};
+use crate::{Epoch, GrantRequest, IngressId, LeaseTerms, Limit, Micros, TokenBucket, Units};
 use std::collections::BTreeMap;
 
-/// What a holder gets.
+/// Units granted to a holder.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Grant {
-    /// Of which owner.
+    /// Epoch of the owner.
     pub epoch: Epoch,
-    /// Names it among that owner's.
+    /// Number of the grant, unique within the epoch.
     pub id: u64,
-    /// To whom.
-    pub holder: Number,
-    /// How much.
+    /// The holder.
+    pub holder: IngressId,
+    /// The granted units.
     pub units: Units,
 }
 
-/// Why nothing is granted.
+/// Why a request is not granted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Refused {
-    /// What earlier owners granted may still be spent.
-    #[error("grants of an earlier owner may be out for {0} us more")]
-    Waiting(Micros),
-    /// There is nothing to give; when there is a unit again.
-    #[error("nothing is left, until in {0} us")]
-    Empty(Micros),
-    /// It has answered this question, or a later one.
-    #[error("a question that was answered, or is overtaken")]
-    Again,
-    /// It is the owner no longer.
-    #[error("no owner any more")]
-    Over,
+pub enum GrantError {
+    /// Grants of earlier owners may be unexpired for this long, in microseconds.
+    #[error("grants of an earlier owner may be unexpired for {0} us")]
+    EarlierGrants(Micros),
+    /// No unit is available, or too many grants are outstanding; the time until the next unit, in microseconds.
+    #[error("no units available, the next one in {0} us")]
+    Exhausted(Micros),
+    /// This request, or a later one of its holder, was received before.
+    #[error("this request or a later one of its holder was received before")]
+    StaleRequest,
+    /// The ownership has expired.
+    #[error("the ownership has expired")]
+    NotOwner,
 }
 
-struct Out {
-    holder: Number,
-    question: u64,
+struct OutstandingGrant {
+    holder: IngressId,
+    request_id: u64,
     units: Units,
-    until: Micros,
+    expires_at: Micros,
 }
 
-/// An owner.
+/// Grants the units of one limit.
 pub struct Owner {
-    terms: Terms,
+    terms: LeaseTerms,
     epoch: Epoch,
-    store: Store,
-    /// Nothing is granted before: an earlier owner's grants are over by then.
-    opens: Micros,
-    /// It may grant until then; renewed with the votes that made it the owner.
-    until: Micros,
-    out: BTreeMap<u64, Out>,
-    /// The last question of each holder: one that comes again, or late, gets nothing new.
-    asked: BTreeMap<Number, u64>,
-    /// Their units.
-    outstanding: Units,
-    next: u64,
+    bucket: TokenBucket,
+    /// Nothing is granted before this time: grants of earlier owners have expired by then.
+    grants_from: Micros,
+    /// When the ownership expires; extended when the votes for it are renewed.
+    expires_at: Micros,
+    /// Unexpired grants by id.
+    outstanding: BTreeMap<u64, OutstandingGrant>,
+    /// The last request of each holder: a duplicated or reordered request is not granted again.
+    last_request_ids: BTreeMap<IngressId, u64>,
+    /// Sum of the units in `outstanding`.
+    outstanding_units: Units,
+    next_grant_id: u64,
 }
 
-/// The share of what is there that one ask gets at most: others come, too.
-const PART: Units = 2;
-/// Grants of one account that are out at once at most.
-const MOST_OUT: usize = 4096;
+/// A request gets at most the level of the bucket divided by this, so that units are left for other holders.
+const MAX_GRANT_DIVISOR: Units = 2;
+/// Maximum number of outstanding grants of one account.
+const MAX_OUTSTANDING: usize = 4096;
 
 impl Owner {
-    /// An owner from now on, by votes that hold until `until`.
+    /// Creates an owner whose ownership expires at `expires_at`, with the votes for it.
     ///
-    /// It knows nothing of what an earlier one gave, nor whether there was one. All that is over after a term; until then
-    /// its store stays empty, as what is out may take all the room.
-    pub fn new(limit: Limit, terms: Terms, epoch: Epoch, now: Micros, until: Micros) -> Owner {
-        let opens = terms.giver_until(now);
+    /// It grants nothing for the duration of a lease: it does not know of the grants of an earlier owner, which have all
+    /// expired after that. Until then its bucket stays empty, as those grants may occupy all of its room.
+    pub fn new(limit: Limit, terms: LeaseTerms, epoch: Epoch, now: Micros, expires_at: Micros) -> Owner {
+        let grants_from = terms.grantor_expiry(now);
         Owner {
             terms,
             epoch,
-            store: Store::empty(limit, opens),
-            opens,
-            until,
-            out: BTreeMap::new(),
-            asked: BTreeMap::new(),
-            outstanding: 0,
-            next: 1,
+            bucket: TokenBucket::empty(limit, grants_from),
+            grants_from,
+            expires_at,
+            outstanding: BTreeMap::new(),
+            last_request_ids: BTreeMap::new(),
+            outstanding_units: 0,
+            next_grant_id: 1,
         }
     }
 
-    /// Its epoch.
+    /// Returns the epoch.
     pub fn epoch(&self) -> Epoch {
         self.epoch
     }
 
-    /// The votes that make it the owner have been renewed.
-    pub fn renew(&mut self, until: Micros) {
-        self.until = self.until.max(until);
+    /// Extends the ownership: the votes for it were renewed until `expires_at`.
+    pub fn renew(&mut self, expires_at: Micros) {
+        self.expires_at = self.expires_at.max(expires_at);
     }
 
-    /// What is over is over: it counts as spent, and takes no room any more.
-    fn settle(&mut self, now: Micros) {
-        // Up to now what was out took its room; how long each of them did does not matter, as less comes in this way.
-        self.store.fill(now, self.outstanding);
-        // By id is by time: the first that is not over ends the search.
-        while let Some(over) = self.out.first_entry().filter(|o| o.get().until <= now) {
-            self.outstanding -= over.remove().units;
+    /// Refills the bucket and removes expired grants: their units count as spent and no longer occupy room.
+    fn expire_grants(&mut self, now: Micros) {
+        // Grants that expired since the last refill count as outstanding for all of that time. This can only refill less.
+        self.bucket.refill(now, self.outstanding_units);
+        // Grants expire in the order of their ids, so the first unexpired one ends the loop.
+        while let Some(expired) = self.outstanding.first_entry().filter(|entry| entry.get().expires_at <= now)
+        {
+            self.outstanding_units -= expired.remove().units;
         }
     }
 
-    /// Grants up to `want` units to a holder that asks. What was granted to questions that it has closed comes back.
+    /// Grants up to `max_units` units to a holder. Units granted to requests that the holder has abandoned return to the
+    /// bucket first.
     ///
     /// # Errors
-    /// See [`Refused`].
-    pub fn grant(&mut self, now: Micros, holder: Number, ask: &Ask, want: Units) -> Result<Grant, Refused> {
-        // Looked at first: one that slept past its term wakes with the asks that waited for it.
-        if now >= self.until {
-            return Err(Refused::Over);
+    /// The ownership has expired, earlier grants may be unexpired, the request is a duplicate or out of order, or no unit is
+    /// available; see [`GrantError`].
+    pub fn grant(
+        &mut self,
+        now: Micros,
+        holder: IngressId,
+        request: &GrantRequest,
+        max_units: Units,
+    ) -> Result<Grant, GrantError> {
+        // Checked first: a process that was suspended past its ownership resumes with the requests that arrived meanwhile.
+        if now >= self.expires_at {
+            return Err(GrantError::NotOwner);
         }
-        if now < self.opens {
-            return Err(Refused::Waiting(self.opens - now));
+        if now < self.grants_from {
+            return Err(GrantError::EarlierGrants(self.grants_from - now));
         }
-        self.settle(now);
-        let closed = |o: &Out| o.holder == holder && ask.closed.contains(&o.question);
-        let back: Vec<u64> = self.out.iter().filter(|o| closed(o.1)).map(|o| *o.0).collect();
-        for out in back.iter().filter_map(|id| self.out.remove(id)) {
-            self.outstanding -= out.units;
-            self.store.put_back(out.units);
+        self.expire_grants(now);
+        let is_abandoned = |grant: &OutstandingGrant| {
+            grant.holder == holder && request.abandoned.contains(&grant.request_id)
+        };
+        let abandoned = self.outstanding.iter().filter(|entry| is_abandoned(entry.1));
+        let abandoned: Vec<u64> = abandoned.map(|entry| *entry.0).collect();
+        for grant in abandoned.iter().filter_map(|id| self.outstanding.remove(id)) {
+            self.outstanding_units -= grant.units;
+            self.bucket.put_back(grant.units);
         }
-        let last = self.asked.entry(holder).or_default();
-        if ask.question <= *last {
-            return Err(Refused::Again);
+        let last_request_id = self.last_request_ids.entry(holder).or_default();
+        if request.id <= *last_request_id {
+            return Err(GrantError::StaleRequest);
         }
-        *last = ask.question;
-        let units = want.min(self.store.level().div_ceil(PART));
-        if units == 0 || self.out.len() >= MOST_OUT || !self.store.take(units) {
-            return Err(Refused::Empty(1_000_000 / self.store.limit().rate.max(1)));
+        *last_request_id = request.id;
+        let units = max_units.min(self.bucket.level().div_ceil(MAX_GRANT_DIVISOR));
+        if units == 0 || self.outstanding.len() >= MAX_OUTSTANDING || !self.bucket.take(units) {
+            return Err(GrantError::Exhausted(1_000_000 / self.bucket.limit().rate.max(1)));
         }
-        let id = self.next;
-        self.next += 1;
-        self.outstanding += units;
-        self.out
-            .insert(id, Out { holder, question: ask.question, units, until: self.terms.giver_until(now) });
+        let id = self.next_grant_id;
+        self.next_grant_id += 1;
+        self.outstanding_units += units;
+        let expires_at = self.terms.grantor_expiry(now);
+        let grant = OutstandingGrant { holder, request_id: request.id, units, expires_at };
+        self.outstanding.insert(id, grant);
         Ok(Grant { epoch: self.epoch, id, holder, units })
     }
 
-    /// A holder gives a grant up, having spent so much of it. Once: a second word, or one after the term, changes nothing.
-    pub fn give_back(&mut self, now: Micros, grant: Grant, spent: Units) -> bool {
-        self.settle(now);
-        let fits = grant.epoch == self.epoch
-            && self.out.get(&grant.id).is_some_and(|o| o.holder == grant.holder && o.units == grant.units);
-        if !fits || now >= self.until {
+    /// Takes back a grant of which its holder has spent `spent` units; the rest returns to the bucket.
+    ///
+    /// Returns `false`, and takes nothing back, if the grant is not outstanding (returned before, expired, or of another
+    /// owner) or the ownership has expired.
+    pub fn take_back(&mut self, now: Micros, grant: Grant, spent: Units) -> bool {
+        self.expire_grants(now);
+        let is_outstanding = grant.epoch == self.epoch
+            && self
+                .outstanding
+                .get(&grant.id)
+                .is_some_and(|own| own.holder == grant.holder && own.units == grant.units);
+        if !is_outstanding || now >= self.expires_at {
             return false;
         }
-        self.out.remove(&grant.id);
-        self.outstanding -= grant.units;
-        self.store.put_back(grant.units - spent.min(grant.units));
+        self.outstanding.remove(&grant.id);
+        self.outstanding_units -= grant.units;
+        self.bucket.put_back(grant.units - spent.min(grant.units));
         true
     }
 }
--- a/crates/quota-lease/src/slot.rs
+++ b/crates/quota-lease/src/slot.rs
@@ -1,122 +1,148 @@
-//! Who may be the owner. Accounts fall into slots; a slot has a fixed committee of numbers, and whoever has the votes of
-//! most of it is the owner for as long as they last. Two cannot have them at once: some voter would have to have voted for
-//! both. Nothing of it rests on a view of the fleet, which may differ between two; the view says who should stand.
+//! Election of owners. Accounts are assigned to slots; each slot has a fixed committee of ingresses. A candidate with the
+//! votes of a majority of the committee is the owner until those votes expire. Two candidates cannot both have a majority:
+//! some voter would have to vote for both. The election does not depend on a view of the fleet, which may differ between
+//! two ingresses; the view only determines who should be a candidate.
 
-use crate::{Epoch, Micros, Number, Terms};
+use crate::{Epoch, IngressId, LeaseTerms, Micros};
 use std::collections::BTreeMap;
 
 /// A member of a committee.
 #[derive(Clone, Debug)]
 pub struct Voter {
-    terms: Terms,
-    /// No vote before: one given before this start, and forgotten, is over by then.
-    opens: Micros,
-    highest: Epoch,
-    given: Option<(Number, Micros)>,
+    terms: LeaseTerms,
+    /// No vote is given before this time: a vote given before a restart, which is not stored, has expired by then.
+    votes_from: Micros,
+    highest_epoch: Epoch,
+    /// The candidate that has the vote, and when the vote expires.
+    vote: Option<(IngressId, Micros)>,
 }
 
-/// A voter's answer.
+/// A voter's answer to a candidate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Vote {
-    /// Whose.
-    pub voter: Number,
-    /// The question.
-    pub question: u64,
-    /// The epoch that was asked for.
+    /// The voter.
+    pub voter: IngressId,
+    /// The candidate's round of voting.
+    pub round: u64,
+    /// The candidate's epoch.
     pub epoch: Epoch,
-    /// Yes.
-    pub given: bool,
-    /// The highest epoch that the voter has given its vote in.
-    pub highest: Epoch,
+    /// Whether the candidate has the vote.
+    pub granted: bool,
+    /// The highest epoch in which the voter has given its vote.
+    pub highest_epoch: Epoch,
 }
 
 impl Voter {
-    /// A voter that starts now.
-    pub fn new(terms: Terms, now: Micros) -> Voter {
-        Voter { terms, opens: terms.giver_until(now), highest: 0, given: None }
+    /// Creates a voter that starts at `now`.
+    pub fn new(terms: LeaseTerms, now: Micros) -> Voter {
+        Voter { terms, votes_from: terms.grantor_expiry(now), highest_epoch: 0, vote: None }
     }
 
-    /// Somebody stands for an epoch.
-    pub fn ask(&mut self, now: Micros, me: Number, candidate: Number, question: u64, epoch: Epoch) -> Vote {
-        let free = self.given.is_none_or(|(whom, until)| whom == candidate || until <= now);
-        let same = epoch == self.highest && self.given.is_some_and(|g| g.0 == candidate);
-        let given = now >= self.opens && free && (epoch > self.highest || same);
-        if given {
-            self.highest = epoch;
-            self.given = Some((candidate, self.terms.giver_until(now)));
+    /// Answers a candidate's request for a vote. The vote is granted, or renewed, if no other candidate has it and the
+    /// epoch is new or already this candidate's.
+    pub fn request_vote(
+        &mut self,
+        now: Micros,
+        voter: IngressId,
+        candidate: IngressId,
+        round: u64,
+        epoch: Epoch,
+    ) -> Vote {
+        let is_free = self.vote.is_none_or(|(holder, expires_at)| holder == candidate || expires_at <= now);
+        let is_renewal = epoch == self.highest_epoch && self.vote.is_some_and(|vote| vote.0 == candidate);
+        let granted = now >= self.votes_from && is_free && (epoch > self.highest_epoch || is_renewal);
+        if granted {
+            self.highest_epoch = epoch;
+            self.vote = Some((candidate, self.terms.grantor_expiry(now)));
         }
-        Vote { voter: me, question, epoch, given, highest: self.highest }
+        Vote { voter, round, epoch, granted, highest_epoch: self.highest_epoch }
     }
 }
 
-/// Whoever stands for a slot.
+/// A candidate for the ownership of a slot.
 #[derive(Clone, Debug)]
 pub struct Candidate {
-    terms: Terms,
-    committee: usize,
-    /// Who should be the owner rather than this one: so many.
+    terms: LeaseTerms,
+    committee_size: usize,
+    /// Number of ingresses that take precedence over this one as the owner.
     rank: u32,
     epoch: Epoch,
-    /// Epochs that others had.
-    seen: Epoch,
-    question: u64,
-    asked: Option<Micros>,
-    votes: BTreeMap<Number, bool>,
-    until: Micros,
+    /// The highest epoch reported by voters and holders.
+    highest_seen_epoch: Epoch,
+    round: u64,
+    round_started_at: Option<Micros>,
+    /// The votes of this round: whether each voter granted its vote.
+    votes: BTreeMap<IngressId, bool>,
+    /// When the ownership expires; 0: not the owner.
+    owner_until: Micros,
 }
 
 impl Candidate {
-    /// A candidate for a slot with a committee of so many.
-    pub fn new(terms: Terms, committee: usize, rank: u32) -> Candidate {
-        let votes = BTreeMap::new();
-        Candidate { terms, committee, rank, epoch: 0, seen: 0, question: 0, asked: None, votes, until: 0 }
+    /// Creates a candidate for a slot. `rank`: the number of ingresses that take precedence as the owner.
+    pub fn new(terms: LeaseTerms, committee_size: usize, rank: u32) -> Candidate {
+        Candidate {
+            terms,
+            committee_size,
+            rank,
+            epoch: 0,
+            highest_seen_epoch: 0,
+            round: 0,
+            round_started_at: None,
+            votes: BTreeMap::new(),
+            owner_until: 0,
+        }
     }
 
-    /// Stands, or stands again to stay: the question's number and the epoch, for all of the committee. None: it has lost,
-    /// and rests until the votes that it got are over, longer the lower its rank. Two that both went on with a part of the
-    /// votes each would keep each other out for ever.
-    pub fn stand(&mut self, now: Micros) -> Option<(u64, Epoch)> {
-        if now >= self.until {
-            let rest = self.terms.term / 2 * u64::from(self.rank);
-            if self.asked.is_some_and(|asked| now < self.terms.giver_until(asked) + rest) {
+    /// Starts a round of voting, to become the owner or to renew the ownership. Returns the round and the epoch to send to
+    /// every committee member.
+    ///
+    /// Returns `None` after a lost round, until the votes given in it have expired, plus half a lease duration for each
+    /// rank. Otherwise two candidates that each have some of the votes could renew them and block each other for ever.
+    pub fn start_round(&mut self, now: Micros) -> Option<(u64, Epoch)> {
+        if now >= self.owner_until {
+            let rank_delay = self.terms.duration / 2 * u64::from(self.rank);
+            let is_waiting = |started_at| now < self.terms.grantor_expiry(started_at) + rank_delay;
+            if self.round_started_at.is_some_and(is_waiting) {
                 return None;
             }
-            // Beyond all that were seen. The clock is in it, as those who saw the last one may all have been started again.
-            self.epoch = self.seen.max(self.epoch).saturating_add(1).max(now);
+            // Higher than any epoch seen. At least the time, because all members that saw the last epoch may have restarted.
+            self.epoch = self.highest_seen_epoch.max(self.epoch).saturating_add(1).max(now);
         }
-        self.question += 1;
-        self.asked = Some(now);
+        self.round += 1;
+        self.round_started_at = Some(now);
         self.votes.clear();
-        Some((self.question, self.epoch))
+        Some((self.round, self.epoch))
     }
 
-    /// A vote has come. The time until which this one is the owner, if it now is, or still.
-    pub fn vote(&mut self, now: Micros, vote: Vote) -> Option<(Epoch, Micros)> {
-        self.seen = self.seen.max(vote.highest);
-        if vote.question != self.question || vote.epoch != self.epoch {
-            return None; // of an earlier question: its time is not known
+    /// Records a vote. If this candidate has a majority of the current round, returns its epoch and the time until which
+    /// it is the owner.
+    pub fn record_vote(&mut self, now: Micros, vote: Vote) -> Option<(Epoch, Micros)> {
+        self.highest_seen_epoch = self.highest_seen_epoch.max(vote.highest_epoch);
+        if vote.round != self.round || vote.epoch != self.epoch {
+            return None; // of an earlier round, whose start time is not stored
         }
-        self.votes.insert(vote.voter, vote.given);
-        let yes = self.votes.values().filter(|v| **v).count();
-        let until = self.terms.holder_until(self.asked?);
-        if 2 * yes <= self.committee || now >= until {
+        self.votes.insert(vote.voter, vote.granted);
+        let granted = self.votes.values().filter(|granted| **granted).count();
+        let owner_until = self.terms.holder_expiry(self.round_started_at?);
+        if 2 * granted <= self.committee_size || now >= owner_until {
             return None;
         }
-        self.until = until;
-        Some((self.epoch, until))
+        self.owner_until = owner_until;
+        Some((self.epoch, owner_until))
     }
 
-    /// A holder goes by an epoch: where it is beyond this one's, which it would not honour, this one gives up and stands
-    /// anew. That can be after many were started again.
-    pub fn saw(&mut self, epoch: Epoch) {
-        self.seen = self.seen.max(epoch);
+    /// Records the epoch that a holder has seen. If it is higher than this candidate's, that holder does not accept its
+    /// grants: the candidate gives up the ownership and continues with a higher epoch. This happens after a restart of
+    /// several members.
+    pub fn observe_epoch(&mut self, epoch: Epoch) {
+        self.highest_seen_epoch = self.highest_seen_epoch.max(epoch);
         if epoch > self.epoch {
-            self.until = 0;
+            self.owner_until = 0;
         }
     }
 
-    /// Whether it is the owner.
-    pub fn owns(&self, now: Micros) -> Option<Epoch> {
-        (now < self.until).then_some(self.epoch)
+    /// Returns the epoch of the ownership, if this candidate is the owner at `now`.
+    pub fn owned_epoch(&self, now: Micros) -> Option<Epoch> {
+        (now < self.owner_until).then_some(self.epoch)
     }
 }
