--- a/crates/coldstart/src/lib.rs
+++ b/crates/coldstart/src/lib.rs
@@ -1,17 +1,18 @@
-//! How a fleet of hundreds starts, or comes back after an outage, without pushing over what it starts on. Free of I/O and
-//! clock: the deciders are told what comes, with the time, and say what to do.
+//! Start of a fleet of hundreds of members, or its recovery after an outage, without overloading the service that it
+//! depends on. Performs no I/O and reads no clock: the caller reports events and the current time, and carries out the
+//! returned actions.
 //!
-//! - [`turns`]: whose turn it is to call, by the clock and the view: bounded for the fleet, not for each
-//! - [`lists`]: the whole list of backends, from the service by turns, else from a neighbour and checked against others
+//! - [`call_schedule`]: when a member may call the service; the rate of calls is bounded for the fleet, not for a member
+//! - [`list_loader`]: loads the full list of backends, from the service by schedule or from a peer, checked against others
 
-pub mod lists;
-pub mod turns;
+pub mod call_schedule;
+pub mod list_loader;
 
-pub use lists::{Act, Config, Held, Lists, Refused, Source, Word};
-pub use turns::{Fleet, Turns};
+pub use call_schedule::{CallSchedule, FleetView};
+pub use list_loader::{Action, Config, CurrentList, ListError, ListId, ListLoader, Source};
 
-/// A span of time, or a time since the beginning of 1970, in microseconds.
+/// A duration, or a time since the Unix epoch, in microseconds.
 pub type Micros = u64;
 
-/// The number of a member; it keeps it over its starts.
-pub type Number = u16;
+/// Number of a member. It stays the same across restarts.
+pub type MemberId = u16;
--- a/crates/coldstart/src/list_loader.rs
+++ b/crates/coldstart/src/list_loader.rs
@@ -1,300 +1,331 @@
-//! The whole list of backends at a start and after an outage: from the service by [`Turns`], else from a neighbour by
-//! version and digest.
+//! Loads the full list of backends at a start and after an outage: from the service by a [`CallSchedule`], or from a peer
+//! by version and digest.
 //!
-//! A list is *confirmed* once the service itself gave it or two others hold the same. One that a single neighbour vouches for
-//! serves only where none is confirmed, and for a stated time. None is taken that is older than the one confirmed.
+//! A list is *confirmed* once the service sent it or two peers hold the same one. A list that only one peer holds is used
+//! only while there is no confirmed one, and for a limited time. A list older than the confirmed one is not accepted.
 
-use crate::turns::{Fleet, Turns};
-use crate::{Micros, Number};
+use crate::call_schedule::{CallSchedule, FleetView};
+use crate::{MemberId, Micros};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What a list is known by among neighbours.
+/// Identifies a list among peers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Word {
-    /// The service's version.
+pub struct ListId {
+    /// Version assigned by the service.
     pub version: u64,
-    /// Of the list's bytes.
+    /// The first eight bytes of the BLAKE3 hash of the list.
     pub digest: u64,
 }
 
-impl Word {
-    /// The word of a list.
-    pub fn of(version: u64, body: &[u8]) -> Word {
-        let mut short = [0; 8];
-        short.copy_from_slice(&blake3::hash(body).as_bytes()[..8]);
-        Word { version, digest: u64::from_be_bytes(short) }
+impl ListId {
+    /// Returns the id of a list.
+    pub fn of(version: u64, body: &[u8]) -> ListId {
+        let mut prefix = [0; 8];
+        prefix.copy_from_slice(&blake3::hash(body).as_bytes()[..8]);
+        ListId { version, digest: u64::from_be_bytes(prefix) }
     }
 }
 
-/// Who gave a list.
+/// Where a list comes from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Source {
     /// The service.
     Service,
-    /// A neighbour.
-    Peer(Number),
-    /// Kept from an earlier life.
-    Kept,
+    /// A peer.
+    Peer(MemberId),
+    /// The copy that this member stored before its restart.
+    Stored,
 }
 
-/// A list that is in use.
+/// A list that can be used.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Held {
-    /// What it is known by.
-    pub word: Word,
+pub struct CurrentList {
+    /// Version and digest.
+    pub id: ListId,
     /// The list.
     pub body: Vec<u8>,
-    /// Who gave it.
-    pub from: Source,
-    /// When it was taken.
-    pub at: Micros,
-    /// Whether the service gave it or two others hold it.
+    /// Where the list comes from.
+    pub source: Source,
+    /// When it was received.
+    pub received_at: Micros,
+    /// Whether the service sent it or two peers hold it.
     pub confirmed: bool,
 }
 
-/// Why a list is not taken. What is in use stays.
+/// Why a list is not accepted. The list in use does not change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Refused {
-    /// Older than the confirmed one.
-    #[error("list {found}: older than {held}, which is confirmed; whoever gave it is behind: see its link to the service")]
+pub enum ListError {
+    /// It is older than the confirmed list.
+    #[error(
+        "list version {received} is older than the confirmed version {confirmed}: check the connection of its sender to \
+         the service"
+    )]
     Older {
-        /// Its version.
-        found: u64,
-        /// The confirmed one's.
-        held: u64,
+        /// The version that was received.
+        received: u64,
+        /// The version of the confirmed list.
+        confirmed: u64,
     },
-    /// It is not what the neighbour said it had.
-    #[error("list of member {by}: its bytes are not those that it told of; it is asked no more until it starts anew")]
-    Forged {
-        /// The neighbour.
-        by: Number,
+    /// It does not match the id that the peer announced.
+    #[error(
+        "list from member {peer} does not match the version and digest that it announced; the member is not asked again \
+         until it restarts"
+    )]
+    Mismatch {
+        /// The peer.
+        peer: MemberId,
     },
-    /// Nobody asked for it.
-    #[error("list of member {by}: it was not asked for one")]
-    Unasked {
-        /// The neighbour.
-        by: Number,
+    /// It was not requested.
+    #[error("list from member {peer} was not requested")]
+    Unrequested {
+        /// The peer.
+        peer: MemberId,
     },
 }
 
-/// What to do.
+/// An action for the caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Act {
-    /// Call the service for the whole list.
-    Call,
-    /// Ask a neighbour for the list that it told of.
-    Fetch(Number),
-    /// Serve by the list now [`held`](Lists::held); none: by none.
-    Use,
+pub enum Action {
+    /// Request the full list from the service.
+    CallService,
+    /// Request the announced list from a peer.
+    FetchFromPeer(MemberId),
+    /// Use the list that [`ListLoader::current`] returns now; if it returns `None`, use none.
+    UseCurrent,
 }
 
-/// Figures, from the settings.
+/// Configuration of a [`ListLoader`].
 #[derive(Clone, Copy, Debug)]
 pub struct Config {
     /// This member.
-    pub me: Number,
-    /// How many members there may be.
-    pub most: u16,
-    /// Calls for whole lists that the fleet may make in a second.
-    pub per_second: u32,
-    /// How long a list serves that only one neighbour vouches for.
-    pub alone: Micros,
-    /// How long a neighbour may take to give its list.
-    pub patience: Micros,
-    /// From which age of its last confirmation on a list is asked for again.
-    pub stale: Micros,
+    pub member: MemberId,
+    /// Maximum number of members.
+    pub max_members: u16,
+    /// Maximum number of calls for the full list that the fleet makes per second.
+    pub calls_per_second: u32,
+    /// Time for which a list that only one peer holds is used.
+    pub unconfirmed_lifetime: Micros,
+    /// Time after which a fetch from a peer has failed.
+    pub fetch_timeout: Micros,
+    /// Time since the last confirmation of a list after which it is requested again.
+    pub refresh_after: Micros,
 }
 
-/// The decider.
-pub struct Lists {
+/// A request for a peer's list.
+#[derive(Clone, Copy)]
+struct Fetch {
+    peer: MemberId,
+    id: ListId,
+    deadline: Micros,
+}
+
+/// Decides which list is used, and from where lists are requested.
+pub struct ListLoader {
     config: Config,
-    turns: Turns,
-    /// The last confirmed one, and a later one that is not confirmed yet.
-    confirmed: Option<Held>,
-    tried: Option<Held>,
-    /// What neighbours said last, each once.
-    words: BTreeMap<Number, Word>,
-    forgers: BTreeSet<Number>,
-    /// Whose list nobody else had in the time for which it may serve alone: fetched again only where others have it.
-    alone: BTreeSet<Number>,
-    fetch: Option<(Number, Word, Micros)>,
-    /// When the service, or two others, last stood for the confirmed one.
-    sure_at: Option<Micros>,
+    schedule: CallSchedule,
+    /// The last confirmed list; until there is one, the stored list.
+    confirmed_or_stored: Option<CurrentList>,
+    /// A later list that is not confirmed yet.
+    unconfirmed: Option<CurrentList>,
+    /// The list that each peer announced last.
+    announced: BTreeMap<MemberId, ListId>,
+    /// Peers that sent a list other than the announced one; they are not asked again until they restart.
+    mismatched_peers: BTreeSet<MemberId>,
+    /// Peers whose list no other peer held during its unconfirmed lifetime. Their lists are fetched again only if another
+    /// peer holds the same one.
+    unconfirmed_peers: BTreeSet<MemberId>,
+    fetch: Option<Fetch>,
+    /// When the service, or two peers, last confirmed the list.
+    confirmed_at: Option<Micros>,
 }
 
-impl Lists {
-    /// One that starts with what an earlier life kept, if it did: it serves at once, and is confirmed by nobody yet.
-    pub fn new(config: Config, kept: Option<(u64, Vec<u8>)>, now: Micros) -> Lists {
-        let kept = kept.map(|(version, body)| {
-            let word = Word::of(version, &body);
-            Held { word, body, from: Source::Kept, at: now, confirmed: false }
+impl ListLoader {
+    /// Creates a loader. `stored`: version and bytes of the list that was stored before the restart; it is used at once, and
+    /// is not confirmed.
+    pub fn new(config: Config, stored: Option<(u64, Vec<u8>)>, now: Micros) -> ListLoader {
+        let stored = stored.map(|(version, body)| {
+            let id = ListId::of(version, &body);
+            CurrentList { id, body, source: Source::Stored, received_at: now, confirmed: false }
         });
-        Lists {
-            turns: Turns::new(config.me, config.most, config.per_second),
+        ListLoader {
+            schedule: CallSchedule::new(config.member, config.max_members, config.calls_per_second),
             config,
-            confirmed: kept,
-            tried: None,
-            words: BTreeMap::new(),
-            forgers: BTreeSet::new(),
-            alone: BTreeSet::new(),
+            confirmed_or_stored: stored,
+            unconfirmed: None,
+            announced: BTreeMap::new(),
+            mismatched_peers: BTreeSet::new(),
+            unconfirmed_peers: BTreeSet::new(),
             fetch: None,
-            sure_at: None,
+            confirmed_at: None,
         }
     }
 
-    /// The list to serve by. One that a single neighbour vouches for serves where there is no better one: whoever holds a
-    /// confirmed list waits for a second voice, or the service's.
-    pub fn held(&self) -> Option<&Held> {
-        self.sure().or(self.tried.as_ref()).or(self.confirmed.as_ref())
+    /// Returns the list to use: the confirmed one, else a list that only one peer holds, else the stored one.
+    pub fn current(&self) -> Option<&CurrentList> {
+        self.confirmed().or(self.unconfirmed.as_ref()).or(self.confirmed_or_stored.as_ref())
     }
 
-    /// The confirmed one; not what was kept and nobody has confirmed.
-    fn sure(&self) -> Option<&Held> {
-        self.confirmed.as_ref().filter(|h| h.confirmed)
+    fn confirmed(&self) -> Option<&CurrentList> {
+        self.confirmed_or_stored.as_ref().filter(|list| list.confirmed)
     }
 
-    /// What to tell neighbours: never of a list that this one was only given by one of them, or nobody's word would become two.
-    pub fn word(&self) -> Option<Word> {
-        self.sure().map(|h| h.word)
+    /// Returns the id to announce to peers. Only a confirmed list is announced: if members announced a list that they have
+    /// from a single peer, two of them would confirm it.
+    pub fn id_to_announce(&self) -> Option<ListId> {
+        self.confirmed().map(|list| list.id)
     }
 
-    /// A neighbour told of its list.
-    pub fn heard(&mut self, now: Micros, from: Number, word: Word, acts: &mut Vec<Act>) {
-        if from == self.config.me || from >= self.config.most || self.forgers.contains(&from) {
+    /// Records that a peer announced its list.
+    pub fn peer_announced(&mut self, now: Micros, peer: MemberId, id: ListId, actions: &mut Vec<Action>) {
+        let is_peer = peer != self.config.member && peer < self.config.max_members;
+        if !is_peer || self.mismatched_peers.contains(&peer) {
             return;
         }
-        self.words.insert(from, word);
-        self.settle(now, acts);
-        self.look(now, acts);
+        self.announced.insert(peer, id);
+        self.update_confirmation(now, actions);
+        self.start_fetch(now, actions);
     }
 
-    /// A neighbour started anew, or is gone: its word is nobody's, its forgeries are an earlier life's.
-    pub fn parted(&mut self, from: Number) {
-        self.words.remove(&from);
-        self.forgers.remove(&from);
-        self.alone.remove(&from);
-        if self.fetch.is_some_and(|f| f.0 == from) {
+    /// Records that a peer restarted or left: what it announced before, and the record of its mismatched lists, are
+    /// discarded.
+    pub fn peer_left(&mut self, peer: MemberId) {
+        self.announced.remove(&peer);
+        self.mismatched_peers.remove(&peer);
+        self.unconfirmed_peers.remove(&peer);
+        if self.fetch.is_some_and(|fetch| fetch.peer == peer) {
             self.fetch = None;
         }
     }
 
-    /// A list came.
+    /// Records that a list was received.
     ///
     /// # Errors
-    /// See [`Refused`].
-    pub fn came(
+    /// The list was not requested, is not the announced one, or is older than the confirmed one; see [`ListError`].
+    pub fn list_received(
         &mut self,
         now: Micros,
-        from: Source,
+        source: Source,
         version: u64,
         body: Vec<u8>,
-        acts: &mut Vec<Act>,
-    ) -> Result<(), Refused> {
-        let word = Word::of(version, &body);
-        if let Source::Peer(by) = from {
-            let Some((_, want, _)) = self.fetch.take_if(|f| f.0 == by) else {
-                return Err(Refused::Unasked { by });
+        actions: &mut Vec<Action>,
+    ) -> Result<(), ListError> {
+        let id = ListId::of(version, &body);
+        if let Source::Peer(peer) = source {
+            let Some(fetch) = self.fetch.take_if(|fetch| fetch.peer == peer) else {
+                return Err(ListError::Unrequested { peer });
             };
-            if word != want {
-                self.words.remove(&by);
-                self.forgers.insert(by);
-                self.look(now, acts);
-                return Err(Refused::Forged { by });
+            if id != fetch.id {
+                self.announced.remove(&peer);
+                self.mismatched_peers.insert(peer);
+                self.start_fetch(now, actions);
+                return Err(ListError::Mismatch { peer });
             }
         }
-        let sure = self.sure().map(|h| h.word.version);
-        if let Some(held) = sure.filter(|held| *held > version) {
-            return Err(Refused::Older { found: version, held });
+        let confirmed = self.confirmed().map(|list| list.id.version);
+        if let Some(confirmed) = confirmed.filter(|confirmed| *confirmed > version) {
+            return Err(ListError::Older { received: version, confirmed });
         }
-        let held = Held { word, body, from, at: now, confirmed: from == Source::Service };
-        if held.confirmed {
-            (self.confirmed, self.tried, self.sure_at) = (Some(held), None, Some(now));
+        let confirmed = source == Source::Service;
+        let list = CurrentList { id, body, source, received_at: now, confirmed };
+        if confirmed {
+            self.confirmed_or_stored = Some(list);
+            self.unconfirmed = None;
+            self.confirmed_at = Some(now);
         } else {
-            self.tried = Some(held);
-            self.settle(now, acts);
+            self.unconfirmed = Some(list);
+            self.update_confirmation(now, actions);
         }
-        acts.push(Act::Use);
+        actions.push(Action::UseCurrent);
         Ok(())
     }
 
-    /// A call to the service, or a fetch, came to nothing.
-    pub fn failed(&mut self, now: Micros, from: Source, acts: &mut Vec<Act>) {
-        if let Source::Peer(by) = from {
-            self.fetch.take_if(|f| f.0 == by);
-            self.words.remove(&by); // it may tell of it again
-            self.look(now, acts);
+    /// Records that a call to the service, or a fetch from a peer, failed.
+    pub fn request_failed(&mut self, now: Micros, source: Source, actions: &mut Vec<Action>) {
+        if let Source::Peer(peer) = source {
+            self.fetch.take_if(|fetch| fetch.peer == peer);
+            self.announced.remove(&peer); // fetched again once the peer announces it again
+            self.start_fetch(now, actions);
         }
     }
 
-    /// Time has passed; the next time to be woken.
-    pub fn wake(&mut self, now: Micros, fleet: Fleet, acts: &mut Vec<Act>) -> Micros {
-        if let Some((by, ..)) = self.fetch.filter(|f| now >= f.2) {
-            self.failed(now, Source::Peer(by), acts);
+    /// Handles the timeouts that are due at `now`. Returns the next time at which it must be called.
+    pub fn wake(&mut self, now: Micros, fleet: FleetView, actions: &mut Vec<Action>) -> Micros {
+        if let Some(fetch) = self.fetch.filter(|fetch| now >= fetch.deadline) {
+            self.request_failed(now, Source::Peer(fetch.peer), actions);
         }
-        if let Some(held) = self.tried.take_if(|h| now >= h.at + self.config.alone) {
-            if let Source::Peer(by) = held.from {
-                self.alone.insert(by);
+        let lifetime = self.config.unconfirmed_lifetime;
+        if let Some(expired) = self.unconfirmed.take_if(|list| now >= list.received_at + lifetime) {
+            if let Source::Peer(peer) = expired.source {
+                self.unconfirmed_peers.insert(peer);
             }
-            acts.push(Act::Use);
-            self.look(now, acts);
+            actions.push(Action::UseCurrent);
+            self.start_fetch(now, actions);
         }
-        let mut next = self.turns.next(now, fleet);
-        if next <= now {
-            let wants = self.sure_at.is_none_or(|at| now >= at + self.config.stale);
-            if wants {
-                acts.push(Act::Call);
+        let mut next_call = self.schedule.next_call(now, fleet);
+        if next_call <= now {
+            let refresh_after = self.config.refresh_after;
+            if self.confirmed_at.is_none_or(|confirmed_at| now >= confirmed_at + refresh_after) {
+                actions.push(Action::CallService);
             }
-            self.turns.called(now); // a turn that is not needed is over as well
-            next = self.turns.next(now + 1, fleet);
+            self.schedule.record_call(now); // a slot without a call is used up as well
+            next_call = self.schedule.next_call(now + 1, fleet);
         }
-        let tried = self.tried.as_ref().map(|h| h.at + self.config.alone);
-        [Some(next), tried, self.fetch.map(|f| f.2)].into_iter().flatten().min().unwrap_or(next)
+        let unconfirmed_expiry = self.unconfirmed.as_ref().map(|list| list.received_at + lifetime);
+        let fetch_deadline = self.fetch.map(|fetch| fetch.deadline);
+        let wake_times = [Some(next_call), unconfirmed_expiry, fetch_deadline];
+        wake_times.into_iter().flatten().min().unwrap_or(next_call)
     }
 
-    /// How many neighbours hold this list.
-    fn vouch(&self, word: Word) -> usize {
-        self.words.values().filter(|w| **w == word).count()
+    /// Returns the number of peers that hold a list.
+    fn count_holders(&self, id: ListId) -> usize {
+        self.announced.values().filter(|announced| **announced == id).count()
     }
 
-    /// Confirms what two others hold.
-    fn settle(&mut self, now: Micros, acts: &mut Vec<Act>) {
-        let two = |held: &Held| self.vouch(held.word) >= 2;
-        if self.tried.as_ref().is_some_and(two) {
-            let held = self.tried.take().map(|h| Held { confirmed: true, ..h });
-            (self.confirmed, self.sure_at) = (held, Some(now));
-            acts.push(Act::Use);
-        } else if self.confirmed.as_ref().is_some_and(two) {
-            self.sure_at = Some(now);
-            if let Some(held) = self.confirmed.as_mut() {
-                held.confirmed = true;
+    /// Confirms a list that two peers hold.
+    fn update_confirmation(&mut self, now: Micros, actions: &mut Vec<Action>) {
+        let has_two_holders = |list: &CurrentList| self.count_holders(list.id) >= 2;
+        if self.unconfirmed.as_ref().is_some_and(has_two_holders) {
+            let list = self.unconfirmed.take().map(|list| CurrentList { confirmed: true, ..list });
+            self.confirmed_or_stored = list;
+            self.confirmed_at = Some(now);
+            actions.push(Action::UseCurrent);
+        } else if self.confirmed_or_stored.as_ref().is_some_and(has_two_holders) {
+            self.confirmed_at = Some(now);
+            if let Some(list) = self.confirmed_or_stored.as_mut() {
+                list.confirmed = true;
             }
         }
     }
 
-    /// Fetches a later list than the one in use, of those that most vouch for; by which of them is this one's lot, so that not
-    /// all ask the same.
-    fn look(&mut self, now: Micros, acts: &mut Vec<Act>) {
+    /// Starts to fetch a later list than the one in use, if peers have announced one. A list that two or more peers hold is
+    /// preferred. The peer is chosen by a hash, so that members spread their fetches over the holders.
+    fn start_fetch(&mut self, now: Micros, actions: &mut Vec<Action>) {
         if self.fetch.is_some() {
             return;
         }
-        // What two hold is measured by the confirmed list alone: one that a single neighbour gave does not keep it out.
-        let sure = self.sure().map(|h| h.word.version);
-        let tried = self.tried.as_ref().map(|h| h.word.version).max(sure);
-        let fits = |by: &Number, w: &Word| match self.vouch(*w) {
-            0 | 1 => tried.is_none_or(|v| w.version > v) && !self.alone.contains(by),
-            _ => sure.is_none_or(|v| w.version > v) && self.tried.as_ref().is_none_or(|h| h.word != *w),
+        // A list that two peers hold is compared with the confirmed list only: an unconfirmed one must not keep it out.
+        let confirmed = self.confirmed().map(|list| list.id.version);
+        let newest = self.unconfirmed.as_ref().map(|list| list.id.version).max(confirmed);
+        let is_wanted = |peer: &MemberId, id: &ListId| match self.count_holders(*id) {
+            0 | 1 => {
+                newest.is_none_or(|version| id.version > version) && !self.unconfirmed_peers.contains(peer)
+            }
+            _ => {
+                confirmed.is_none_or(|version| id.version > version)
+                    && self.unconfirmed.as_ref().is_none_or(|list| list.id != *id)
+            }
         };
-        let later = self.words.iter().filter(|(by, w)| fits(by, w)).map(|(_, w)| *w);
-        let Some(word) = later.max_by_key(|w| (self.vouch(*w).min(2), w.version, w.digest)) else {
+        let wanted = self.announced.iter().filter(|(peer, id)| is_wanted(peer, id)).map(|(_, id)| *id);
+        let Some(id) = wanted.max_by_key(|id| (self.count_holders(*id).min(2), id.version, id.digest)) else {
             return;
         };
-        let lot = |by: &Number| {
-            blake3::hash(&[by.to_be_bytes(), self.config.me.to_be_bytes()].concat()).as_bytes()[0]
+        let peer_order = |peer: &MemberId| {
+            blake3::hash(&[peer.to_be_bytes(), self.config.member.to_be_bytes()].concat()).as_bytes()[0]
         };
-        let givers = self.words.iter().filter(|(_, w)| **w == word).map(|(by, _)| *by);
-        if let Some(by) = givers.min_by_key(lot) {
-            self.fetch = Some((by, word, now + self.config.patience));
-            acts.push(Act::Fetch(by));
+        let holders = self.announced.iter().filter(|(_, announced)| **announced == id).map(|(peer, _)| *peer);
+        if let Some(peer) = holders.min_by_key(peer_order) {
+            self.fetch = Some(Fetch { peer, id, deadline: now + self.config.fetch_timeout });
+            actions.push(Action::FetchFromPeer(peer));
         }
     }
 }
