--- a/crates/admission/src/cidr_block.rs
+++ b/crates/admission/src/cidr_block.rs
@@ -1,9 +1,9 @@
-//! Blocks of addresses in CIDR notation. An IPv4 address and its IPv4-mapped IPv6 address are the same address: sockets
-//! for both families report one client by either.
+//! Address blocks in CIDR notation (RFC 4632). An IPv4 address and its IPv4-mapped IPv6 address (RFC 4291, section
+//! 2.5.5.2) count as the same address: a dual-stack socket reports IPv4 clients by their mapped address.
 
 use std::net::IpAddr;
 
-/// A block of addresses, such as `10.1.0.0/16`.
+/// An address block, such as `10.1.0.0/16`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct CidrBlock {
     bits: u128,
@@ -26,28 +26,28 @@
     }
 }
 
-/// Why a text is no block.
+/// Why a text is not an address block.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum CidrError {
-    /// It is no address, or its prefix length is no number.
+    /// The text has no valid address, or its prefix length is not a number.
     #[error("{0:?}: expected an address, or one with a prefix length such as 10.1.0.0/16")]
     Syntax(String),
-    /// The prefix is longer than the address.
+    /// The prefix length exceeds the length of the address.
     #[error("{text:?}: prefix length {length}, at most {max} for this kind of address")]
     PrefixLength {
         /// The text.
         text: String,
-        /// The prefix length in it.
+        /// The prefix length in the text, in bits.
         length: u32,
-        /// The length of its address.
+        /// The maximum prefix length: that of the address, in bits.
         max: u32,
     },
-    /// Bits beyond the prefix length are set.
+    /// The address has bits set beyond the prefix length.
     #[error("{0:?}: the address has bits beyond its prefix length")]
     HostBits(String),
 }
 
-/// The address without the mapping of IPv4 into IPv6.
+/// Returns the IPv4 address of an IPv4-mapped IPv6 address, and any other address unchanged.
 pub(crate) fn canonical(address: IpAddr) -> IpAddr {
     match address {
         IpAddr::V6(v6) => v6.to_ipv4_mapped().map_or(address, IpAddr::V4),
@@ -55,7 +55,7 @@
     }
 }
 
-/// The bits of an address, at the upper end.
+/// Returns the bits of an address, left-aligned, and its family.
 fn bits(address: IpAddr) -> (u128, Family) {
     match canonical(address) {
         IpAddr::V4(v4) => (u128::from(u32::from(v4)) << 96, Family::Ipv4),
@@ -72,17 +72,18 @@
 }
 
 impl CidrBlock {
-    /// The block of the first `prefix_length` bits of an address, of all its bits if it has fewer.
+    /// Returns the block of addresses that share the first `prefix_length` bits of an address, or all bits if it has
+    /// fewer.
     pub fn containing(address: IpAddr, prefix_length: u32) -> CidrBlock {
         let (bits, family) = bits(address);
         let prefix_length = prefix_length.min(family.address_length());
         CidrBlock { bits: bits & mask(prefix_length), prefix_length, family }
     }
 
-    /// Parses `ADDRESS/LENGTH`, or an address alone.
+    /// Parses `ADDRESS/LENGTH`, or a single address.
     ///
     /// # Errors
-    /// See [`CidrError`].
+    /// The text is not an address block, see [`CidrError`].
     pub fn parse(text: &str) -> Result<CidrBlock, CidrError> {
         let syntax_error = || CidrError::Syntax(text.to_owned());
         let (address, length) = match text.split_once('/') {
@@ -103,7 +104,7 @@
         Ok(block)
     }
 
-    /// Whether an address is in it.
+    /// Returns whether the block contains an address.
     pub fn contains(&self, address: IpAddr) -> bool {
         let (bits, family) = bits(address);
         family == self.family && bits & mask(self.prefix_length) == self.bits
--- a/crates/admission/src/known_clients.rs
+++ b/crates/admission/src/known_clients.rs
@@ -1,8 +1,8 @@
-//! Known clients: addresses whose requests were lately served within quota, and blocks that the settings name.
+//! Known clients: addresses with a recent request that was served within quota, and blocks that the settings name.
 //!
-//! The table has a maximum size. Only a served request adds an address, so a flood that is rejected cannot evict any; a
-//! client that is served can, but each account has a limited number of addresses and evicts its own oldest first. A full
-//! table evicts the address that was served longest ago.
+//! The table has a maximum size. Only a served request adds an address, so rejected requests cannot evict any. Served
+//! requests can, but each account has a limited number of addresses and evicts its own oldest one first. A full table
+//! evicts the address whose last served request is the oldest.
 
 use crate::cidr_block::{canonical, CidrBlock};
 use crate::Micros;
@@ -14,10 +14,10 @@
 
 pub use snapshot::SnapshotError;
 
-/// An address is updated at most once in this time, so that not every request touches the table.
+/// Minimum time between two updates of an address, so that not every request writes to the table.
 const UPDATE_INTERVAL: Micros = 1_000_000;
 
-/// The field names are those of the snapshot.
+/// A known address. The field names are part of the snapshot format.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 struct Entry {
     address: IpAddr,
@@ -26,21 +26,21 @@
     preferred: bool,
 }
 
-/// Limits of the table.
+/// Limits of [`KnownClients`].
 #[derive(Clone, Copy, Debug)]
 pub struct KnownClientLimits {
-    /// Addresses that are remembered.
+    /// Maximum number of addresses in the table.
     pub max_addresses: usize,
-    /// Addresses that one account can make known.
+    /// Maximum number of addresses that become known through one account.
     pub max_per_account: usize,
-    /// How long after its last served request an address stays known.
+    /// Time for which an address stays known after its last served request, in microseconds.
     pub remember_for: Micros,
 }
 
-/// The plan that made a client known.
+/// What kind of plan made a client known.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum KnownTier {
-    /// A plan that is not preferred, or the settings.
+    /// A plan that is not preferred, or a block in the settings.
     Standard,
     /// A preferred plan.
     Preferred,
@@ -59,7 +59,7 @@
 }
 
 impl KnownClients {
-    /// An empty table; the addresses of `always_known` are known without being served.
+    /// Creates an empty table. Addresses in `always_known` are known without a served request.
     pub fn new(limits: KnownClientLimits, always_known: Vec<CidrBlock>) -> Self {
         KnownClients {
             limits,
@@ -70,8 +70,8 @@
         }
     }
 
-    /// Records that a request of this address was served within the quota of an account; `preferred` is whether the
-    /// account's plan is.
+    /// Records that a request from `address` was served within the quota of `account`. `preferred`: whether the account's
+    /// plan is preferred.
     pub fn record_served(&mut self, now: Micros, address: IpAddr, account: u64, preferred: bool) {
         let address = canonical(address);
         if let Some(entry) = self.entries.get(&address) {
@@ -90,7 +90,7 @@
         self.by_account.entry(account).or_default().insert((now, address));
     }
 
-    /// Makes room for one more address of an account.
+    /// Evicts addresses until one more address of `account` fits the limits.
     fn evict_for(&mut self, account: u64) {
         let own = self.by_account.get(&account).filter(|own| own.len() >= self.limits.max_per_account);
         if let Some((_, oldest)) = own.and_then(BTreeSet::first).copied() {
@@ -114,7 +114,7 @@
         }
     }
 
-    /// Whether an address is known, and by which plan.
+    /// Returns the kind of plan through which an address is known; `None`: it is unknown.
     pub fn lookup(&self, now: Micros, address: IpAddr) -> Option<KnownTier> {
         let entry = self.entries.get(&canonical(address)).filter(|entry| !self.is_expired(now, entry));
         match entry {
@@ -131,12 +131,12 @@
         now > entry.served.saturating_add(self.limits.remember_for)
     }
 
-    /// How many addresses are remembered.
+    /// Returns the number of addresses in the table, expired ones included.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether none is remembered.
+    /// Returns whether the table is empty.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
--- a/crates/admission/src/known_clients/snapshot.rs
+++ b/crates/admission/src/known_clients/snapshot.rs
@@ -1,4 +1,5 @@
-//! The snapshot that survives a restart: a line of format and version, the entries as JSON, a BLAKE3 of all before it.
+//! Snapshot of the known clients, for the next start: a line with format and version, the entries as JSON, and the
+//! BLAKE3 hash of all preceding bytes.
 
 use super::{Entry, KnownClients};
 use crate::Micros;
@@ -6,36 +7,36 @@
 const MAGIC: &[u8] = b"chalkgap known 1\n";
 const CHECKSUM_LENGTH: usize = 32;
 
-/// Why a snapshot is not restored.
+/// Why a snapshot was not restored.
 #[derive(Debug, thiserror::Error)]
 pub enum SnapshotError {
-    /// The bytes are not those that were written.
-    #[error("the file is torn or changed: its checksum differs")]
+    /// The checksum does not match the contents.
+    #[error("known clients snapshot: checksum mismatch, the file is truncated or corrupt")]
     Checksum,
-    /// It is no snapshot, or one of another version.
-    #[error("the file is of another form or version")]
+    /// The bytes are not a snapshot, or one of another version.
+    #[error("not a known clients snapshot of version 1")]
     Format,
 }
 
 impl KnownClients {
-    /// The table as bytes.
+    /// Returns the table as bytes for [`KnownClients::restore`].
     pub fn snapshot(&self) -> Vec<u8> {
         let mut bytes = MAGIC.to_vec();
         let oldest_first = self.by_last_served.iter();
         let entries: Vec<&Entry> =
             oldest_first.filter_map(|(_, address)| self.entries.get(address)).collect();
-        // Cannot fail: the entries are plain data, and a vector takes any length.
+        // Cannot fail: the entries serialize without errors, and writes to a `Vec` succeed.
         let _ = serde_json::to_writer(&mut bytes, &entries);
         let checksum = blake3::hash(&bytes);
         bytes.extend_from_slice(checksum.as_bytes());
         bytes
     }
 
-    /// Adds a snapshot's entries, but those that have expired or lie in the future. Returns how many addresses are
-    /// remembered then.
+    /// Adds the entries of a snapshot, except those that have expired or are dated after `now`. Returns the number of
+    /// addresses in the table afterwards.
     ///
     /// # Errors
-    /// See [`SnapshotError`]; the table stays as it was.
+    /// The bytes are not an intact snapshot of this version, see [`SnapshotError`]; the table is unchanged.
     pub fn restore(&mut self, now: Micros, bytes: &[u8]) -> Result<usize, SnapshotError> {
         let body_length = bytes.len().saturating_sub(CHECKSUM_LENGTH);
         let (body, checksum) = bytes.split_at_checked(body_length).ok_or(SnapshotError::Format)?;
--- a/crates/admission/src/lib.rs
+++ b/crates/admission/src/lib.rs
@@ -1,20 +1,21 @@
-//! Decides which connections an ingress lets in. Free of I/O and clock: [`Admission`] is told what happens, with the
-//! time, and says what is to be done.
+//! Decides which connections an ingress admits. Performs no I/O and reads no clock: the caller reports events and the
+//! current time to [`Admission`] and carries out its decisions.
 //!
-//! A connection is refused by its address before it costs anything: too many open, too many a second, too many that
-//! have not finished their handshake, by address and by prefix. Among those that pass, room is kept in the order of the
-//! module's ladder: red addresses are refused first, then unknown ones, then known ones, those of the dearest plans
-//! last. Known is who was lately served within quota, or whom the settings name; nothing that a client says makes it
-//! known. Idle connections of unknown clients make room for known ones; one that has a request open never does.
+//! A new connection is checked before it costs anything but its descriptor: by the open connections, the attempts per
+//! second and the incomplete handshakes of its address, and by the open connections of its prefix. Capacity is then
+//! reserved by [`Priority`]: red addresses are rejected first, then unknown ones, then known ones, and those with a
+//! preferred plan last. An address is known if a recent request of it was served within quota, or if the settings name
+//! it; nothing that a client sends makes it known. An idle connection of a red or unknown address is evicted for a known
+//! client; a connection with an open request is never evicted.
 //!
-//! - [`descriptor_budget`]: how the limit of descriptors is split
-//! - [`cidr_block`]: blocks of addresses
-//! - [`known_clients`]: the table of known clients, and its snapshot
-//! - [`decide`]: the decider
+//! - [`descriptor_budget`]: division of the file descriptor limit
+//! - [`cidr_block`]: address blocks
+//! - [`known_clients`]: table of known clients, and its snapshot
+//! - [`decide`]: the admission decider
 //! - [`minimum_throughput`]: when a client is too slow
-//! - `running_clock`: the time without this process's own stalls
+//! - `running_clock`: time without the stalls of this process
 //! - `accept_backoff`: pauses of a listener that cannot accept
-//! - [`stall_detector`]: when bytes that are read now arrived
+//! - [`stall_detector`]: earliest arrival of received bytes, after a stall
 
 mod accept_backoff;
 pub mod cidr_block;
@@ -26,9 +27,9 @@
 pub mod stall_detector;
 
 pub use cidr_block::{CidrBlock, CidrError};
-pub use decide::{Admission, Caps, ConnId, GivesWay, Offer, Reason, Standing};
+pub use decide::{Admission, Caps, ConnId, Decision, IdleEviction, Priority, Reason};
 pub use descriptor_budget::{BudgetError, DescriptorBudget, DescriptorReservations};
 pub use known_clients::{KnownClientLimits, KnownClients, KnownTier};
 
-/// A span of time, or a time, in microseconds.
+/// A duration, or a time since the caller's epoch, in microseconds.
 pub type Micros = u64;
--- a/crates/admission/src/stall_detector.rs
+++ b/crates/admission/src/stall_detector.rs
@@ -1,18 +1,20 @@
-//! When bytes that are read now may have arrived. A process that was stopped or starved finds in its sockets what arrived
-//! meanwhile, and nothing there says when: a timeout counted from the reading would give the client less time than it was
-//! promised. So what is read while a tick is overdue, or just after one was, counts as arrived at the tick before.
+//! Estimates when received bytes arrived, after a stall of this process.
+//!
+//! While a process is stopped or gets no CPU time, bytes arrive in its socket buffers without a timestamp. A timeout
+//! counted from the read would end later than the client expects, by up to the length of the stall. Bytes that are read
+//! while a tick is overdue, or shortly after an overdue tick, therefore count as received at the tick before it.
 
 use crate::Micros;
 
 #[cfg(test)]
 mod tests;
 
-/// How late a tick may be on a busy machine.
+/// Delay up to which a tick counts as in time: a busy machine delays timers without a stall.
 const MAX_TICK_DELAY: Micros = 30_000;
-/// After a stall, what is read for this long may have arrived in it.
+/// Bytes that are read within this time after a stall may have arrived during the stall.
 const READ_AFTER_STALL: Micros = 50_000;
 
-/// Notices from a steady timer when the process stood still.
+/// Detects stalls of this process from the delays of a periodic timer.
 #[derive(Clone, Copy, Debug)]
 pub struct StallDetector {
     tick_interval: Micros,
@@ -20,7 +22,7 @@
     last_stall: Option<Stall>,
 }
 
-/// A time between two ticks in which the process stood still.
+/// A stall: the time from the last tick before it to the overdue tick.
 #[derive(Clone, Copy, Debug)]
 struct Stall {
     start: Micros,
@@ -28,12 +30,12 @@
 }
 
 impl StallDetector {
-    /// A detector whose timer ticks once in each `tick_interval` from now on.
+    /// Creates a detector that expects a call of [`StallDetector::tick`] every `tick_interval` from `now` on.
     pub fn new(now: Micros, tick_interval: Micros) -> Self {
         StallDetector { tick_interval, last_tick: now, last_stall: None }
     }
 
-    /// The timer ticks.
+    /// Records a tick of the timer.
     pub fn tick(&mut self, now: Micros) {
         if self.is_tick_overdue(now) {
             self.last_stall = Some(Stall { start: self.last_tick, end: now });
@@ -41,7 +43,7 @@
         self.last_tick = self.last_tick.max(now);
     }
 
-    /// When bytes that are read now arrived, at the earliest.
+    /// Returns the earliest time at which bytes that are read at `now` may have arrived.
     pub fn earliest_arrival(&self, now: Micros) -> Micros {
         if self.is_tick_overdue(now) {
             return self.last_tick;
