--- a/crates/fault-injection/benches/admission.rs
+++ b/crates/fault-injection/benches/admission.rs
@@ -151,10 +151,10 @@
         handshakes: 1000,
         handshakes_per_address: 10,
         reserve: 0.3,
-        preferred: 0.1,
-        remembered: 50_000,
-        words_per_s: 500.0,
-        gives_way: None,
+        preferred_reserve: 0.1,
+        max_remembered_addresses: 50_000,
+        rejection_responses_per_second: 500.0,
+        idle_eviction: None,
     };
     let known = KnownClients::new(
         KnownClientLimits { max_addresses: 50_000, max_per_account: 64, remember_for: 1 << 40 },
@@ -165,7 +165,7 @@
     for n in 0..1_000_000u64 {
         let address: IpAddr = Ipv4Addr::from((n as u32).wrapping_mul(2_654_435_761) % addresses * 257).into();
         let now = 1_000_000 + n * 10;
-        a.offered(now, ConnId(n), address);
+        a.admit(now, ConnId(n), address);
         if n >= 5000 {
             a.closed(now, ConnId(n - 5000));
         }
--- a/crates/gateway/src/connection_gate/mod.rs
+++ b/crates/gateway/src/connection_gate/mod.rs
@@ -15,7 +15,7 @@
 use chalkgap_admission::minimum_throughput::MinimumThroughput;
 use chalkgap_admission::stall_detector::StallDetector;
 use chalkgap_admission::{
-    Admission, BudgetError, ConnId, DescriptorBudget, DescriptorReservations, KnownClients, Offer,
+    Admission, BudgetError, ConnId, Decision, DescriptorBudget, DescriptorReservations, KnownClients,
 };
 use chalkgap_runtime::{Micros, Shared};
 use rejection_log::RejectionLog;
@@ -108,11 +108,11 @@
     pub fn admit(self: &Arc<Self>, address: IpAddr) -> Result<Permit, Rejection> {
         let now = self.runtime.now();
         let mut state = self.state();
-        state.admission.accepted();
+        state.admission.accept_succeeded();
         let id = ConnId(state.next_id);
         state.next_id += 1;
-        match state.admission.offered(now, id, address) {
-            Offer::Accept { evict } => {
+        match state.admission.admit(now, id, address) {
+            Decision::Accept { evict } => {
                 if let Some(evicted) = evict {
                     add(&self.telemetry.connections_evicted);
                     state.signals.remove(&evicted);
@@ -124,18 +124,18 @@
                 state.end_lingering_for_others();
                 Ok(Permit { gate: self.clone(), id, signal: receiver })
             }
-            Offer::Refuse { reason, word: may_be_answered, pause } => {
+            Decision::Reject { reason, may_respond, retry_after } => {
                 add(&self.telemetry.connections_refused);
                 state.log.rejected(now, address, reason);
-                let slot = may_be_answered.then(|| RejectionSlot::take(self)).flatten();
-                Err(Rejection { retry_after: pause, slot })
+                let slot = may_respond.then(|| RejectionSlot::take(self)).flatten();
+                Err(Rejection { retry_after, slot })
             }
         }
     }
 
     /// The number of open connections.
     pub fn open_connections(&self) -> usize {
-        self.state().admission.open_by_standing().iter().sum::<u64>() as usize
+        self.state().admission.open_by_priority().iter().sum::<u64>() as usize
     }
 
     /// Accepting a connection failed for lack of a resource. Returns the time of the next try.
@@ -190,7 +190,7 @@
             {
                 let mut state = self.state();
                 state.stall_detector.tick(now);
-                state.admission.own_time(now);
+                state.admission.time_without_stalls(now);
             }
             if tick % TICKS_PER_LIMIT_CHECK == 0 {
                 self.check_descriptor_limit(now);
@@ -213,7 +213,7 @@
         let budget = self.split.split(limit, 1).unwrap_or(no_clients);
         tracing::warn!(old, limit, clients = budget.clients, "the limit of descriptors changed");
         let mut state = self.state();
-        for id in state.admission.rebudget(now, budget) {
+        for id in state.admission.set_budget(now, budget) {
             add(&self.telemetry.connections_evicted);
             state.signals.remove(&id);
         }
@@ -224,7 +224,7 @@
 impl State {
     /// Cuts the lingering closes short whose descriptors are needed for other connections.
     fn end_lingering_for_others(&mut self) {
-        for id in self.admission.wanted() {
+        for id in self.admission.take_lingering_to_abort() {
             self.lingering.remove(&id);
         }
     }
--- a/crates/gateway/src/connection_gate/permit.rs
+++ b/crates/gateway/src/connection_gate/permit.rs
@@ -42,12 +42,12 @@
 
     /// The client has completed its handshake.
     pub fn handshake_completed(&self) {
-        self.with_admission(|admission, now, id| admission.handshaken(now, id));
+        self.with_admission(|admission, now, id| admission.handshake_completed(now, id));
     }
 
     /// A request has arrived.
     pub fn request_started(&self) {
-        self.with_admission(|admission, now, id| admission.request(now, id));
+        self.with_admission(|admission, now, id| admission.request_started(now, id));
     }
 
     /// A request has ended.
@@ -57,12 +57,12 @@
             RequestEnd::Rejected | RequestEnd::Other => None,
         };
         let rejected = end == RequestEnd::Rejected;
-        self.with_admission(|admission, now, id| admission.ended(now, id, served, rejected));
+        self.with_admission(|admission, now, id| admission.request_ended(now, id, served, rejected));
     }
 
     /// The time by which clients are judged: it does not advance while this process stalls.
     pub fn time_without_stalls(&self) -> Micros {
-        self.with_admission(|admission, now, _| admission.own_time(now))
+        self.with_admission(|admission, now, _| admission.time_without_stalls(now))
     }
 
     /// The earliest time at which bytes that are read now may have arrived: before the process stalled, if it did.
@@ -80,7 +80,7 @@
         let mut state = self.gate.state();
         let (signal, receiver) = async_channel::bounded(1);
         if !state.draining {
-            state.admission.stays(self.gate.runtime.now(), self.id);
+            state.admission.eviction_refused(self.gate.runtime.now(), self.id);
             state.signals.insert(self.id, signal);
         }
         receiver
@@ -92,7 +92,7 @@
         let (keep_open, cut_short) = async_channel::bounded::<()>(1);
         {
             let mut state = self.gate.state();
-            state.admission.lingers(self.gate.runtime.now(), self.id);
+            state.admission.linger_started(self.gate.runtime.now(), self.id);
             state.lingering.insert(self.id, keep_open);
             state.end_lingering_for_others();
         }
--- a/crates/platform/src/connection_limits.rs
+++ b/crates/platform/src/connection_limits.rs
@@ -3,7 +3,7 @@
 use chalkgap::frontend::ConnectionGateConfig;
 use chalkgap_admission::minimum_throughput::MinimumThroughput;
 use chalkgap_admission::KnownClientLimits;
-use chalkgap_admission::{Caps, DescriptorReservations, GivesWay};
+use chalkgap_admission::{Caps, DescriptorReservations, IdleEviction};
 use chalkgap_runtime::Micros;
 
 /// Descriptors for the runtime, listeners, discovery and standard streams.
@@ -42,13 +42,13 @@
             handshakes: u32::MAX / 2,
             handshakes_per_address: u32::MAX / 2,
             reserve: 0.0,
-            preferred: 0.0,
-            remembered: 64,
-            words_per_s: 200.0,
-            gives_way: Some(GivesWay {
-                from: descriptors / 4,
-                silent: EVICTABLE_AFTER_MICROS,
-                idle: EVICTABLE_AFTER_MICROS,
+            preferred_reserve: 0.0,
+            max_remembered_addresses: 64,
+            rejection_responses_per_second: 200.0,
+            idle_eviction: Some(IdleEviction {
+                min_open_connections: descriptors / 4,
+                handshake_after: EVICTABLE_AFTER_MICROS,
+                idle_after: EVICTABLE_AFTER_MICROS,
             }),
         },
         known_clients: KnownClientLimits { max_addresses: 64, max_per_account: 4, remember_for: 60_000_000 },
