--- a/crates/quota-lease/src/slot.rs
+++ b/crates/quota-lease/src/slot.rs
@@ -97,7 +97,8 @@
     /// every committee member.
     ///
     /// Returns `None` after a lost round, until the votes given in it have expired, plus half a lease duration for each
-    /// rank. Otherwise two candidates that each have some of the votes could renew them and block each other for ever.
+    /// ingress that takes precedence. Otherwise two candidates that each have some of the votes could renew them and block
+    /// each other for ever.
     pub fn start_round(&mut self, now: Micros) -> Option<(u64, Epoch)> {
         if now >= self.owner_until {
             let rank_delay = self.terms.duration / 2 * u64::from(self.rank);
