--- a/crates/membership/src/anti_entropy.rs
+++ b/crates/membership/src/anti_entropy.rs
@@ -1,4 +1,5 @@
-//! Anti-entropy: views whose digests differ are compared bucket by bucket, and the records that differ are exchanged.
+//! Anti-entropy: two members whose views have different digests compare the digests of their buckets and exchange the
+//! records of the buckets that differ.
 
 use crate::membership::Membership;
 use crate::view::{MemberRecord, BUCKETS};
@@ -6,13 +7,13 @@
 use crate::{MemberId, Micros};
 use rand::RngExt;
 
-/// Messages of records in answer to one comparison.
+/// Maximum number of messages with records sent in answer to one comparison.
 const MAX_PAGES_PER_COMPARISON: usize = 4;
 
 pub(crate) struct AntiEntropy {
-    /// Messages in a row whose senders had the same view.
+    /// Number of consecutive messages whose senders had the same digest as this member.
     pub(crate) equal_digests: u32,
-    /// No comparison is started before then.
+    /// The earliest time at which this member starts another comparison.
     next_comparison: Micros,
 }
 
@@ -23,18 +24,20 @@
 }
 
 impl Membership {
-    /// Compares the digest of a message's sender with this member's own.
+    /// Compares the digest in a message with this member's own. If they differ, starts a comparison of the buckets, at
+    /// most once per protocol period.
     pub(crate) fn compare_digest(&mut self, now: Micros, from: MemberId, digest: u64) {
         if digest == self.view.digest() {
             self.anti_entropy.equal_digests += 1;
-            // When all around have the same view, only suspicions, which digests leave out, still need sending.
+            // If the last senders all had the same view, only suspicions, which digests do not cover, still have to be
+            // disseminated.
             if self.anti_entropy.equal_digests > 2 * self.log_fleet_size() {
                 self.broadcasts.retain(|id| self.suspicions.contains_key(id));
             }
             return;
         }
         self.anti_entropy.equal_digests = 0;
-        // Views that differ while updates are on the way get equal by themselves; what is left then is compared here.
+        // Differences due to updates in transit disappear when these arrive; the comparison resolves the others.
         if now >= self.anti_entropy.next_comparison && self.view.get(from).is_some() {
             self.anti_entropy.next_comparison = now + self.config.protocol_period;
             let digests = self.view.bucket_digests();
@@ -42,7 +45,8 @@
         }
     }
 
-    /// Sends the records of all buckets that differ, from a random bucket on, as far as the pages go.
+    /// Sends the records of the buckets whose digests differ from `digests`, in at most
+    /// [`MAX_PAGES_PER_COMPARISON`] messages. It starts at a random bucket, so that each one is sent eventually.
     pub(crate) fn send_differing_records(&mut self, now: Micros, to: MemberId, digests: &[u32; BUCKETS]) {
         let own_digests = self.view.bucket_digests();
         let first = self.rng.random_range(0..BUCKETS);
--- a/crates/membership/src/dissemination.rs
+++ b/crates/membership/src/dissemination.rs
@@ -1,5 +1,5 @@
-//! Piggybacking updates on messages (SWIM, section 4.1): each update is sent a multiple of log(n) times, those sent
-//! least often first.
+//! Piggybacking updates on messages (SWIM, section 4.1). Each update is sent a number of times that is proportional to
+//! the logarithm of the fleet's size. Updates that were sent least often go first.
 
 use crate::membership::Membership;
 use crate::view::{MemberRecord, MemberState};
@@ -8,16 +8,17 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-/// Each update is sent this many times the logarithm of the fleet's size.
+/// The number of transmissions of each update, as a multiple of the logarithm of the fleet's size.
 const RETRANSMIT_MULTIPLIER: u32 = 3;
-/// More updates than fit into a message.
+/// Maximum number of updates considered for one message; fewer than this fit.
 const MAX_UPDATES_PER_MESSAGE: usize = 16;
 
-/// Members whose records have changed lately.
+/// The members whose updates are still being disseminated.
 #[derive(Default)]
 pub(crate) struct Broadcasts {
-    /// By how often each was sent.
+    /// Number of transmissions and member id, so that the update sent least often comes first.
     queue: BTreeSet<(u32, MemberId)>,
+    /// The number of transmissions of each update in the queue.
     transmissions: BTreeMap<MemberId, u32>,
 }
 
@@ -30,21 +31,22 @@
         self.transmissions.contains_key(&id)
     }
 
-    /// A member's record has changed: it is to be sent as if it never was.
+    /// Queues the update of a member whose record has changed, with its number of transmissions reset to 0.
     pub(crate) fn add(&mut self, id: MemberId) {
         let transmissions = self.transmissions.insert(id, 0).unwrap_or(0);
         self.queue.remove(&(transmissions, id));
         self.queue.insert((0, id));
     }
 
-    /// Drops the updates of all members but these.
+    /// Drops the updates of all members for which `keep` returns false.
     pub(crate) fn retain(&mut self, keep: impl Fn(&MemberId) -> bool) {
         self.transmissions.retain(|id, _| keep(id));
         self.queue.retain(|(_, id)| keep(id));
     }
 
-    /// An update that was sent `transmissions` times before has been sent once more.
-    fn sent(&mut self, transmissions: u32, id: MemberId, max_transmissions: u32) {
+    /// Records one more transmission of an update that was sent `transmissions` times before. The update is removed
+    /// after `max_transmissions`.
+    fn record_transmission(&mut self, transmissions: u32, id: MemberId, max_transmissions: u32) {
         self.queue.remove(&(transmissions, id));
         if transmissions + 1 < max_transmissions {
             self.queue.insert((transmissions + 1, id));
@@ -56,14 +58,14 @@
 }
 
 impl Membership {
-    /// Sends a message to a member of the view; false if it was not sent.
+    /// Sends a message to a member of the view. Returns false if it was not sent.
     pub(crate) fn send(&mut self, now: Micros, to: MemberId, kind: Kind, nonce: u32) -> bool {
         let address = self.address_of(to);
         address.is_some_and(|address| self.send_to(now, to, address, kind, nonce))
     }
 
-    /// Sends a message with this member's own record, what the receiver has to know of itself, and pending updates;
-    /// false if it was not sent.
+    /// Sends a message with this member's own record, the receiver's record if it has to be notified of that, and
+    /// pending updates. Returns false if it was not sent.
     pub(crate) fn send_to(
         &mut self,
         now: Micros,
@@ -81,8 +83,8 @@
         self.transmit(now, to, address, &message)
     }
 
-    /// A receiver that is not alive in this view, or sent an outdated record of itself, is notified so that it can
-    /// refute.
+    /// Adds the receiver's record if the receiver is not alive in this view or has sent an outdated record of itself,
+    /// so that it can refute.
     fn add_receivers_record(&self, to: MemberId, message: &mut Message) {
         let Some(record) = self.view.get(to).map(|member| member.record) else { return };
         if record.state != MemberState::Alive || self.outdated_members.contains(&to) {
@@ -102,7 +104,7 @@
             if !message.add(MemberRecord { reported_by, ..record }, 0) {
                 break;
             }
-            self.broadcasts.sent(transmissions, id, max_transmissions);
+            self.broadcasts.record_transmission(transmissions, id, max_transmissions);
         }
     }
 }
--- a/crates/membership/src/local_health.rs
+++ b/crates/membership/src/local_health.rs
@@ -1,12 +1,12 @@
-//! This member's own slowness (Lifeguard's local health): a member that is slow itself waits longer for others.
+//! Local health (Lifeguard): a member that is slow itself uses longer periods and timeouts for other members.
 
 use crate::membership::Membership;
 use crate::Micros;
 
-/// A slow member stretches periods and timeouts by this factor at most.
+/// Maximum factor by which a slow member multiplies its periods and timeouts.
 const MAX_HEALTH_MULTIPLIER: u32 = 8;
 
-/// The factor by which periods and timeouts are stretched; 1 is healthy.
+/// The factor by which this member multiplies its periods and timeouts. It is 1 while the member is healthy.
 pub(crate) struct LocalHealth {
     multiplier: u32,
 }
@@ -32,8 +32,8 @@
 }
 
 impl Membership {
-    /// Discounts the time in which this process was stopped or starved, as it could not receive what others sent then.
-    /// Must run before any message is handled: messages that waited in the socket would hide how late it is.
+    /// Discounts the time for which this process was stopped or starved of CPU time, as it could not receive messages
+    /// then. It must run before any message is handled: messages that waited in the socket would hide the delay.
     pub(crate) fn account_for_stall(&mut self, now: Micros) {
         let stalled_for = now.saturating_sub(self.expected_wake);
         if stalled_for <= self.config.protocol_period / 2 {
@@ -42,7 +42,7 @@
         self.probes.clear();
         for suspicion in self.suspicions.values_mut() {
             suspicion.since = (suspicion.since + stalled_for).min(now);
-            suspicion.last_probe_sent = false;
+            suspicion.final_probe_sent = false;
         }
         self.last_answer += stalled_for.min(now.saturating_sub(self.last_answer));
         self.health.degrade();
--- a/crates/membership/src/membership.rs
+++ b/crates/membership/src/membership.rs
@@ -1,4 +1,4 @@
-//! The state machine of one member: what it keeps, and the order in which timeouts and messages are handled.
+//! The state machine of one member: its state, and the order in which timeouts and messages are handled.
 
 use crate::anti_entropy::AntiEntropy;
 use crate::dissemination::Broadcasts;
@@ -15,85 +15,90 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
 
-/// Protocol periods without any answer after which a member takes itself for cut off.
+/// Number of protocol periods without any answer after which a member considers itself cut off from the fleet.
 const MAX_UNANSWERED_PERIODS: u64 = 4;
-/// Members that are notified at once of a graceful leave; they notify the rest.
+/// Maximum number of members that a leaving member notifies directly; they disseminate the update.
 const LEAVE_NOTIFICATIONS: usize = 6;
-/// Messages that the last probe of a suspect costs each member when many are dead, as sender and as intermediary.
-const MESSAGES_PER_LAST_PROBE: f64 = 5.0;
-/// The timeout of a superseded member, in protocol periods: nothing is left for it to do.
+/// Messages that each member sends per suspect for the final probes when many members are dead, including those that
+/// it sends as an intermediary.
+const MESSAGES_PER_FINAL_PROBE: f64 = 5.0;
+/// Interval between the timeouts of a superseded member, in protocol periods. Its timeouts do nothing.
 const SUPERSEDED_TIMEOUT_PERIODS: u64 = 1000;
 
-/// The parameters of a member.
+/// Configuration of a member.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// Its id.
+    /// The member's id.
     pub self_id: MemberId,
-    /// The incarnation of its process: later than at all starts before. The time of the start in microseconds will do.
+    /// The incarnation of the member's process. It must be greater than at every earlier start with the same id; the
+    /// start time in microseconds meets that.
     pub incarnation: u64,
-    /// Where it receives datagrams.
+    /// The address at which the member receives datagrams.
     pub address: SocketAddr,
-    /// Where other members may be. Its own address among them does no harm.
+    /// Addresses at which other members may be found. The member's own address may be among them and is skipped.
     pub seeds: Vec<SocketAddr>,
-    /// All ids are below this; records of others are ignored.
+    /// Exclusive upper bound of member ids. Records with other ids are ignored.
     pub max_members: MemberId,
-    /// In each protocol period a member probes one other. All other durations of the protocol are multiples of it.
+    /// The interval between two probes, in microseconds. The other durations of the protocol are derived from it.
     pub protocol_period: Micros,
-    /// The least time that a suspect has to refute, whatever the size of the fleet.
+    /// The minimum time that a suspect has to refute the suspicion, in microseconds, regardless of the fleet's size.
     pub min_suspicion_timeout: Micros,
-    /// Messages that it sends in a second at most. What is beyond that is not sent, and not made up for.
+    /// Maximum number of messages sent per second. Messages above the limit are dropped and not sent later.
     pub max_messages_per_second: f64,
-    /// Seed of its random choices.
+    /// Seed of the random number generator.
     pub rng_seed: u64,
 }
 
-/// Something that has changed in the view.
+/// A change that the member reports to its caller.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// A member is new, or its state, process or address has changed.
+    /// A member was added to the view, or its state, process or address has changed.
     MemberChanged(MemberRecord),
-    /// The part of the fleet that this member can reach has changed.
+    /// The partition status of this member has changed.
     PartitionStatusChanged(PartitionStatus),
-    /// A later process has this member's id: this one has to end, and sends nothing any more.
+    /// A process that started later uses this member's id. This member sends no more messages, and its process has to
+    /// exit.
     Superseded,
 }
 
-/// One member of the fleet.
+/// The membership protocol as run by one member of the fleet.
 pub struct Membership {
     pub(crate) config: Config,
     pub(crate) rng: SmallRng,
     pub(crate) view: View,
     voters: Voters,
     partition_status: PartitionStatus,
-    /// The view has changed since the partition status was last derived.
+    /// Whether the view has changed since the partition status was last computed.
     pub(crate) view_changed: bool,
     contact: Contact,
-    /// What this member last announced of itself.
+    /// The record of itself that this member announced last.
     pub(crate) own_record: MemberRecord,
     pub(crate) superseded: bool,
     pub(crate) suspicions: BTreeMap<MemberId, Suspicion>,
     pub(crate) probes: BTreeMap<u32, Probe>,
-    /// Members that sent an outdated record of themselves: the next message to them has the current one.
+    /// Members that sent an outdated record of themselves. The next message to each carries the current record.
     pub(crate) outdated_members: BTreeSet<MemberId>,
     pub(crate) broadcasts: Broadcasts,
     pub(crate) anti_entropy: AntiEntropy,
     pub(crate) health: LocalHealth,
     next_period: Micros,
-    /// When this member was to wake next, as of the last time that it was awake.
+    /// The time at which the process should be scheduled next, as computed when it last ran. A later call shows by how
+    /// much the process was delayed.
     pub(crate) expected_wake: Micros,
+    /// Number of protocol periods since the start.
     pub(crate) periods: u64,
-    /// Which of the dead members and seeds was last probed.
+    /// Index of the candidate, a dead member or a seed, that was last probed to reconnect.
     pub(crate) reconnect_index: usize,
-    /// When a member last answered a probe.
+    /// The time of the last answer to a probe.
     pub(crate) last_answer: Micros,
-    /// When a message of another member last arrived.
+    /// The time at which the last message from another member arrived.
     pub(crate) last_message: Micros,
     pub(crate) outbox: Outbox,
     pub(crate) events: VecDeque<Event>,
 }
 
 impl Membership {
-    /// A member that has just started, at `now`.
+    /// Creates a member that starts at `now`.
     pub fn new(now: Micros, config: Config) -> Membership {
         let self_id = config.self_id;
         let own_record = MemberRecord {
@@ -108,9 +113,9 @@
         view.put(own_record, now);
         let rng_seed = config.rng_seed ^ config.incarnation.rotate_left(17) ^ u64::from(self_id);
         let mut rng = SmallRng::seed_from_u64(rng_seed);
-        // Spreads the probes of members that were started at the same time.
+        // A random offset spreads the probes of members that were started at the same time.
         let next_period = now + rng.random_range(0..=config.protocol_period / 2);
-        // A member that has seeds and has reached none of them is not a fleet by itself.
+        // A member that has seeds and has not reached any of them must not consider itself a complete fleet.
         let has_other_seeds = config.seeds.iter().any(|seed| *seed != config.address);
         let contact = if has_other_seeds { Contact::Unanswered } else { Contact::Answered };
         let mut voters = Voters::default();
@@ -142,27 +147,27 @@
         }
     }
 
-    /// This member's id.
+    /// Returns this member's id.
     pub fn id(&self) -> MemberId {
         self.config.self_id
     }
 
-    /// The view as it is now.
+    /// Returns this member's current view.
     pub fn view(&self) -> &View {
         &self.view
     }
 
-    /// Which part of the fleet this member can reach.
+    /// Returns which part of the fleet this member can reach.
     pub fn partition_status(&self) -> PartitionStatus {
         self.partition_status
     }
 
-    /// Among how many members a majority is counted.
+    /// Returns the number of voters, the members that count towards a majority.
     pub fn voter_count(&self) -> usize {
         self.voters.count()
     }
 
-    /// What observers are shown of the view besides its records.
+    /// Returns the summary that observers receive with each page of records.
     pub fn view_summary(&self) -> ViewSummary {
         let saturating_u16 = |count: usize| count.min(usize::from(u16::MAX)) as u16;
         ViewSummary {
@@ -176,45 +181,49 @@
         }
     }
 
-    /// How long it may take until a death shows in the view, where a fifth of all messages is lost or fewer and half of
-    /// the fleet dies or less: one period until the member is probed, one more if the prober has died too, one until
-    /// the probe fails, the periods that dissemination takes, the longest time to refute, the last probe.
+    /// Returns the maximum time in microseconds from the death of a member until the view shows it. The bound holds
+    /// while at most a fifth of all messages is lost and at most half of the fleet dies.
     ///
-    /// The suspects of `simultaneous_deaths` get their last probe one by one, as the rate limit allows.
+    /// It is the sum of one period until the member is probed, one more if the prober has died too, one until the probe
+    /// fails, the periods of dissemination, the longest suspicion timeout and the final probe. If several members die
+    /// at once (`simultaneous_deaths`), the rate limit spreads their final probes over time.
     pub fn detection_bound(&self, simultaneous_deaths: usize) -> Micros {
         let dissemination_periods = 2 * u64::from(self.log_fleet_size());
-        let last_probe_seconds =
-            simultaneous_deaths as f64 * MESSAGES_PER_LAST_PROBE / self.config.max_messages_per_second;
-        let last_probes = last_probe_seconds * 1e6;
-        self.scaled_period() * (5 + dissemination_periods) + self.suspicion_timeout(1) + last_probes as Micros
+        let final_probe_seconds =
+            simultaneous_deaths as f64 * MESSAGES_PER_FINAL_PROBE / self.config.max_messages_per_second;
+        let final_probe_micros = final_probe_seconds * 1e6;
+        self.scaled_period() * (5 + dissemination_periods)
+            + self.suspicion_timeout(1)
+            + final_probe_micros as Micros
     }
 
-    /// The next message to send.
+    /// Returns the next message to send, if any.
     pub fn poll_transmit(&mut self) -> Option<Transmit> {
         self.outbox.pop()
     }
 
-    /// The next change.
+    /// Returns the next event, if any.
     pub fn poll_event(&mut self) -> Option<Event> {
         self.events.pop_front()
     }
 
-    /// When [`Membership::handle_timeout`] is due.
+    /// Returns the time at which [`Membership::handle_timeout`] has to be called.
     pub fn next_timeout(&self) -> Micros {
         let probes = self.probes.values().map(Probe::next_timeout);
-        let suspicions = self.suspicions.values().filter(|suspicion| !suspicion.last_probe_sent);
-        let last_probes = suspicions.map(|suspicion| self.last_probe_due(suspicion));
-        probes.chain(last_probes).fold(self.next_period, Micros::min)
+        let suspicions = self.suspicions.values().filter(|suspicion| !suspicion.final_probe_sent);
+        let final_probes = suspicions.map(|suspicion| self.final_probe_due(suspicion));
+        probes.chain(final_probes).fold(self.next_period, Micros::min)
     }
 
-    /// Leaves gracefully: some members are notified now, the others with each answer as long as this member is probed.
+    /// Leaves the fleet gracefully. Some members are notified at once; the others learn of it from answers to their
+    /// probes, as long as the process runs, and by dissemination.
     pub fn leave(&mut self, now: Micros) {
         self.account_for_stall(now);
         if !self.own_record.state.is_live() {
             return;
         }
         self.announce(now, MemberState::Left, self.own_record.version + 1);
-        // Several at once, as this process may end at any moment.
+        // Notifies several members, as the process may exit right after the call.
         let others: Vec<MemberId> = self.live_others().collect();
         let notified = others.len().min(LEAVE_NOTIFICATIONS);
         for step in 0..notified {
@@ -223,7 +232,7 @@
         self.update_partition_status(now);
     }
 
-    /// Does what is due at `now`.
+    /// Runs all timeouts that are due at `now`: indirect probes, expired probes, final probes and the protocol period.
     pub fn handle_timeout(&mut self, now: Micros) {
         if self.superseded {
             self.next_period = now + self.config.protocol_period * SUPERSEDED_TIMEOUT_PERIODS;
@@ -232,9 +241,9 @@
         self.account_for_stall(now);
         self.send_indirect_probes(now);
         self.expire_probes(now);
-        self.send_last_probes(now);
+        self.send_final_probes(now);
         if now >= self.next_period {
-            // Periods go by the clock, not from the last one: a slightly late call does not shift the next.
+            // The next period is counted from the scheduled start of this one, so that a late call causes no drift.
             let period = self.scaled_period();
             self.next_period = (self.next_period + period).max(now + period / 2);
             self.start_period(now);
@@ -245,11 +254,11 @@
     fn start_period(&mut self, now: Micros) {
         self.periods += 1;
         if !self.own_record.state.is_live() {
-            return; // after it has left it answers, and probes no member
+            return; // a member that has left still answers probes, but sends none
         }
         self.probe_next_member(now);
         self.reconnect_if_due(now);
-        // Updates that no probe has carried yet.
+        // Updates that are still pending are sent to one random member.
         if !self.broadcasts.is_empty() {
             if let Some(receiver) = self.random_member(&[]) {
                 self.send(now, receiver, Kind::Records, 0);
@@ -258,10 +267,10 @@
     }
 
     /// Handles a message that arrived at `now` from the address `source`. `from` is the member that signed it; the
-    /// caller has verified that.
+    /// caller must have verified the signature.
     ///
     /// # Errors
-    /// The bytes are no message of this protocol; nothing has changed.
+    /// Returns [`Malformed`] if the bytes are not a message of this protocol. The state is unchanged then.
     pub fn handle_message(
         &mut self,
         now: Micros,
@@ -329,13 +338,13 @@
         self.transmit(now, OBSERVER, address, &page);
     }
 
-    /// The live members besides this one.
+    /// Returns the ids of all live members other than this one.
     pub(crate) fn live_others(&self) -> impl Iterator<Item = MemberId> + '_ {
         let self_id = self.config.self_id;
         self.view.live().map(|member| member.record.id).filter(move |id| *id != self_id)
     }
 
-    /// A random live member that is not suspected, and none of `excluded`.
+    /// Picks a random live member that is neither suspected nor in `excluded`.
     pub(crate) fn random_member(&mut self, excluded: &[MemberId]) -> Option<MemberId> {
         let eligible = |id: &MemberId| !excluded.contains(id) && !self.suspicions.contains_key(id);
         let candidates: Vec<MemberId> = self.live_others().filter(eligible).collect();
@@ -343,17 +352,19 @@
         candidates.get(index).copied()
     }
 
-    /// The logarithm of the fleet's size, 1 or more: dissemination takes a multiple of so many periods.
+    /// Returns the binary logarithm of the number of live members (at least 2), rounded down, plus 1. The number of
+    /// periods that dissemination takes is proportional to it.
     pub(crate) fn log_fleet_size(&self) -> u32 {
         (self.view.live_count().max(2) as u32).ilog2() + 1
     }
 
-    /// The protocol period as this member's own slowness stretches it.
+    /// Returns the protocol period, multiplied by the local health multiplier.
     pub(crate) fn scaled_period(&self) -> Micros {
         self.config.protocol_period * u64::from(self.health.multiplier())
     }
 
-    /// Derives the partition status, where something has changed, and notes when this member is to wake next.
+    /// Recomputes the partition status if the view or the contact with other members has changed, and sets the time
+    /// at which the process should run next.
     fn update_partition_status(&mut self, now: Micros) {
         self.expected_wake = self.next_timeout().max(now);
         let contact = self.contact(now);
@@ -370,7 +381,7 @@
     }
 
     fn contact(&self, now: Micros) -> Contact {
-        // No answer is expected where all others left gracefully, or where there never was another member.
+        // No answer is expected if all other members have left gracefully, or if there never was another member.
         let has_met_others = self.view.known_count() > 1;
         let expects_answers = if has_met_others {
             self.voters.count() > 1
--- a/crates/membership/src/merging.rs
+++ b/crates/membership/src/merging.rs
@@ -1,11 +1,11 @@
-//! Merging received records into the view, and refuting what others have wrong of this member.
+//! Merging received records into the view, and refuting wrong records about this member.
 
 use crate::membership::{Event, Membership};
 use crate::view::{MemberRecord, MemberState, VERSION_LIMIT};
 use crate::{MemberId, Micros};
 
 impl Membership {
-    /// Takes a record over into the view, reports the change and disseminates it.
+    /// Stores a record in the view, emits an event and queues the record for dissemination.
     pub(crate) fn apply(&mut self, now: Micros, record: MemberRecord) {
         self.view.put(record, now);
         self.view_changed = true;
@@ -24,7 +24,7 @@
         self.apply(now, self.own_record);
     }
 
-    /// Merges a record that the member `from` has sent.
+    /// Merges a record received from the member `from`.
     pub(crate) fn merge(&mut self, now: Micros, record: MemberRecord, from: MemberId) {
         if record.id == self.config.self_id {
             self.refute(now, record);
@@ -56,7 +56,8 @@
         self.suspect(now, record.id, record.reported_by, None);
     }
 
-    /// A member whose own record of itself is older than the known one is sent the known one with the next message.
+    /// Records whether a member's record of itself is older than the known one. If so, the next message to that member
+    /// carries the known record.
     fn note_if_outdated(&mut self, from: MemberId, record: &MemberRecord, known: &MemberRecord) {
         if record.precedence() < known.precedence() {
             self.outdated_members.insert(from);
@@ -91,7 +92,8 @@
             }
             return;
         }
-        // Another member's report about one that is live here is a suspicion only: the member is probed, and notified.
+        // A member that is live in this view is reported dead or left by another member. The report only starts a
+        // suspicion: this member notifies the suspect and probes it itself.
         if record.version > known.version + 1 {
             let version = record.version - 1;
             let incarnation = record.incarnation;
@@ -102,7 +104,7 @@
         }
     }
 
-    /// Refutes, with the next version, whatever another member has wrong of this one.
+    /// Refutes a wrong record about this member by announcing a higher version.
     fn refute(&mut self, now: Micros, record: MemberRecord) {
         if record.incarnation > self.own_record.incarnation {
             self.superseded = true;
@@ -120,13 +122,13 @@
             }
             return;
         }
-        let is_right =
+        let is_correct =
             record.state == MemberState::Alive && record.incarnation == self.own_record.incarnation;
-        if !is_newer && is_right {
+        if !is_newer && is_correct {
             return;
         }
         if !is_newer && record.state == MemberState::Suspect {
-            self.health.degrade(); // some member waited for this one in vain
+            self.health.degrade(); // this member did not answer some member in time
         }
         self.announce(now, MemberState::Alive, (record.version | 1) + 1);
     }
--- a/crates/membership/src/outbox.rs
+++ b/crates/membership/src/outbox.rs
@@ -9,17 +9,18 @@
 /// A message to send.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Transmit {
-    /// The receiver's id; [`ANY_MEMBER`](crate::ANY_MEMBER) where it is not known;
-    /// [`OBSERVER`](crate::OBSERVER) has the same value.
+    /// The receiver's id. [`ANY_MEMBER`](crate::ANY_MEMBER) if it is unknown, [`OBSERVER`](crate::OBSERVER) if the
+    /// receiver is not a member; the two have the same value.
     pub to: MemberId,
     /// The receiver's address.
     pub address: SocketAddr,
-    /// The message.
+    /// The encoded message.
     pub bytes: Vec<u8>,
 }
 
+/// Queue of encoded messages with a token bucket.
 pub(crate) struct Outbox {
-    /// Also the size of the bucket: one second's messages.
+    /// The refill rate, and also the capacity of the bucket.
     messages_per_second: f64,
     tokens: f64,
     refilled_at: Micros,
@@ -40,7 +41,7 @@
         self.queue.clear();
     }
 
-    /// Takes a token; false if there is none.
+    /// Takes a token. Returns false if none is available.
     fn try_acquire(&mut self, now: Micros) -> bool {
         let seconds = now.saturating_sub(self.refilled_at) as f64 / 1e6;
         self.refilled_at = self.refilled_at.max(now);
@@ -54,7 +55,7 @@
 }
 
 impl Membership {
-    /// Queues a message; false if the rate limit forbids it, or this member is superseded.
+    /// Queues a message. Returns false, and drops it, if the rate limit is exceeded or this member is superseded.
     pub(crate) fn transmit(
         &mut self,
         now: Micros,
--- a/crates/membership/src/reconnect.rs
+++ b/crates/membership/src/reconnect.rs
@@ -1,4 +1,4 @@
-//! Probing dead members and seeds: so partitions heal, and a new member finds the fleet.
+//! Probing dead members and seeds, by which partitions heal and a new member finds the fleet.
 
 use crate::membership::Membership;
 use crate::probing::Purpose;
@@ -7,13 +7,14 @@
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 
-/// One protocol period in so many probes a dead member or a seed.
-const RECONNECT_EVERY: u64 = 4;
+/// Interval between probes of dead members and seeds, in protocol periods.
+const RECONNECT_INTERVAL_PERIODS: u64 = 4;
 
 impl Membership {
-    /// Probes the next dead member or unknown seed, where it is due or this member knows no other live one.
+    /// Probes the next candidate once per [`RECONNECT_INTERVAL_PERIODS`], or in each period while this member knows no
+    /// other live member.
     pub(crate) fn reconnect_if_due(&mut self, now: Micros) {
-        if self.periods % RECONNECT_EVERY != 0 && self.view.live_count() != 1 {
+        if self.periods % RECONNECT_INTERVAL_PERIODS != 0 && self.view.live_count() != 1 {
             return;
         }
         let candidates = self.reconnect_candidates();
@@ -25,6 +26,7 @@
         self.probe(now, target, address, Purpose::Reconnect);
     }
 
+    /// Returns the dead members, and the seeds at whose addresses no member is known.
     fn reconnect_candidates(&self) -> Vec<(MemberId, SocketAddr)> {
         let known_addresses: BTreeSet<SocketAddr> =
             self.view.members().map(|member| member.record.address).collect();
--- a/crates/membership/src/suspicion.rs
+++ b/crates/membership/src/suspicion.rs
@@ -1,36 +1,37 @@
-//! Suspecting a member, and declaring it dead. The time to refute shrinks with each member that confirms the suspicion
-//! (Lifeguard); then the suspecting member probes the suspect a last time.
+//! Suspecting a member, and declaring it dead. The suspicion timeout shrinks with each member that confirms the
+//! suspicion (Lifeguard). After the timeout, the suspecting member sends the suspect a final probe.
 
 use crate::membership::Membership;
 use crate::probing::Purpose;
 use crate::view::{MemberRecord, MemberState};
 use crate::{MemberId, Micros};
 
-/// Members whose suspicion of one suspect is counted; more of them do not shorten the time to refute.
+/// Maximum number of members that are counted as reporters of one suspicion. Further ones do not shorten the timeout.
 const SUSPICION_CONFIRMATIONS: usize = 3;
 
-/// A suspicion that is not yet refuted.
+/// A pending suspicion of a live member.
 pub(crate) struct Suspicion {
     pub(crate) since: Micros,
-    /// The members that suspect it, in the order in which they reported it.
+    /// The members that suspect it, in the order in which their reports arrived.
     reporters: Vec<MemberId>,
-    /// The state in which others have it already, if they do: dead or left. They have given it time to refute, so a
-    /// refutation needs only the time to arrive here; a member that left has nothing to refute.
+    /// The state that other members reported, if it is dead or left. They have given the suspect time to refute, so
+    /// here the timeout only has to cover the arrival of a refutation; a member that left will not refute.
     reported_state: Option<MemberState>,
-    pub(crate) last_probe_sent: bool,
-    /// No last probe before then, as one could not be sent.
+    pub(crate) final_probe_sent: bool,
+    /// The earliest time of the final probe. It is postponed when the probe could not be sent.
     retry_at: Micros,
 }
 
 impl Suspicion {
-    /// One of those that suspect it, in turn for each transmission of the update.
+    /// Returns the reporter to name in the next transmission of the update. Successive transmissions name the reporters
+    /// in turn.
     pub(crate) fn reporter(&self, transmissions: u32) -> Option<MemberId> {
         self.reporters.get(transmissions as usize % self.reporters.len().max(1)).copied()
     }
 }
 
 impl Membership {
-    /// The time that a suspect has to refute, by how many members suspect it.
+    /// Returns the time in microseconds that a suspect has to refute, given the number of members that suspect it.
     pub(crate) fn suspicion_timeout(&self, reporters: usize) -> Micros {
         let periods = u64::from(4 + 2 * self.log_fleet_size());
         let unscaled = (self.config.protocol_period * periods).max(self.config.min_suspicion_timeout);
@@ -42,8 +43,8 @@
         }
     }
 
-    /// When the time to refute is over, and the last probe is due.
-    pub(crate) fn last_probe_due(&self, suspicion: &Suspicion) -> Micros {
+    /// Returns the time at which the suspicion times out and the final probe is due.
+    pub(crate) fn final_probe_due(&self, suspicion: &Suspicion) -> Micros {
         let timeout = self.suspicion_timeout(suspicion.reporters.len());
         let timeout = match suspicion.reported_state {
             Some(MemberState::Left) => 0,
@@ -53,8 +54,8 @@
         (suspicion.since + timeout).max(suspicion.retry_at)
     }
 
-    /// Suspects a live member, or confirms the suspicion, on the report of the member `by`; `reported_state` is the
-    /// state in which that one has it, if it is dead or left there.
+    /// Starts or confirms the suspicion of a live member, as reported by the member `by`. `reported_state` is the state
+    /// that `by` reported, if it is dead or left.
     pub(crate) fn suspect(
         &mut self,
         now: Micros,
@@ -71,7 +72,7 @@
             since: now,
             reporters: Vec::new(),
             reported_state,
-            last_probe_sent: false,
+            final_probe_sent: false,
             retry_at: now,
         });
         suspicion.reported_state = suspicion.reported_state.max(reported_state);
@@ -83,28 +84,29 @@
         if is_new {
             self.apply(now, MemberRecord { state: MemberState::Suspect, reported_by: by, ..record });
         } else if confirms && !self.broadcasts.contains(id) {
-            // While the first report is still being disseminated, both are: see `Suspicion::reporter`.
+            // An update that is still being disseminated names all reporters in turn, see `Suspicion::reporter`, and
+            // need not be added again.
             self.broadcasts.add(id);
         }
     }
 
-    /// Sends the last probe of each suspect whose time to refute is over.
-    pub(crate) fn send_last_probes(&mut self, now: Micros) {
+    /// Sends a final probe to each suspect whose suspicion has timed out.
+    pub(crate) fn send_final_probes(&mut self, now: Micros) {
         let is_due =
-            |suspicion: &Suspicion| !suspicion.last_probe_sent && now >= self.last_probe_due(suspicion);
+            |suspicion: &Suspicion| !suspicion.final_probe_sent && now >= self.final_probe_due(suspicion);
         let due = self.suspicions.iter().filter(|(_, suspicion)| is_due(suspicion));
         let suspects: Vec<MemberId> = due.map(|(id, _)| *id).collect();
         for id in suspects {
             let pending_before = self.probes.len();
-            self.probe_member(now, id, Purpose::Last);
+            self.probe_member(now, id, Purpose::Final);
             if let Some(suspicion) = self.suspicions.get_mut(&id) {
-                suspicion.last_probe_sent = self.probes.len() > pending_before;
+                suspicion.final_probe_sent = self.probes.len() > pending_before;
                 suspicion.retry_at = now + self.config.protocol_period / 2;
             }
         }
     }
 
-    /// A suspect has not answered its last probe: it is dead, or has left where others reported that.
+    /// Declares a suspect that has not answered its final probe dead, or left if other members reported that.
     pub(crate) fn declare_dead(&mut self, now: Micros, id: MemberId) {
         let Some(suspicion) = self.suspicions.remove(&id) else { return };
         let Some(record) = self.view.get(id).map(|member| member.record) else { return };
--- a/crates/membership/src/view.rs
+++ b/crates/membership/src/view.rs
@@ -1,52 +1,54 @@
-//! The records of all members, and the digest by which two views are found equal.
+//! The records of all members, and the digest that is compared to find out whether two views are equal.
 
 use crate::{MemberId, Micros};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// Parts of a view with a digest each, so that little is sent where little differs. Part of the wire format.
+/// Number of buckets of a view. Each bucket has its own digest, so that two members exchange only the records of the
+/// buckets that differ. The number is part of the wire format.
 pub const BUCKETS: usize = 16;
-/// Versions from here on are not accepted: a member must always have a next one.
+/// Exclusive upper bound of record versions. Other versions are rejected, as a member must always be able to move to
+/// its next version.
 pub const VERSION_LIMIT: u32 = 1 << 30;
 
 /// The state of a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum MemberState {
-    /// It answers, as far as is known.
+    /// The member is taken to be alive: no suspicion is pending.
     Alive,
-    /// It did not answer some member. It counts as live until the time to refute is over.
+    /// The member did not answer the probes of some member. It counts as live until the suspicion timeout.
     Suspect,
-    /// It did not refute the suspicion in time.
+    /// The member did not refute the suspicion in time.
     Dead,
-    /// It left gracefully.
+    /// The member left gracefully.
     Left,
 }
 
 impl MemberState {
-    /// Whether it counts as a member of the fleet.
+    /// Returns true if a member in this state counts as live: alive or suspected.
     pub fn is_live(self) -> bool {
         matches!(self, MemberState::Alive | MemberState::Suspect)
     }
 }
 
-/// What is known of a member.
+/// The state and address of a member, as members send them to each other.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MemberRecord {
-    /// Whom it is about.
+    /// The id of the member that the record describes.
     pub id: MemberId,
-    /// Its state.
+    /// The member's state.
     pub state: MemberState,
     /// SWIM's incarnation number: even while the member is alive or suspected, odd once it is dead or has left.
     pub version: u32,
-    /// When its process started, in microseconds since 1970.
+    /// The start time of the member's process, in microseconds since 1970.
     pub incarnation: u64,
-    /// Where it receives datagrams.
+    /// The address at which the member receives datagrams.
     pub address: SocketAddr,
     /// The member that reported this state.
     pub reported_by: MemberId,
 }
 
-/// The order of two records of one member: the higher version wins, then the later process; left wins over dead.
+/// The order of records of one member. The higher version wins, then the higher incarnation, then left over dead.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Precedence {
     version: u32,
@@ -55,7 +57,7 @@
 }
 
 impl MemberRecord {
-    /// Of two records the one with the greater precedence holds.
+    /// Returns the precedence of this record. Of two records of a member the one with the greater precedence is kept.
     pub fn precedence(&self) -> Precedence {
         let left = self.state == MemberState::Left;
         Precedence { version: self.version, incarnation: self.incarnation, left }
@@ -73,16 +75,16 @@
     }
 }
 
-/// A member as one view has it.
+/// An entry of a view.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Member {
-    /// Its record.
+    /// The member's record.
     pub record: MemberRecord,
-    /// Since when it is in this state, on the clock of the view's owner.
+    /// The time at which the view's owner first saw the member in this state, on the owner's clock.
     pub since: Micros,
 }
 
-/// The view that one member has of the fleet.
+/// One member's view of the fleet.
 #[derive(Clone, Debug, Default)]
 pub struct View {
     members: BTreeMap<MemberId, Member>,
@@ -92,52 +94,55 @@
 }
 
 impl View {
-    /// What is known of a member.
+    /// Returns the entry of a member, if the member is known.
     pub fn get(&self, id: MemberId) -> Option<&Member> {
         self.members.get(&id)
     }
 
-    /// All known members, by id.
+    /// Returns all known members in the order of their ids.
     pub fn members(&self) -> impl Iterator<Item = &Member> {
         self.members.values()
     }
 
-    /// The live members, by id.
+    /// Returns the live members in the order of their ids.
     pub fn live(&self) -> impl Iterator<Item = &Member> {
         self.members.values().filter(|member| member.record.state.is_live())
     }
 
-    /// How many members are live.
+    /// Returns the number of live members.
     pub fn live_count(&self) -> usize {
         self.live_count
     }
 
-    /// How many members are known.
+    /// Returns the number of known members, in any state.
     pub fn known_count(&self) -> usize {
         self.members.len()
     }
 
-    /// Grows with each version of each member: of two views of one fleet the one with the higher version knows more.
+    /// Returns the view's version, which grows with the version of each record. Of two views of the same fleet, the one
+    /// with the higher version is more recent.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// Equal where two views have the same records, suspicions aside: each member has its own.
+    /// Returns a hash over all records: two views with the same records have the same digest. Suspicions are not hashed,
+    /// as each member has its own.
     pub fn digest(&self) -> u64 {
         self.bucket_hashes.iter().fold(0, |digest, hash| digest.rotate_left(5) ^ hash)
     }
 
-    /// The digest of each bucket.
+    /// Returns the digest of each bucket.
     pub fn bucket_digests(&self) -> [u32; BUCKETS] {
         self.bucket_hashes.map(|hash| (hash >> 32) as u32 ^ hash as u32)
     }
 
-    /// The records of one bucket.
+    /// Returns the records of one bucket.
     pub fn bucket(&self, bucket: usize) -> impl Iterator<Item = &MemberRecord> {
         let records = self.members.values().map(|member| &member.record);
         records.filter(move |record| bucket_of(record.id) == bucket)
     }
 
+    /// Inserts or replaces the record of a member. Updates the version, the bucket hashes and the live count.
     pub(crate) fn put(&mut self, record: MemberRecord, now: Micros) {
         let previous = self.members.get(&record.id).copied();
         let same_state = previous.filter(|previous| previous.record.state == record.state);
--- a/crates/membership/src/wire.rs
+++ b/crates/membership/src/wire.rs
@@ -1,8 +1,9 @@
-//! The messages: one datagram each, within the size that datagrams between gateways have. Numbers are big-endian.
+//! The message format. Each message is one datagram of at most [`MAX_MESSAGE_LENGTH`] bytes, which fits the datagrams
+//! between gateways. Integers are big-endian.
 //!
-//! A message is its kind (1 byte), a nonce (4), the sender's digest (8), the fields of the kind, then records to the end.
-//! A record is id (2), state with the address's family (1), version (4), incarnation (8), reporter (2), address (6 or
-//! 18), and in a page of the view for how long the state has held (8).
+//! A message consists of its kind (1 byte), a nonce (4), the sender's digest (8), the fields of the kind, and records up
+//! to the end. A record consists of id (2), state with the address family (1), version (4), incarnation (8), reporter
+//! (2) and address (6 or 18). In a [`Kind::ViewPage`], the time for which the member has been in its state follows (8).
 
 mod decode;
 mod encode;
@@ -11,22 +12,22 @@
 use crate::{MemberId, Micros};
 use std::net::SocketAddr;
 
-/// Bytes of a message at most.
+/// Maximum length of an encoded message, in bytes.
 pub const MAX_MESSAGE_LENGTH: usize = 256;
 
-/// Kind, nonce and digest.
+/// Length of kind, nonce and digest, in bytes.
 const HEADER_LENGTH: usize = 1 + 4 + 8;
-/// A record without its address.
+/// Length of a record without its address, in bytes.
 const RECORD_FIELDS_LENGTH: usize = 2 + 1 + 4 + 8 + 2;
 const IPV4_ADDRESS_LENGTH: usize = 4 + 2;
 const IPV6_ADDRESS_LENGTH: usize = 16 + 2;
-/// How long a state has held.
+/// Length of the duration after each record of a view page, in bytes.
 const DURATION_LENGTH: usize = 8;
 const VIEW_SUMMARY_LENGTH: usize = 2 + 8 + 2 + 2 + 1 + 8 + 2;
-/// The bit of a record's state byte that says that its address is IPv6.
+/// Bit of a record's state byte that is set if the record's address is IPv6.
 const IPV6_BIT: u8 = 0x80;
 
-/// Codes of the kinds of messages.
+/// Codes of the message kinds.
 mod code {
     pub(super) const PING: u8 = 1;
     pub(super) const ACK: u8 = 2;
@@ -39,13 +40,13 @@
     pub(super) const VIEW_PAGE: u8 = 9;
 }
 
-/// Why a message cannot be decoded.
+/// The error of a message that cannot be decoded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("message of a member, byte {at}: expected {expected}")]
+#[error("malformed membership message at byte {at}: expected {expected}")]
 pub struct Malformed {
-    /// The offset of the offending byte.
+    /// The offset of the malformed field, or the length of the message if it is truncated.
     pub at: usize,
-    /// What should be there.
+    /// A description of what is valid at the offset.
     pub expected: &'static str,
 }
 
@@ -56,27 +57,28 @@
     Ping,
     /// The answer to a direct probe.
     Ack,
-    /// Asks the receiver to probe another member for the sender.
+    /// A request to the receiver to probe another member for the sender.
     PingRequest {
         /// The member to probe.
         target: MemberId,
-        /// Its address.
+        /// The address of the member to probe.
         address: SocketAddr,
     },
-    /// The target of a [`Kind::PingRequest`] has answered.
+    /// Reports that the target of a [`Kind::PingRequest`] has answered.
     IndirectAck,
-    /// The target of a [`Kind::PingRequest`] has not answered in time; the sender itself is alive.
+    /// Reports that the target of a [`Kind::PingRequest`] has not answered in time. It also shows that the sender, the
+    /// intermediary, is alive.
     IndirectNack,
     /// The digests of the sender's buckets.
     Digests {
-        /// Whether the receiver is to send its own digests.
+        /// Whether the receiver has to answer with its own digests.
         reply_requested: bool,
-        /// One for each bucket.
+        /// The digest of each bucket.
         digests: [u32; BUCKETS],
     },
-    /// Only records.
+    /// Carries records only.
     Records,
-    /// An observer asks for a page of the view.
+    /// An observer's request for a page of the view.
     ViewRequest {
         /// The first id of the page.
         from: MemberId,
@@ -85,46 +87,48 @@
     ViewPage(ViewSummary),
 }
 
-/// What is said of a view besides its records.
+/// The properties of a view that each [`Kind::ViewPage`] carries beside the records.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ViewSummary {
-    /// Whose view it is.
+    /// The member whose view it is.
     pub owner: MemberId,
     /// The view's version.
     pub version: u64,
-    /// How many members are live.
+    /// Number of live members.
     pub live_count: u16,
-    /// Among how many a majority is counted.
+    /// Number of voters, the members that count towards a majority.
     pub voter_count: u16,
-    /// A [`PartitionStatus`](crate::PartitionStatus) as a number: 0 complete, 1 majority, 2 no quorum.
+    /// The [`PartitionStatus`](crate::PartitionStatus) as a number: 0 complete, 1 majority, 2 no quorum.
     pub partition_status: u8,
-    /// How long a death may take to show in it.
+    /// Maximum time from the death of a member until the view shows it, in microseconds.
     pub detection_bound: Micros,
-    /// The id at which the next page begins; none after the last page.
+    /// The id at which the next page begins. `None`: this is the last page.
     pub next: Option<MemberId>,
 }
 
-/// A message.
+/// A message of the membership protocol.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Message {
-    /// Its kind.
+    /// The kind of the message, with the fields of the kind.
     pub kind: Kind,
-    /// Identifies a probe or request; its answer has the same.
+    /// Identifies a probe or request. Its answer carries the same nonce.
     pub nonce: u32,
     /// The digest of the sender's view.
     pub digest: u64,
-    /// Records, with how long each state has held in a [`Kind::ViewPage`], else 0.
+    /// Records. In a [`Kind::ViewPage`], each with the time in microseconds for which the member has been in its state;
+    /// in other messages with 0.
     pub records: Vec<(MemberRecord, Micros)>,
 }
 
 impl Message {
-    /// A message without records.
+    /// Creates a message without records.
     pub fn new(kind: Kind, nonce: u32, digest: u64) -> Message {
         Message { kind, nonce, digest, records: Vec::new() }
     }
 
-    /// Adds a record, with how long its state has held. Returns false, and adds nothing, if the message would get too
-    /// long.
+    /// Adds a record. `held_for` is the time in microseconds for which the member has been in its state; it is encoded
+    /// only in a [`Kind::ViewPage`]. Returns false, and adds nothing, if the message would exceed
+    /// [`MAX_MESSAGE_LENGTH`].
     pub fn add(&mut self, record: MemberRecord, held_for: Micros) -> bool {
         let records_length: usize = self.records.iter().map(|(record, _)| self.record_length(record)).sum();
         let length = self.fields_length() + records_length + self.record_length(&record);
@@ -135,7 +139,7 @@
         fits
     }
 
-    /// Bytes without the records.
+    /// Returns the length of the encoded message without its records, in bytes.
     fn fields_length(&self) -> usize {
         HEADER_LENGTH
             + match self.kind {
@@ -147,12 +151,13 @@
             }
     }
 
+    /// Returns the length of one encoded record, in bytes.
     fn record_length(&self, record: &MemberRecord) -> usize {
         let duration_length = if self.has_durations() { DURATION_LENGTH } else { 0 };
         RECORD_FIELDS_LENGTH + address_length(&record.address) + duration_length
     }
 
-    /// Whether each record carries how long its state has held.
+    /// Returns true if each record is followed by the time for which the member has been in its state.
     fn has_durations(&self) -> bool {
         matches!(self.kind, Kind::ViewPage(_))
     }
--- a/crates/membership/src/wire/decode.rs
+++ b/crates/membership/src/wire/decode.rs
@@ -1,4 +1,4 @@
-//! Bytes to messages.
+//! Decoding of messages.
 
 use super::{code, Kind, Malformed, Message, ViewSummary, IPV6_BIT, MAX_MESSAGE_LENGTH};
 use crate::view::{MemberRecord, MemberState, BUCKETS, VERSION_LIMIT};
@@ -9,10 +9,11 @@
     /// Decodes a message.
     ///
     /// # Errors
-    /// The first offset at which the bytes are no message, and what should be there.
+    /// Returns the offset of the first malformed field and a description of what is valid there, if the bytes are
+    /// truncated, longer than [`MAX_MESSAGE_LENGTH`], or contain a value out of range.
     pub fn decode(bytes: &[u8]) -> Result<Message, Malformed> {
         if bytes.len() > MAX_MESSAGE_LENGTH {
-            return Err(Malformed { at: MAX_MESSAGE_LENGTH, expected: "its end" });
+            return Err(Malformed { at: MAX_MESSAGE_LENGTH, expected: "the end of the message" });
         }
         let mut reader = Reader { bytes, at: 0 };
         let code = reader.u8()?;
@@ -52,10 +53,10 @@
 
 impl Reader<'_> {
     fn take<const N: usize>(&mut self) -> Result<[u8; N], Malformed> {
-        let part = self.bytes.get(self.at..self.at + N).and_then(|part| <[u8; N]>::try_from(part).ok());
-        let part = part.ok_or(Malformed { at: self.bytes.len(), expected: "more bytes" })?;
+        let field = self.bytes.get(self.at..self.at + N).and_then(|field| <[u8; N]>::try_from(field).ok());
+        let field = field.ok_or(Malformed { at: self.bytes.len(), expected: "more bytes" })?;
         self.at += N;
-        Ok(part)
+        Ok(field)
     }
 
     fn u8(&mut self) -> Result<u8, Malformed> {
@@ -105,7 +106,7 @@
             code::RECORDS => Ok(Kind::Records),
             code::VIEW_REQUEST => Ok(Kind::ViewRequest { from: self.u16()? }),
             code::VIEW_PAGE => Ok(Kind::ViewPage(self.summary()?)),
-            _ => Err(Malformed { at: 0, expected: "a kind from 1 to 9" }),
+            _ => Err(Malformed { at: 0, expected: "a message kind from 1 to 9" }),
         }
     }
 
@@ -130,14 +131,14 @@
             1 => MemberState::Suspect,
             2 => MemberState::Dead,
             3 => MemberState::Left,
-            _ => return Err(Malformed { at: self.at - 1, expected: "a state from 0 to 3" }),
+            _ => return Err(Malformed { at: self.at - 1, expected: "a member state from 0 to 3" }),
         };
         let version = self.u32()?;
-        let parity_fits = (version % 2 == 0) == state.is_live();
-        if version >= VERSION_LIMIT || !parity_fits {
+        let parity_matches_state = (version % 2 == 0) == state.is_live();
+        if version >= VERSION_LIMIT || !parity_matches_state {
             return Err(Malformed {
                 at: self.at - 4,
-                expected: "a version, even while live, odd afterwards",
+                expected: "a version below 2^30, even for a live member, odd for a dead or left one",
             });
         }
         let incarnation = self.u64()?;
--- a/crates/membership/src/wire/encode.rs
+++ b/crates/membership/src/wire/encode.rs
@@ -1,4 +1,4 @@
-//! Messages to bytes.
+//! Encoding of messages.
 
 use super::{code, Kind, Message, ViewSummary, IPV6_BIT, MAX_MESSAGE_LENGTH};
 use crate::view::MemberRecord;
@@ -6,7 +6,7 @@
 use std::net::{IpAddr, SocketAddr};
 
 impl Message {
-    /// Its bytes.
+    /// Encodes the message.
     pub fn encode(&self) -> Vec<u8> {
         let mut out = Vec::with_capacity(MAX_MESSAGE_LENGTH);
         out.push(self.kind.code());
