--- a/crates/membership/tests/fleet.rs
+++ b/crates/membership/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! Fleets of 3, 8, 24 and 300 members on a simulated network.
+//! Fleets of 3 to 300 members on a simulated network.
 
 use chalkgap_membership::view::MemberRecord;
 use chalkgap_membership::wire::{Kind, Message};
@@ -8,13 +8,13 @@
 use std::net::SocketAddr;
 
 mod simulated_network;
-use simulated_network::{address_of, Network, Sent, PROTOCOL_PERIOD, SECOND};
+use simulated_network::{address_of, Network, SentTotals, PROTOCOL_PERIOD, SECOND};
 
 fn seconds(micros: Micros) -> f64 {
     micros as f64 / 1e6
 }
 
-/// A quantile of durations, in seconds.
+/// Returns a quantile of durations, in seconds.
 fn quantile(durations: &mut [Micros], quantile: f64) -> f64 {
     durations.sort_unstable();
     seconds(durations[((durations.len() - 1) as f64 * quantile) as usize])
@@ -28,26 +28,29 @@
         for seed in 0..seeds {
             let mut network = Network::with_members(seed, count);
             bound = network.member(0).detection_bound(1);
-            let victims: Vec<MemberId> = if count == 300 { (100..108).collect() } else { vec![count / 2] };
+            let killed: Vec<MemberId> = if count == 300 { (100..108).collect() } else { vec![count / 2] };
             let start = network.now;
-            network.kill(&victims);
-            let survivors = usize::from(count) - victims.len();
-            let done = |network: &Network| {
-                victims.iter().all(|victim| network.death_reports(*victim, start).len() == survivors)
+            network.kill(&killed);
+            let live_count = usize::from(count) - killed.len();
+            let is_detected_by_all = |network: &Network| {
+                killed.iter().all(|id| network.death_reports(*id, start).len() == live_count)
             };
-            network
-                .run_until(start + bound, done)
-                .unwrap_or_else(|| panic!("{count} members, seed {seed}: not in {bound}"));
-            for victim in &victims {
-                detection_times.extend(network.death_reports(*victim, start).into_values());
+            network.run_until(start + bound, is_detected_by_all).unwrap_or_else(|| {
+                panic!("{count} members, seed {seed}: a death was not detected by all within {bound} us")
+            });
+            for id in &killed {
+                detection_times.extend(network.death_reports(*id, start).into_values());
             }
             network.run(10 * SECOND);
-            assert_eq!(network.ever_dead(), victims, "and no other member");
-            assert_eq!(network.agreed_live_count(), Some(survivors));
+            assert_eq!(network.ever_reported_dead(), killed, "only the killed members are reported dead");
+            assert_eq!(network.agreed_live_count(), Some(live_count));
         }
         let p50 = quantile(&mut detection_times, 0.5);
         let p99 = quantile(&mut detection_times, 0.99);
-        println!("{count} members: p50 {p50:.2} s, p99 {p99:.2} s, bound {:.2} s", seconds(bound));
+        println!(
+            "{count} members: death detected after p50 {p50:.2} s, p99 {p99:.2} s, bound {:.2} s",
+            seconds(bound)
+        );
     }
 }
 
@@ -58,32 +61,36 @@
         let bound = network.member(0).detection_bound(usize::from(count / 2));
         let start = network.now;
         network.kill(&(0..count).filter(|id| id % 2 == 1).collect::<Vec<_>>());
-        let survivors = usize::from(count / 2);
-        let done = |network: &Network| {
-            network.nodes.values().all(|node| node.member.view().live_count() == survivors)
+        let live_count = usize::from(count / 2);
+        let is_detected_by_all = |network: &Network| {
+            network.nodes.values().all(|node| node.member.view().live_count() == live_count)
         };
-        let took = network
-            .run_until(start + bound, done)
-            .unwrap_or_else(|| panic!("{count} members: not in {bound}"));
-        println!("half of {count}: {:.2} s, bound {:.2} s", took as f64 / 1e6, seconds(bound));
+        let elapsed = network
+            .run_until(start + bound, is_detected_by_all)
+            .unwrap_or_else(|| panic!("{count} members: half were not detected as dead within {bound} us"));
+        println!(
+            "death of half of {count} members detected after {:.2} s, bound {:.2} s",
+            seconds(elapsed),
+            seconds(bound)
+        );
     }
 }
 
 #[test]
-fn bytes_and_messages_are_the_same_at_any_size() {
+fn bytes_sent_per_member_do_not_grow_with_the_fleet() {
     const MEASURED_SECONDS: f64 = 20.0;
     let mut mean_bytes = Vec::new();
     for count in [3, 24, 300] {
         let mut network = Network::with_members(5, count);
-        network.nodes.values_mut().for_each(|node| node.sent = Sent::default());
+        network.nodes.values_mut().for_each(|node| node.sent = SentTotals::default());
         network.run(20 * SECOND);
-        let sent: Vec<Sent> = network.nodes.values().map(|node| node.sent).collect();
+        let sent: Vec<SentTotals> = network.nodes.values().map(|node| node.sent).collect();
         let max_messages = sent.iter().map(|sent| sent.messages).max().unwrap();
         let max_bytes = sent.iter().map(|sent| sent.bytes).max().unwrap();
         let total_bytes: u64 = sent.iter().map(|sent| sent.bytes).sum();
         let mean = total_bytes as f64 / MEASURED_SECONDS / f64::from(count);
         println!(
-            "{count} members: at most {:.1} messages a second, {:.0} bytes; mean {mean:.0} bytes",
+            "{count} members: at most {:.1} messages/s and {:.0} bytes/s per member, mean {mean:.0} bytes/s",
             max_messages as f64 / MEASURED_SECONDS,
             max_bytes as f64 / MEASURED_SECONDS,
         );
@@ -98,7 +105,7 @@
         let mut network = Network::with_members(7, count);
         network.loss = 0.2;
         network.run(120 * SECOND);
-        assert_eq!(network.ever_dead(), [], "{count} members");
+        assert_eq!(network.ever_reported_dead(), [], "{count} members");
         network.loss = 0.0;
         network.run(20 * SECOND);
         assert_eq!(network.agreed_live_count(), Some(usize::from(count)));
@@ -111,7 +118,7 @@
         let mut network = Network::with_members(seed, 8);
         network.starved = Some(address_of(3));
         network.run(120 * SECOND);
-        assert_eq!(network.ever_dead(), [], "seed {seed}");
+        assert_eq!(network.ever_reported_dead(), [], "seed {seed}");
     }
 }
 
@@ -120,11 +127,12 @@
     let mut network = Network::with_members(11, 24);
     network.partition = Box::new(|a, b| a % 3 != b % 3);
     network.run(60 * SECOND);
-    let parts: BTreeSet<usize> = network.nodes.values().map(|node| node.member.view().live_count()).collect();
-    assert_eq!(parts, BTreeSet::from([8]), "each side has its own third");
+    let live_counts: BTreeSet<usize> =
+        network.nodes.values().map(|node| node.member.view().live_count()).collect();
+    assert_eq!(live_counts, BTreeSet::from([8]), "each member sees only its own third as live");
     assert!(
         (0..24).all(|id| network.partition_status(id) == PartitionStatus::NoQuorum),
-        "and knows that it has no quorum"
+        "each member reports no quorum"
     );
     network.partition = Box::new(|a, b| a % 3 != b % 3 && (a % 3 == 2 || b % 3 == 2));
     network.run(40 * SECOND);
@@ -132,8 +140,11 @@
     assert_eq!(network.partition_status(2), PartitionStatus::NoQuorum);
     network.partition = Box::new(|_, _| false);
     let start = network.now;
-    let took = network.run_until(start + 30 * SECOND, |network| network.agreed_live_count() == Some(24));
-    println!("24 members after a partition in three: {:.2} s", seconds(took.expect("all agree")));
+    let elapsed = network.run_until(start + 30 * SECOND, |network| network.agreed_live_count() == Some(24));
+    println!(
+        "partition of 24 members in three healed in {:.2} s",
+        seconds(elapsed.expect("all views agree"))
+    );
     assert!((0..24).all(|id| network.partition_status(id) == PartitionStatus::Complete));
 }
 
@@ -146,8 +157,11 @@
     assert_eq!(network.member(7).view().live_count(), 150);
     network.partition = Box::new(|_, _| false);
     let start = network.now;
-    let took = network.run_until(start + 60 * SECOND, |network| network.agreed_live_count() == Some(300));
-    println!("300 members after a partition in halves: {:.2} s", seconds(took.expect("all agree")));
+    let elapsed = network.run_until(start + 60 * SECOND, |network| network.agreed_live_count() == Some(300));
+    println!(
+        "partition of 300 members in halves healed in {:.2} s",
+        seconds(elapsed.expect("all views agree"))
+    );
 }
 
 #[test]
@@ -155,76 +169,77 @@
     let mut network = Network::with_members(17, 5);
     network.partition = Box::new(|a, b| (a, b) == (0, 1));
     network.run(120 * SECOND);
-    assert_eq!(network.ever_dead(), []);
+    assert_eq!(network.ever_reported_dead(), []);
 }
 
 #[test]
-fn a_member_that_a_single_other_reaches_is_not_declared_dead() {
+fn a_member_that_only_one_other_can_reach_is_not_declared_dead() {
     let mut network = Network::with_members(19, 8);
     network.partition = Box::new(|a, b| (a == 5 && b != 2) || (b == 5 && a != 2));
     network.run(120 * SECOND);
-    assert_eq!(network.ever_dead(), []);
+    assert_eq!(network.ever_reported_dead(), []);
 }
 
 #[test]
-fn a_stopped_member_is_declared_dead_and_is_alive_again_once_it_resumes() {
+fn a_stopped_member_is_declared_dead_and_rejoins_once_it_resumes() {
     let mut network = Network::with_members(23, 5);
     network.node(address_of(3)).stopped_until = network.now + 30 * SECOND;
     network.run(29 * SECOND);
-    assert_eq!(network.ever_dead(), [3]);
+    assert_eq!(network.ever_reported_dead(), [3]);
     let start = network.now;
     network.run(2 * SECOND);
-    let took = network
+    let elapsed = network
         .run_until(start + 30 * SECOND, |network| network.agreed_live_count() == Some(5))
-        .expect("all agree");
-    println!("resumed after 30 s: {:.2} s", seconds(took + 2 * SECOND));
-    assert_eq!(network.ever_dead(), [3], "it declared no member dead on resuming");
+        .expect("all views agree");
+    println!("member stopped for 30 s rejoined in {:.2} s", seconds(elapsed + 2 * SECOND));
+    assert_eq!(network.ever_reported_dead(), [3], "the resumed member declared no other member dead");
 }
 
 #[test]
-fn members_that_all_restart_at_once_are_one_fleet_again() {
+fn members_that_all_restart_at_once_form_one_fleet() {
     let mut network = Network::with_members(29, 8);
     network.kill(&[0, 1, 2, 3, 4, 5, 6, 7]);
     network.run(SECOND);
     (0..8).for_each(|id| network.start(id, address_of(id)));
     let start = network.now;
-    let took = network
+    let elapsed = network
         .run_until(start + 20 * SECOND, |network| network.agreed_live_count() == Some(8))
-        .expect("all agree");
-    println!("all killed and started: {:.2} s", seconds(took));
+        .expect("all views agree");
+    println!("8 restarted members formed a fleet in {:.2} s", seconds(elapsed));
 }
 
 #[test]
-fn a_replacement_takes_the_id_and_the_old_process_is_superseded() {
+fn a_new_process_with_the_same_id_supersedes_the_old_one() {
     let mut network = Network::with_members(31, 5);
-    let other: SocketAddr = ([10, 0, 0, 3], 7001).into();
-    network.start(3, other);
+    let new_address: SocketAddr = ([10, 0, 0, 3], 7001).into();
+    network.start(3, new_address);
     network.run(20 * SECOND);
     let mut old_process_events = network.reported.iter().filter(|reported| reported.by == address_of(3));
     assert!(
         old_process_events.any(|reported| reported.event == Event::Superseded),
-        "the old process is notified"
+        "the old process reports that it is superseded"
     );
     network.nodes.remove(&address_of(3));
     assert_eq!(network.agreed_live_count(), Some(5));
-    assert_eq!(network.member(0).view().get(3).unwrap().record.address, other);
-    assert_eq!(network.ever_dead(), []);
+    assert_eq!(network.member(0).view().get(3).unwrap().record.address, new_address);
+    assert_eq!(network.ever_reported_dead(), []);
 }
 
-/// Messages for the dead member arrive at the live one that has its address now, and are ignored.
+/// A new member with another id starts at the address of a dead member. Messages to the dead member arrive at the new
+/// one and are ignored.
 #[test]
-fn a_member_that_starts_at_the_address_of_a_dead_one_is_not_taken_for_it() {
+fn a_member_at_the_address_of_a_dead_one_is_not_mistaken_for_it() {
     let mut network = Network::with_members(33, 6);
     network.kill(&[3]);
     network.start(9, address_of(3));
     network.run(30 * SECOND);
-    assert_eq!((network.agreed_live_count(), network.ever_dead()), (Some(6), vec![3]));
-    // The dead member restarts elsewhere.
+    assert_eq!((network.agreed_live_count(), network.ever_reported_dead()), (Some(6), vec![3]));
+    // The dead member restarts at another address.
     network.start(3, ([10, 0, 0, 9], 7000).into());
     let start = network.now;
     network
         .run_until(start + 20 * SECOND, |network| network.agreed_live_count() == Some(7))
-        .expect("all agree");
+        .expect("all views agree");
 }
 
 #[test]
@@ -235,10 +250,10 @@
         network.run(SECOND / 10);
     }
     let start = network.now;
-    let took = network
+    let elapsed = network
         .run_until(start + 20 * SECOND, |network| network.agreed_live_count() == Some(20))
-        .expect("all agree");
-    println!("ten joined: {:.2} s", seconds(took));
+        .expect("all views agree");
+    println!("ten new members known to all in {:.2} s", seconds(elapsed));
     for id in 10..20 {
         let now = network.now;
         network.node(address_of(id)).member.leave(now);
@@ -251,13 +266,13 @@
     assert_eq!(network.agreed_live_count(), Some(8));
     let view = network.member(0).view();
     let state = |id: MemberId| view.get(id).unwrap().record.state;
-    assert!((10..20).all(|id| state(id) == MemberState::Left), "a member that left is not dead");
+    assert!((10..20).all(|id| state(id) == MemberState::Left), "members that left are not declared dead");
     assert_eq!((state(4), state(5)), (MemberState::Dead, MemberState::Dead));
     assert_eq!(network.partition_status(0), PartitionStatus::Majority);
 }
 
 #[test]
-fn dead_seeds_do_no_harm_once_one_was_reached() {
+fn one_live_seed_is_enough_to_join() {
     let mut network = Network::with_members(41, 6);
     network.kill(&[0, 1, 2]);
     network.run(30 * SECOND);
@@ -267,40 +282,41 @@
     assert_eq!(
         network.partition_status(9),
         PartitionStatus::NoQuorum,
-        "a member that reaches no other is not a fleet by itself"
+        "a member that has reached no seed has no quorum"
     );
     network.start(1, address_of(1));
     let start = network.now;
     network
         .run_until(start + 20 * SECOND, |network| network.agreed_live_count() == Some(5))
-        .expect("one seed is enough");
+        .expect("all views agree after one seed has restarted");
 }
 
-/// A member with the key sends in every protocol period that all others are suspected, dead or have left.
+/// In every protocol period a member that holds the key sends forged records by which all others are suspected, dead or
+/// have left.
 #[test]
-fn a_member_that_lies_cannot_have_others_declared_dead() {
-    const LIAR: MemberId = 7;
+fn forged_records_do_not_get_members_declared_dead() {
+    const FORGER: MemberId = 7;
     let mut network = Network::with_members(43, 8);
     for _ in 0..120 {
         let records: Vec<MemberRecord> =
             network.member(0).view().members().map(|member| member.record).collect();
         for state in [MemberState::Suspect, MemberState::Dead, MemberState::Left] {
-            let mut lie = Message::new(Kind::Records, 0, 1);
-            for record in records.iter().filter(|record| record.id != LIAR) {
+            let mut forged = Message::new(Kind::Records, 0, 1);
+            for record in records.iter().filter(|record| record.id != FORGER) {
                 let version = record.version / 2 * 2 + u32::from(state != MemberState::Suspect);
-                lie.add(MemberRecord { state, version, reported_by: LIAR, ..*record }, 0);
+                forged.add(MemberRecord { state, version, reported_by: FORGER, ..*record }, 0);
             }
-            (0..LIAR).for_each(|id| network.forge(LIAR, id, lie.encode()));
+            (0..FORGER).for_each(|id| network.forge(FORGER, id, forged.encode()));
         }
         network.run(PROTOCOL_PERIOD);
     }
-    assert_eq!(network.ever_dead(), []);
-    assert_eq!(network.ever_reported(MemberState::Left), [], "nor to have left");
+    assert_eq!(network.ever_reported_dead(), [], "no member is reported dead");
+    assert_eq!(network.ever_reported(MemberState::Left), [], "no member is reported to have left");
     network.run(10 * SECOND);
     assert_eq!(network.agreed_live_count(), Some(8));
 }
 
-/// All datagrams of a while arrive again after one member has died and another has restarted.
+/// Datagrams recorded over 5 seconds are delivered again after one member has died and another has restarted.
 #[test]
 fn replayed_messages_change_nothing() {
     let mut network = Network::with_members(47, 5);
@@ -355,9 +371,10 @@
         }
     }
 
-    /// Whatever a member with the key sends: no panic, no more messages than the limit, a bounded view.
+    /// A member that receives arbitrary bytes and records from a holder of the key does not panic, stays within its
+    /// message rate and keeps its view within `max_members`.
     #[test]
-    fn any_bytes_and_any_records(
+    fn arbitrary_bytes_and_records_cause_no_panic_and_stay_within_the_limits(
         messages in proptest::collection::vec((any::<u16>(), proptest::collection::vec(any::<u8>(), 0..260)), 0..50),
         records in proptest::collection::vec(any_record(), 0..50),
     ) {
@@ -378,6 +395,6 @@
         }
         prop_assert!(member.view().known_count() <= 1000);
         let sent = std::iter::from_fn(|| member.poll_transmit()).count();
-        prop_assert!(sent <= 41, "{}", sent);
+        prop_assert!(sent <= 41, "{} messages sent, at most 41 expected", sent);
     }
 }
--- a/crates/membership/tests/recorded_messages.rs
+++ b/crates/membership/tests/recorded_messages.rs
@@ -1,4 +1,4 @@
-//! Every kind of message is the bytes that earlier versions wrote, and is read back from them.
+//! Messages of every kind encode to the bytes that earlier versions wrote, and decode from them.
 
 use chalkgap_membership::view::{MemberRecord, MemberState, BUCKETS};
 use chalkgap_membership::wire::{Kind, Message, ViewSummary};
@@ -7,8 +7,8 @@
 mod recorded;
 
 fn messages() -> Vec<(&'static str, Message)> {
-    let four = "127.0.0.1:7946".parse().unwrap();
-    let six = "[2001:db8::7]:7947".parse().unwrap();
+    let ipv4 = "127.0.0.1:7946".parse().unwrap();
+    let ipv6 = "[2001:db8::7]:7947".parse().unwrap();
     let record = |id, state, version, address| MemberRecord {
         id,
         state,
@@ -18,10 +18,10 @@
         reported_by: 3,
     };
     let records = [
-        record(1, MemberState::Alive, 0, four),
-        record(2, MemberState::Suspect, 2, six),
-        record(300, MemberState::Dead, 5, four),
-        record(65_533, MemberState::Left, 7, six),
+        record(1, MemberState::Alive, 0, ipv4),
+        record(2, MemberState::Suspect, 2, ipv6),
+        record(300, MemberState::Dead, 5, ipv4),
+        record(65_533, MemberState::Left, 7, ipv6),
     ];
     let mut digests = [0; BUCKETS];
     for (index, digest) in (0u32..).zip(&mut digests) {
@@ -39,8 +39,8 @@
     let kinds = [
         ("ping", Kind::Ping),
         ("acknowledgement", Kind::Ack),
-        ("indirect ping, IPv4", Kind::PingRequest { target: 5, address: four }),
-        ("indirect ping, IPv6", Kind::PingRequest { target: 6, address: six }),
+        ("indirect ping, IPv4", Kind::PingRequest { target: 5, address: ipv4 }),
+        ("indirect ping, IPv6", Kind::PingRequest { target: 6, address: ipv6 }),
         ("indirect answer", Kind::IndirectAck),
         ("indirect silence", Kind::IndirectNack),
         ("digests", Kind::Digests { reply_requested: true, digests }),
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn messages_are_the_bytes_that_were_recorded() {
+fn messages_encode_to_the_recorded_bytes_and_decode_from_them() {
     let messages = messages();
     let bytes: Vec<(&str, Vec<u8>)> =
         messages.iter().map(|(name, message)| (*name, message.encode())).collect();
--- a/crates/membership/tests/simulated_network/mod.rs
+++ b/crates/membership/tests/simulated_network/mod.rs
@@ -1,4 +1,4 @@
-//! Members on a network in memory, with a simulated clock.
+//! Members on an in-memory network with a simulated clock.
 
 use chalkgap_membership::{
     Config, Event, MemberId, MemberState, Membership, Micros, PartitionStatus, ANY_MEMBER,
@@ -11,66 +11,67 @@
 
 pub const PROTOCOL_PERIOD: Micros = 500_000;
 pub const SECOND: Micros = 1_000_000;
-/// Bytes that the datagram's own header and hash add to a message.
+/// Bytes that the header and the hash of a datagram add to a message.
 const DATAGRAM_OVERHEAD: u64 = 53;
 const CLOCK_STEP: Micros = 10_000;
 
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Datagram {
-    /// When it arrives, and its sequence number; reversed, as the heap pops the greatest first.
+    /// The time of arrival and the sequence number, reversed because the heap pops the greatest element first.
     arrival: Reverse<(Micros, u64)>,
     from: MemberId,
     source: SocketAddr,
-    /// To whom it is sealed: another member does not open it.
+    /// The member for which the datagram is sealed. Other members cannot open it.
     recipient: MemberId,
     to: SocketAddr,
     bytes: Vec<u8>,
 }
 
+/// Totals of the messages that a node has sent. Bytes include [`DATAGRAM_OVERHEAD`].
 #[derive(Default, Clone, Copy)]
-pub struct Sent {
+pub struct SentTotals {
     pub messages: u64,
     pub bytes: u64,
 }
 
 pub struct Node {
     pub member: Membership,
-    /// Its process is stopped until then: it receives nothing, and its timeouts do not run.
+    /// The process is stopped until this time: it receives nothing, and its timeouts do not run.
     pub stopped_until: Micros,
-    pub sent: Sent,
+    pub sent: SentTotals,
 }
 
-/// An event of a member.
-pub struct Reported {
+/// An event that a member emitted.
+pub struct ReportedEvent {
     pub at: Micros,
     pub by: SocketAddr,
     pub event: Event,
 }
 
-/// Whether datagrams from one member to another are lost.
+/// Returns true if datagrams from the first member to the second are lost.
 type Partition = Box<dyn Fn(MemberId, MemberId) -> bool>;
 
 pub struct Network {
     pub now: Micros,
     rng: SmallRng,
-    /// The share of datagrams that are lost.
+    /// The fraction of datagrams that are lost, from 0 to 1.
     pub loss: f64,
     pub partition: Partition,
     pub in_flight: BinaryHeap<Datagram>,
     sequence: u64,
-    /// By address: an old process and its replacement may both live.
+    /// The running processes by address, as an old process and its replacement with the same id may run at once.
     pub nodes: BTreeMap<SocketAddr, Node>,
-    pub reported: Vec<Reported>,
-    /// A process that runs for a tenth of the time, in slices.
+    pub reported: Vec<ReportedEvent>,
+    /// A process that gets a tenth of the CPU time: it runs for 50 ms of each 500 ms.
     pub starved: Option<SocketAddr>,
 }
 
-/// The address of the member with an id.
+/// Returns the address of the member with an id.
 pub fn address_of(id: MemberId) -> SocketAddr {
     ([10, 0, (id >> 8) as u8, id as u8], 7000).into()
 }
 
-/// The id that belongs to an address.
+/// Returns the id of the member with an address.
 fn id_of(address: SocketAddr) -> MemberId {
     match address.ip() {
         IpAddr::V4(ip) => u16::from_be_bytes([ip.octets()[2], ip.octets()[3]]),
@@ -93,12 +94,12 @@
         }
     }
 
-    /// A fleet whose members have all met.
+    /// Starts a fleet and runs it until all views agree.
     pub fn with_members(seed: u64, count: MemberId) -> Network {
         let mut network = Network::new(seed);
         (0..count).for_each(|id| network.start(id, address_of(id)));
         network.run(60 * SECOND);
-        assert_eq!(network.agreed_live_count(), Some(usize::from(count)), "all have met");
+        assert_eq!(network.agreed_live_count(), Some(usize::from(count)), "all members know each other");
         network
     }
 
@@ -115,7 +116,7 @@
             rng_seed: self.rng.random(),
         };
         let member = Membership::new(self.now, config);
-        self.nodes.insert(address, Node { member, stopped_until: 0, sent: Sent::default() });
+        self.nodes.insert(address, Node { member, stopped_until: 0, sent: SentTotals::default() });
     }
 
     pub fn node(&mut self, address: SocketAddr) -> &mut Node {
@@ -130,7 +131,7 @@
         self.run_until(self.now + duration, |_| false);
     }
 
-    /// Runs to a time, or until a condition holds; the time that it took.
+    /// Runs until a condition holds and returns the time that it took, or returns `None` at the time `end`.
     pub fn run_until(&mut self, end: Micros, done: impl Fn(&Network) -> bool) -> Option<Micros> {
         let start = self.now;
         while self.now < end {
@@ -180,12 +181,12 @@
         if stopped_until > now {
             return Some(stopped_until);
         }
-        // A starved process stands still for nine tenths of each half second.
+        // A starved process runs for 50 ms and is paused for 450 ms.
         let is_paused = self.starved == Some(address) && now % 500_000 >= 50_000;
         is_paused.then(|| (now / 500_000 + 1) * 500_000)
     }
 
-    /// Takes what a member sends and reports.
+    /// Puts the messages of a member on the network and records its events.
     pub fn collect(&mut self, address: SocketAddr, now: Micros) {
         let node = self.nodes.get_mut(&address).unwrap();
         let from = node.member.id();
@@ -208,7 +209,7 @@
             });
         }
         while let Some(event) = node.member.poll_event() {
-            self.reported.push(Reported { at: now, by: address, event });
+            self.reported.push(ReportedEvent { at: now, by: address, event });
         }
     }
 
@@ -217,12 +218,12 @@
         self.in_flight.push(Datagram { arrival: Reverse((arrival, self.sequence)), ..datagram });
     }
 
-    /// Delivers a datagram, perhaps a copy of an earlier one, in a millisecond.
+    /// Delivers a datagram, such as a copy of an earlier one, after a millisecond.
     pub fn inject(&mut self, datagram: Datagram) {
         self.push(self.now + 1000, datagram);
     }
 
-    /// Sends a forged message from one member to another.
+    /// Sends a message that the test has made up from one member to another.
     pub fn forge(&mut self, from: MemberId, to: MemberId, bytes: Vec<u8>) {
         self.inject(Datagram {
             arrival: Reverse((0, 0)),
@@ -234,14 +235,15 @@
         });
     }
 
-    /// How many members are live, if all views agree.
+    /// Returns the number of live members if all views agree, else `None`.
     pub fn agreed_live_count(&self) -> Option<usize> {
         let mut views = self.nodes.values().map(|node| {
             let view = node.member.view();
-            (view.digest(), view.version(), view.live_count())
+            (view.live_count(), view.digest(), view.version())
         });
         let first = views.next()?;
-        views.all(|view| view == first).then_some(first.2)
+        let (live_count, ..) = first;
+        views.all(|view| view == first).then_some(live_count)
     }
 
     pub fn kill(&mut self, ids: &[MemberId]) {
@@ -250,7 +252,8 @@
         }
     }
 
-    /// How long after `from` each living member has reported that this one is dead.
+    /// Returns, by address of the reporting process, the time from `from` until it reported the member `id` dead. Only
+    /// running processes are included.
     pub fn death_reports(&self, id: MemberId, from: Micros) -> BTreeMap<SocketAddr, Micros> {
         let mut reports = BTreeMap::new();
         for reported in self.reported.iter().filter(|reported| reported.at >= from) {
@@ -263,9 +266,9 @@
         reports
     }
 
-    /// All members that any member ever reported to be in a state.
+    /// Returns all members that any member has reported in a state since the start of the network.
     pub fn ever_reported(&self, state: MemberState) -> Vec<MemberId> {
-        let matching = |reported: &Reported| match &reported.event {
+        let matching = |reported: &ReportedEvent| match &reported.event {
             Event::MemberChanged(record) if record.state == state => Some(record.id),
             _ => None,
         };
@@ -273,7 +276,8 @@
         ids.into_iter().collect()
     }
 
-    pub fn ever_dead(&self) -> Vec<MemberId> {
+    /// Returns all members that any member has reported dead since the start of the network.
+    pub fn ever_reported_dead(&self) -> Vec<MemberId> {
         self.ever_reported(MemberState::Dead)
     }
 
