--- a/crates/transport/src/lib.rs
+++ b/crates/transport/src/lib.rs
@@ -1,9 +1,9 @@
-//! Moves bytes between streams and the state machines of protocols, for clients and servers alike. Nothing else reads or
+//! Moves bytes between streams and protocol state machines, on the client and on the server side. No other code reads or
 //! writes the streams of connections.
 //!
-//! - [`Pipe`]: a stream with its state machine, owned by one task, which others reach by a bounded channel of commands
-//! - [`Machine`]: what a protocol has to offer for that
-//! - [`unary`]: unary gRPC calls between programs of one fleet
+//! - [`Pipe`]: a stream and its state machine, owned by one task. Other tasks send it commands on a bounded channel.
+//! - [`Machine`]: the interface of a protocol state machine to a [`Pipe`]
+//! - [`unary`]: unary gRPC calls between the programs of a fleet
 
 mod linger;
 mod machine;
@@ -18,10 +18,11 @@
 pub use machine::Machine;
 pub use pipe::{Pipe, Turn};
 
-/// Runs a task until it ends, or until the other end of `life` is dropped; the task is then dropped at its next await.
-pub async fn while_alive(life: Receiver<()>, task: impl Future<Output = ()>) {
-    let dropped = async move {
-        let _ = life.recv().await; // nothing is ever sent: this ends when the sender is dropped
+/// Runs `task` until it completes or the sender of `kill` is dropped. In the second case the task is dropped at its
+/// current await point.
+pub async fn while_alive(kill: Receiver<()>, task: impl Future<Output = ()>) {
+    let killed = async move {
+        let _ = kill.recv().await; // nothing is ever sent: this returns when the sender is dropped
     };
-    future::or(dropped, task).await;
+    future::or(killed, task).await;
 }
--- a/crates/transport/src/linger.rs
+++ b/crates/transport/src/linger.rs
@@ -1,21 +1,22 @@
-//! The lingering close: the write side is shut, and what the peer still sends is discarded until it shuts its own.
+//! Lingering close: shuts the write side of a stream and discards what the peer still sends until the peer shuts its own
+//! write side.
 
 use chalkgap_runtime::Stream;
 use std::pin::Pin;
 use std::task::{Context, Poll};
 
-/// Bytes that are discarded by one read.
+/// Maximum number of bytes discarded by one read.
 const DISCARD_BYTES: usize = 16 << 10;
-/// Reads in a row before other tasks get their turn.
+/// Maximum number of consecutive reads before the task yields to other tasks.
 const READS_BEFORE_YIELD: usize = 16;
 
-/// Shuts the write side of a stream, then reads and discards until the peer has shut its own side.
+/// Shuts the write side of a stream, then reads and discards bytes until the peer has shut its write side.
 ///
-/// May be polled again after the write side is shut. Ready also when the stream has failed.
+/// It may be polled again after the write side is shut. It also returns `Ready` when the stream has failed.
 pub fn linger(stream: &mut dyn Stream, cx: &mut Context<'_>) -> Poll<()> {
     match Pin::new(&mut *stream).poll_close(cx) {
         Poll::Ready(Ok(())) => {}
-        // The stream has ended already: there is nothing to wait for.
+        // The stream has failed: there is nothing to wait for.
         Poll::Ready(Err(_)) => return Poll::Ready(()),
         Poll::Pending => return Poll::Pending,
     }
--- a/crates/transport/src/machine.rs
+++ b/crates/transport/src/machine.rs
@@ -1,22 +1,24 @@
-//! What a protocol's state machine offers to a [`Pipe`](crate::Pipe).
+//! The interface of a protocol state machine to a [`Pipe`](crate::Pipe).
 
 use bytes::BytesMut;
 use chalkgap_runtime::Micros;
 use chalkgap_wire::http2::{ConnError, Connection};
 use chalkgap_wire::mqtt;
 
-/// One side of a connection, free of I/O: it takes the bytes that arrived and gives the bytes to be written.
+/// The state machine of one side of a connection. It does no I/O: it consumes received bytes and produces the bytes to
+/// write.
 pub trait Machine {
-    /// Why the connection cannot go on.
+    /// A violation of the protocol by the peer.
     type Error;
 
-    /// Takes bytes that arrived at a time in microseconds.
+    /// Processes bytes that arrived at `now`, a time in microseconds.
     ///
     /// # Errors
-    /// The peer broke the protocol; what it should be told is in the output.
+    /// Returns an error if the peer violated the protocol. [`output`](Machine::output) then holds the bytes that report
+    /// the violation to the peer.
     fn receive(&mut self, now: Micros, bytes: &[u8]) -> Result<(), Self::Error>;
 
-    /// The bytes to be written. Whoever writes them advances the buffer.
+    /// Returns the buffer of bytes to write. The caller advances the buffer past the bytes that it has written.
     fn output(&mut self) -> &mut BytesMut;
 }
 
--- a/crates/transport/src/pipe.rs
+++ b/crates/transport/src/pipe.rs
@@ -1,4 +1,4 @@
-//! A stream with the state machine of its protocol.
+//! A stream together with the state machine of its protocol.
 
 use crate::linger::linger;
 use crate::machine::Machine;
@@ -10,34 +10,34 @@
 use std::pin::Pin;
 use std::task::{Context, Poll};
 
-/// With so many unwritten bytes nothing more is read or taken: the peer reads too slowly.
+/// Number of unwritten bytes from which a pipe reads no bytes and takes no commands, as the peer reads too slowly.
 const HIGH_WATER_BYTES: usize = 256 << 10;
-/// Bytes of one read. The buffer is on the stack, so that an idle connection holds none.
+/// Maximum number of bytes per read. The buffer is on the stack, so that an idle connection holds no read buffer.
 const READ_BYTES: usize = 16 << 10;
-/// How often a stream that is not read is checked for a peer that has left: bytes that lie before the end of the stream
-/// keep it from waking the task. Clients that leave have to be noticed within a tenth of a second.
+/// Interval at which a stream that is not read is checked for whether the peer has left. The end of the stream does not
+/// wake the task while unread bytes precede it, and a client that leaves has to be noticed within 100 ms.
 const PEER_LEFT_CHECK_MICROS: Micros = 25_000;
 
-/// What ended a [`Pipe::turn`].
+/// The event with which a [`Pipe::turn`] ended.
 pub enum Turn<C, E = ConnError> {
-    /// Bytes were received: the state machine may have events.
+    /// The state machine has processed received bytes and may have events.
     Read,
     /// A command arrived.
     Command(C),
-    /// The requested time has come.
+    /// The time passed as `until` was reached.
     Time,
-    /// The signal's other end was dropped.
+    /// The sender of the signal was dropped.
     Signal,
-    /// The peer broke the protocol; the state machine's output says so to the peer.
+    /// The peer violated the protocol. The state machine's output reports that to the peer.
     Bad(E),
-    /// The stream ended, or nobody can send commands any more.
+    /// The stream ended or failed, the peer has left, or all senders of commands were dropped.
     Closed,
 }
 
-/// A stream has ended, or failed, while it was written to.
+/// Error of a write to a stream that has ended or failed.
 struct StreamEnded;
 
-/// A stream with its state machine, commands from other tasks, and a signal.
+/// A stream and its state machine, with a channel of commands from other tasks and a signal.
 pub struct Pipe<C, M = Connection> {
     runtime: Shared,
     stream: Box<dyn Stream>,
@@ -46,14 +46,15 @@
     commands: Pin<Box<Receiver<C>>>,
     signal: Option<Pin<Box<Receiver<()>>>>,
     alarm: Alarm,
-    /// Since when there have been unwritten bytes, and how many were written since.
+    /// The time since which there have been unwritten bytes, and the number of bytes written since then.
     backlog: Option<(Micros, u64)>,
-    /// When to check next whether the peer has left, while nothing is read.
+    /// The time of the next check for whether the peer has left. `None` while the stream is read.
     next_peer_check: Option<Micros>,
 }
 
 impl<C, M: Machine> Pipe<C, M> {
-    /// A pipe that ends when `commands` is closed. The `signal` is reported once, when its other end is dropped.
+    /// Creates a pipe. [`Pipe::turn`] returns [`Turn::Closed`] when `commands` is closed, and [`Turn::Signal`] once
+    /// when the sender of `signal` is dropped.
     pub fn new(
         runtime: Shared,
         stream: Box<dyn Stream>,
@@ -73,23 +74,26 @@
         }
     }
 
-    /// Since when there have been unwritten bytes without a pause, and how many bytes the peer has taken since.
+    /// Returns the time since which there have been unwritten bytes without interruption, and the number of bytes
+    /// written since then. Returns `None` if the last turn left no unwritten bytes.
     pub fn backlog(&self) -> Option<(Micros, u64)> {
         self.backlog
     }
 
-    /// Replaces the signal.
+    /// Replaces the signal. The new one is reported once, as [`Turn::Signal`].
     pub fn watch(&mut self, signal: Receiver<()>) {
         self.signal = Some(Box::pin(signal));
     }
 
-    /// A command that has arrived already.
+    /// Returns a command that has already arrived, if any.
     pub fn command(&self) -> Option<C> {
         self.commands.try_recv().ok()
     }
 
-    /// Sends `item` as soon as the channel has capacity. `Some(true)` if it was taken, `Some(false)` if the channel is
-    /// closed, `None` if the peer left first. Nothing is read meanwhile.
+    /// Sends `item` on a channel as soon as the channel has capacity. Nothing is read from the stream meanwhile.
+    ///
+    /// Returns `Some(true)` if the item was sent, `Some(false)` if the channel is closed, and `None` if the peer left
+    /// before the channel had capacity.
     pub async fn hand_over<T>(&mut self, channel: &Sender<T>, item: T) -> Option<bool> {
         let item = match channel.try_send(item) {
             Ok(()) => return Some(true),
@@ -108,17 +112,18 @@
         future::or(sent, peer_left).await
     }
 
-    /// Writes the output, then waits until something happens, at the latest until `until`. Bytes are read only where
-    /// `read` is set; a peer that leaves is noticed either way.
+    /// Writes the output, then waits for the next [`Turn`]. Returns [`Turn::Time`] if none occurs before `until`. Bytes
+    /// are read only if `read` is true; a peer that leaves is noticed in either case.
     ///
-    /// Dropping the future loses nothing: state stays in the pipe.
+    /// The future may be dropped at any time: all state is kept in the pipe.
     pub async fn turn(&mut self, until: Option<Micros>, read: bool) -> Turn<C, M::Error> {
         future::poll_fn(|cx| self.poll_turn(cx, until, read)).await
     }
 
-    /// Closes the connection in order: writes the remaining output as far as the peer reads it, shuts the write side, and
-    /// discards what the peer still sends until it shuts its own side, or until `until`. To close over unread bytes would
-    /// reset the connection and destroy the last answer on its way.
+    /// Closes the connection gracefully: writes the remaining output, shuts the write side, and discards what the peer
+    /// still sends until the peer shuts its write side. Gives up at the time `until`.
+    ///
+    /// Closing a stream that has unread bytes would reset the connection, and the last answer could be lost in transit.
     pub async fn close(mut self, until: Micros) {
         let timeout = self.runtime.sleep_until(until);
         let end = future::poll_fn(|cx| match self.poll_write_output(cx) {
@@ -129,7 +134,8 @@
         future::or(end, timeout).await;
     }
 
-    /// The order of the checks decides what is reported first: commands, then bytes, then the signal, then the time.
+    /// If several turns are possible, the order of the checks decides which is returned: a command, then received bytes,
+    /// then the signal, then the time.
     fn poll_turn(
         &mut self,
         cx: &mut Context<'_>,
@@ -164,7 +170,7 @@
         self.poll_time(cx, until, reads)
     }
 
-    /// Writes as much of the output as the stream takes; ready when all is written.
+    /// Writes as much of the output as the stream accepts. Ready when all of it is written.
     fn poll_write_output(&mut self, cx: &mut Context<'_>) -> Poll<Result<(), StreamEnded>> {
         loop {
             let output = self.conn.output();
@@ -196,7 +202,7 @@
         }
     }
 
-    /// Waits for `until` and, where the stream is not read, for a peer that leaves.
+    /// Waits for the time `until` and, if the stream is not read, for the peer to leave.
     fn poll_time(
         &mut self,
         cx: &mut Context<'_>,
--- a/crates/transport/src/unary/client.rs
+++ b/crates/transport/src/unary/client.rs
@@ -1,4 +1,4 @@
-//! The calling side: one call on a connection of its own.
+//! The client of unary calls. Each call has its own connection.
 
 use super::CLOSE_TIMEOUT_MICROS;
 use crate::{Pipe, Turn};
@@ -9,20 +9,26 @@
 use futures_lite::future;
 use std::net::SocketAddr;
 
-/// Beside the response, the window holds its gRPC prefix.
+/// Bytes of the flow-control window beyond the maximum response, which hold the gRPC prefix of the response.
 const WINDOW_MARGIN_BYTES: usize = 1024;
-/// The window that HTTP/2 begins with.
+/// Initial flow-control window of HTTP/2 (RFC 9113, section 6.9.2).
 const MIN_WINDOW_BYTES: u32 = 65_535;
-/// The largest window that HTTP/2 permits.
+/// Maximum flow-control window of HTTP/2 (RFC 9113, section 6.9.1).
 const MAX_WINDOW_BYTES: u32 = u32::MAX >> 1;
 
-/// Makes one call on a connection of its own. The request `message` is framed already; the response is returned without
-/// its frame.
+/// Makes one call on a new connection. The request `message` must already have its gRPC prefix; the response is returned
+/// without its prefix.
 ///
-/// `max_response` bounds the response in bytes. `deadline` is a time of the runtime's clock.
+/// `max_response` is the maximum length of the response in bytes. `deadline` is a time of the runtime's clock in
+/// microseconds.
 ///
 /// # Errors
-/// The status that the server sent; UNAVAILABLE where it sent none, DEADLINE_EXCEEDED at the deadline.
+/// Returns the status that the server sent, if it is not OK. Returns
+/// - UNAVAILABLE if the connection cannot be established by the deadline, fails or is closed, if the server violates
+///   HTTP/2, or if the call is reset;
+/// - DEADLINE_EXCEEDED if the status has not arrived on the established connection by the deadline;
+/// - INTERNAL if the server sent OK without a response;
+/// - the status of [`Deframer::message`] if the response cannot be unframed or is too long.
 pub async fn call(
     runtime: &Shared,
     to: SocketAddr,
@@ -36,7 +42,7 @@
     let (_signal_sender, no_signal) = async_channel::bounded(1);
     let connection = Connection::client(config(max_response));
     let mut pipe = Pipe::new(runtime.clone(), stream, connection, no_commands, no_signal);
-    let mut exchange = Exchange { opened: false, body: Deframer::new(max_response), response: None };
+    let mut call = PendingCall { opened: false, body: Deframer::new(max_response), response: None };
     loop {
         match pipe.turn(Some(deadline), true).await {
             Turn::Time => return Err(Status::new(Code::DeadlineExceeded, "no answer in time")),
@@ -45,16 +51,16 @@
             Turn::Read | Turn::Command(()) => {}
         }
         while let Some(event) = pipe.conn.event() {
-            if let Some(status) = exchange.handle(&mut pipe.conn, event)? {
+            if let Some(status) = call.handle(&mut pipe.conn, event)? {
                 pipe.conn.shutdown();
                 pipe.close(runtime.now() + CLOSE_TIMEOUT_MICROS).await;
-                return exchange.result(status);
+                return call.result(status);
             }
         }
-        // Before the server's SETTINGS nothing is sent: an unanswered handshake then proves that nothing ran.
-        if !exchange.opened && pipe.conn.greeted() && pipe.conn.can_open().is_ok() {
-            open(&mut pipe.conn, to, path, message.clone())?;
-            exchange.opened = true;
+        // The request is sent only after the server's SETTINGS: if they do not arrive, the call has certainly not run.
+        if !call.opened && pipe.conn.greeted() && pipe.conn.can_open().is_ok() {
+            open_call(&mut pipe.conn, to, path, message.clone())?;
+            call.opened = true;
         }
     }
 }
@@ -73,7 +79,7 @@
     Config { max_streams: 0, stream_window: window, connection_window: window, ..Config::default() }
 }
 
-fn open(connection: &mut Connection, to: SocketAddr, path: &str, message: Bytes) -> Result<(), Status> {
+fn open_call(connection: &mut Connection, to: SocketAddr, path: &str, message: Bytes) -> Result<(), Status> {
     let fields = [
         Field::constant(":method", "POST"),
         Field::constant(":scheme", "http"),
@@ -83,21 +89,22 @@
         Field::constant("te", "trailers"),
     ];
     let Ok(stream) = connection.open(&fields, false) else {
-        return Err(unavailable("no call could be opened"));
+        return Err(unavailable("could not open an HTTP/2 stream for the call"));
     };
     let _ = connection.data(stream, message, true); // cannot fail: the stream was just opened
     Ok(())
 }
 
-/// What has come back so far.
-struct Exchange {
+/// The state of a call that has not ended.
+struct PendingCall {
+    /// Whether the request was sent.
     opened: bool,
     body: Deframer,
     response: Option<Bytes>,
 }
 
-impl Exchange {
-    /// Takes an event; the final status once it has arrived.
+impl PendingCall {
+    /// Processes an event of the connection. Returns the final status once it has arrived.
     fn handle(&mut self, connection: &mut Connection, event: Event) -> Result<Option<Status>, Status> {
         match event {
             Event::Data { stream, data, .. } => {
@@ -110,7 +117,9 @@
             }
             Event::Headers { fields, end: true, .. } => Ok(Some(Status::from_fields(&fields))),
             Event::Reset { code, .. } => Err(unavailable(format!("the call was reset: {code}"))),
-            Event::GoAway(code) if !self.opened => Err(unavailable(format!("it goes away: {code}"))),
+            Event::GoAway(code) if !self.opened => {
+                Err(unavailable(format!("the server sent GOAWAY before the call: {code}")))
+            }
             _ => Ok(None),
         }
     }
@@ -118,7 +127,7 @@
     fn result(self, status: Status) -> Result<Bytes, Status> {
         match (status.code, self.response) {
             (Code::Ok, Some(message)) => Ok(message),
-            (Code::Ok, None) => Err(Status::new(Code::Internal, "an OK without a message")),
+            (Code::Ok, None) => Err(Status::new(Code::Internal, "status OK without a response message")),
             _ => Err(status),
         }
     }
--- a/crates/transport/src/unary/mod.rs
+++ b/crates/transport/src/unary/mod.rs
@@ -1,5 +1,5 @@
-//! Unary gRPC calls between programs of one fleet: [`call`] makes one call, [`serve`] answers few and well-behaved
-//! callers. Both are bounded in bytes, calls and time.
+//! Unary gRPC calls between the programs of a fleet. [`call`] makes one call; [`serve`] answers calls of a small number
+//! of well-behaved callers. Both limit bytes, calls and time.
 
 mod client;
 mod server;
@@ -9,5 +9,5 @@
 pub use client::call;
 pub use server::{serve, Handler, Limits};
 
-/// How long a peer may take to close a connection after the last message on it.
+/// Maximum time for a peer to close a connection after the last message on it.
 const CLOSE_TIMEOUT_MICROS: Micros = 100_000;
--- a/crates/transport/src/unary/server.rs
+++ b/crates/transport/src/unary/server.rs
@@ -1,4 +1,4 @@
-//! The answering side.
+//! The server of unary calls.
 
 use super::CLOSE_TIMEOUT_MICROS;
 use crate::{while_alive, Pipe, Turn};
@@ -11,26 +11,28 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Arc;
 
-/// The pause after a failed accept, which mostly means that descriptors are short.
+/// Delay after a failed accept. The usual cause is a lack of file descriptors.
 const ACCEPT_BACKOFF_MICROS: Micros = 10_000;
 
-/// What a server permits.
+/// The limits of a server.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// Connections at once; more are closed.
+    /// Maximum number of open connections. Further connections are closed at once.
     pub connections: usize,
-    /// Calls at once on a connection.
+    /// Maximum number of concurrent calls per connection.
     pub calls: u32,
-    /// Bytes of a message.
+    /// Maximum length of a request message, in bytes.
     pub message: usize,
-    /// How long a connection may be without a call, or a call without its message.
+    /// Maximum time without a running call after which a connection is closed, in microseconds. A call whose message is
+    /// incomplete does not count as running.
     pub idle: Micros,
 }
 
-/// Answers a call, given its path and message. The response is framed.
+/// Answers a call, given its path and its message without the gRPC prefix. The response must have its prefix.
 pub type Handler = Arc<dyn Fn(String, Bytes) -> BoxFuture<'static, Result<Bytes, Status>> + Send + Sync>;
 
-/// Accepts connections and answers their calls until the other end of `kill` is dropped.
+/// Accepts connections and answers their calls with `handler`. The tasks of connections and calls are dropped when the
+/// sender of `kill` is dropped; the returned future itself does not end.
 pub async fn serve(
     runtime: Shared,
     listener: Box<dyn Listener>,
@@ -69,13 +71,13 @@
     ServerConnection::new(runtime, stream, limits, handler, kill).run().await;
 }
 
-/// A handler's response, for its stream.
+/// A handler's response and the stream of its call.
 struct Finished {
     stream: u32,
     response: Result<Bytes, Status>,
 }
 
-/// A call whose message is not complete.
+/// A call whose message is incomplete.
 struct IncomingCall {
     path: String,
     body: Deframer,
@@ -89,9 +91,9 @@
     pipe: Pipe<Finished>,
     finished: Sender<Finished>,
     incoming: HashMap<u32, IncomingCall>,
-    /// Calls that handlers work on.
+    /// Number of calls that handlers are processing.
     running: u32,
-    /// When the last call finished, or the connection began.
+    /// The time at which the last call finished, or at which the connection was accepted.
     idle_since: Micros,
 }
 
@@ -104,7 +106,7 @@
         kill: Receiver<()>,
     ) -> Self {
         let config = Config { max_streams: limits.calls, ..Config::default() };
-        // Capacity for the response of each call that the limit permits, so that handlers do not wait.
+        // The channel has capacity for the responses of all permitted calls, so that handlers do not wait to send.
         let (finished, responses) = async_channel::bounded(2 * limits.calls as usize);
         let connection = Connection::server(config);
         let pipe = Pipe::new(runtime.clone(), stream, connection, responses, kill.clone());
@@ -169,14 +171,14 @@
         }
     }
 
-    /// Runs the handler as a task; it is dropped with the server.
+    /// Runs the handler as a task, which is dropped when the server is killed.
     fn start(&mut self, stream: u32, path: String, message: Bytes) {
         self.running += 1;
         let response = (self.handler)(path, message);
         let finished = self.finished.clone();
         let task = async move {
             let response = response.await;
-            let _ = finished.send(Finished { stream, response }).await; // closed: the caller has left
+            let _ = finished.send(Finished { stream, response }).await; // fails if the connection was closed
         };
         self.runtime.spawn(Box::pin(while_alive(self.kill.clone(), task))).detach();
     }
@@ -186,7 +188,7 @@
         let connection = &mut self.pipe.conn;
         let mut fields =
             vec![Field::constant(":status", "200"), Field::constant("content-type", "application/grpc")];
-        // Fails only where the caller has reset the call.
+        // Fails only if the caller has reset the call.
         let _ = match response {
             Ok(message) => connection
                 .headers(stream, fields, false)
