--- a/crates/fault-injection/benches/ingress.rs
+++ b/crates/fault-injection/benches/ingress.rs
@@ -253,7 +253,7 @@
             open.insert(id, at);
         }
         let until = if now >= end { end + 2_000_000 } else { gap.map_or(end, |_| (next as u64).min(end)) };
-        if let Turn::Closed | Turn::Bad(_) = pipe.turn(Some(until), true).await {
+        if let Turn::Closed | Turn::ProtocolError(_) = pipe.turn(Some(until), true).await {
             load.bad += open.len() as u64;
             break;
         }
@@ -312,7 +312,7 @@
             open.insert(next, now);
         }
         let until = if now >= end { end + 2_000_000 } else { end };
-        if let Turn::Closed | Turn::Bad(_) = pipe.turn(Some(until), true).await {
+        if let Turn::Closed | Turn::ProtocolError(_) = pipe.turn(Some(until), true).await {
             load.bad += open.len() as u64;
             break;
         }
--- a/crates/gateway/src/discovery/service.rs
+++ b/crates/gateway/src/discovery/service.rs
@@ -117,7 +117,7 @@
                     last_activity = self.runtime.now();
                     ping_sent = true;
                 }
-                Turn::Bad(error) => return Err(CallError::Protocol(error)),
+                Turn::ProtocolError(error) => return Err(CallError::Protocol(error)),
                 Turn::Closed | Turn::Signal => return Err(CallError::Closed),
                 Turn::Command(()) => {}
             }
--- a/crates/gateway/src/frontends/grpc/connection.rs
+++ b/crates/gateway/src/frontends/grpc/connection.rs
@@ -99,7 +99,7 @@
                 }
             }
             Turn::Signal => return self.on_signal(pipe),
-            Turn::Bad(error) => {
+            Turn::ProtocolError(error) => {
                 add(&self.context.telemetry.connections_bad);
                 tracing::debug!(peer = %self.peer, %error, "protocol error, closing client connection");
                 return ControlFlow::Break(());
--- a/crates/gateway/src/frontends/mqtt/connection.rs
+++ b/crates/gateway/src/frontends/mqtt/connection.rs
@@ -189,7 +189,7 @@
             }
             Turn::Time => self.check_progress(deadlines, pipe),
             Turn::Signal => self.on_signal(pipe),
-            Turn::Bad(error) => {
+            Turn::ProtocolError(error) => {
                 add(&self.context.telemetry.connections_bad);
                 tracing::debug!(peer = %self.peer, %error, "protocol error, closing client connection");
                 if pipe.conn.version().is_none() || self.session_key.is_empty() {
--- a/crates/gateway/src/upstream/connection.rs
+++ b/crates/gateway/src/upstream/connection.rs
@@ -106,7 +106,7 @@
                     return Outcome::NotSent;
                 }
                 Turn::Time => {}
-                Turn::Bad(error) => {
+                Turn::ProtocolError(error) => {
                     tracing::warn!(node = %self.address, %error, "protocol error, closing connection to node");
                     self.handle_events(&mut pipe);
                     self.report_results().await;
--- a/crates/platform/src/client_connection.rs
+++ b/crates/platform/src/client_connection.rs
@@ -116,7 +116,7 @@
                     return ClientState::Left;
                 }
             }
-            Turn::Bad(never) => match never {},
+            Turn::ProtocolError(never) => match never {},
             Turn::Closed => {
                 tracing::debug!(open_requests = self.open_requests.len(), read, "client disconnected");
                 return ClientState::Left;
--- a/crates/testbed/src/client.rs
+++ b/crates/testbed/src/client.rs
@@ -211,7 +211,7 @@
                 Turn::Command(call) => self.waiting.push_back(call),
                 Turn::Read | Turn::Signal => {}
                 Turn::Time => self.give_up(),
-                Turn::Bad(error) => {
+                Turn::ProtocolError(error) => {
                     let broke = Seen::Broke { ingress: self.gateway, what: error.to_string() };
                     self.journal.note(self.runtime.now(), broke);
                     break;
--- a/crates/testbed/src/mqtt.rs
+++ b/crates/testbed/src/mqtt.rs
@@ -161,7 +161,7 @@
                     }
                 }
             }
-            Turn::Bad(e) => {
+            Turn::ProtocolError(e) => {
                 journal.note(runtime.now(), Seen::Broke { ingress, what: e.to_string() });
                 break;
             }
--- a/crates/testbed/src/node/server.rs
+++ b/crates/testbed/src/node/server.rs
@@ -242,7 +242,7 @@
                 Turn::Command(Finished { stream, response }) => self.respond(stream, response),
                 Turn::Read | Turn::Time => {}
                 Turn::Signal => self.pipe.conn.shutdown(),
-                Turn::Bad(_) | Turn::Closed => break,
+                Turn::ProtocolError(_) | Turn::Closed => break,
             }
             while let Some(event) = self.pipe.conn.event() {
                 self.handle(event);
--- a/crates/testbed/src/registry.rs
+++ b/crates/testbed/src/registry.rs
@@ -146,7 +146,7 @@
                     }
                 }
                 Turn::Read | Turn::Time => {}
-                Turn::Signal | Turn::Bad(_) | Turn::Closed => return,
+                Turn::Signal | Turn::ProtocolError(_) | Turn::Closed => return,
             }
             while let Some(event) = self.pipe.conn.event() {
                 self.handle(event);
--- a/crates/testbed/src/rogue.rs
+++ b/crates/testbed/src/rogue.rs
@@ -107,7 +107,7 @@
             match self.pipe.turn(None, true).await {
                 Turn::Command(answer) => self.respond(&answer),
                 Turn::Read | Turn::Time | Turn::Signal => {}
-                Turn::Bad(_) | Turn::Closed => return,
+                Turn::ProtocolError(_) | Turn::Closed => return,
             }
             while let Some(event) = self.pipe.conn.event() {
                 self.handle(event);
@@ -231,7 +231,7 @@
                     sent = true;
                 }
             }
-            if matches!(pipe.turn(None, true).await, Turn::Closed | Turn::Bad(_)) {
+            if matches!(pipe.turn(None, true).await, Turn::Closed | Turn::ProtocolError(_)) {
                 return;
             }
             while let Some(event) = pipe.conn.event() {
--- a/crates/transport/src/pipe.rs
+++ b/crates/transport/src/pipe.rs
@@ -29,7 +29,7 @@
     /// The sender of the signal was dropped.
     Signal,
     /// The peer violated the protocol. The state machine's output reports that to the peer.
-    Bad(E),
+    ProtocolError(E),
     /// The stream ended or failed, the peer has left, or all senders of commands were dropped.
     Closed,
 }
@@ -195,7 +195,7 @@
         match Pin::new(&mut self.stream).poll_read(cx, &mut buffer) {
             Poll::Ready(Ok(count)) if count > 0 => {
                 let received = self.conn.receive(self.runtime.now(), &buffer[..count]);
-                Poll::Ready(received.map_or_else(Turn::Bad, |()| Turn::Read))
+                Poll::Ready(received.map_or_else(Turn::ProtocolError, |()| Turn::Read))
             }
             Poll::Ready(_) => Poll::Ready(Turn::Closed),
             Poll::Pending => Poll::Pending,
--- a/crates/transport/src/unary/client.rs
+++ b/crates/transport/src/unary/client.rs
@@ -46,7 +46,7 @@
     loop {
         match pipe.turn(Some(deadline), true).await {
             Turn::Time => return Err(Status::new(Code::DeadlineExceeded, "no answer in time")),
-            Turn::Bad(error) => return Err(unavailable(error.to_string())),
+            Turn::ProtocolError(error) => return Err(unavailable(error.to_string())),
             Turn::Closed | Turn::Signal => return Err(unavailable("the connection was closed")),
             Turn::Read | Turn::Command(()) => {}
         }
--- a/crates/transport/src/unary/server.rs
+++ b/crates/transport/src/unary/server.rs
@@ -125,7 +125,7 @@
                     self.respond(stream, response);
                 }
                 Turn::Read => {}
-                Turn::Time | Turn::Signal | Turn::Closed | Turn::Bad(_) => break,
+                Turn::Time | Turn::Signal | Turn::Closed | Turn::ProtocolError(_) => break,
             }
             while let Some(event) = self.pipe.conn.event() {
                 self.handle(event);
