--- a/crates/platform/src/backend/connection.rs
+++ b/crates/platform/src/backend/connection.rs
@@ -1,4 +1,5 @@
-//! The task of one connection to a backend: waits for attempts, connects when needed and reports how each attempt ended.
+//! The task of one connection to a backend. It waits for attempts, connects when needed and reports the outcome of each attempt
+//! to the driver.
 
 use super::exchange::Exchange;
 use super::{ConnectionCommand, ConnectionContext};
@@ -14,7 +15,7 @@
 use std::pin::Pin;
 use std::task::{Context, Poll};
 
-/// A reset this soon after a request says something about the connection and little about the backend.
+/// A reset within this time of the start of an attempt is attributed to the connection rather than to the backend.
 const FIRST_WRITE_MICROS: Micros = 5000;
 
 /// Runs a connection's task until the sender of its commands is dropped.
@@ -38,17 +39,17 @@
     }
 }
 
-/// Whether the last moment to write an attempt has passed.
+/// Whether the attempt's `start_by` time has passed.
 pub(super) fn start_window_closed(attempt: &OutboundAttempt<ForwardedCommand>, now: Micros) -> bool {
     attempt.start_by.is_some_and(|start_by| now > start_by)
 }
 
-/// What ends the wait for the next attempt.
+/// The event that ended the wait for the next attempt.
 enum Wakeup {
     Command(ConnectionCommand),
     /// The driver dropped the connection.
     Dropped,
-    /// The connection was idle for too long, was closed, or sent bytes that no request asked for.
+    /// The connection was idle for too long, was closed by the backend, or received bytes that belong to no request.
     Unusable,
 }
 
@@ -56,7 +57,7 @@
 enum Connect {
     Connected(Box<dyn Stream>),
     Failed,
-    /// The attempt was cancelled meanwhile.
+    /// The attempt was cancelled before the connection was established.
     Cancelled,
 }
 
@@ -64,21 +65,22 @@
     context: ConnectionContext,
     number: u64,
     address: SocketAddr,
-    /// None before the first attempt and after an end of the stream: the next attempt connects anew.
+    /// `None` if there is no usable connection: the next attempt opens one.
     stream: Option<Box<dyn Stream>>,
     commands: Pin<Box<Receiver<ConnectionCommand>>>,
     alarm: Alarm,
+    /// When the last attempt ended.
     idle_since: Micros,
 }
 
 impl Connection {
-    /// Waits for the next attempt; none when the driver drops the connection. The stream is closed meanwhile if it becomes
-    /// unusable.
+    /// Waits for the next attempt and returns it, or `None` when the driver drops the connection. Closes the stream if it
+    /// becomes unusable before that.
     async fn next_attempt(&mut self) -> Option<Box<OutboundAttempt<ForwardedCommand>>> {
         loop {
             match future::poll_fn(|cx| self.poll_wakeup(cx)).await {
                 Wakeup::Command(ConnectionCommand::Start(attempt)) => return Some(attempt),
-                // Their attempt has ended already.
+                // The command is for an attempt that has already ended.
                 Wakeup::Command(ConnectionCommand::Stop { .. } | ConnectionCommand::Withdraw { .. }) => {}
                 Wakeup::Dropped => return None,
                 Wakeup::Unusable => {
@@ -90,7 +92,7 @@
     }
 
     fn poll_wakeup(&mut self, cx: &mut Context<'_>) -> Poll<Wakeup> {
-        // Before a command is taken: no request must be written to a connection that has ended.
+        // The stream is checked before a command is taken, so that no request is written to a connection that has ended.
         if let Some(stream) = &mut self.stream {
             if Pin::new(stream).poll_read(cx, &mut [0; 1]).is_ready() {
                 return Poll::Ready(Wakeup::Unusable);
@@ -106,7 +108,7 @@
         self.alarm.poll(idle_until, cx).map(|()| Wakeup::Unusable)
     }
 
-    /// Makes one attempt and reports its end to the driver.
+    /// Makes one attempt and reports its result to the driver.
     async fn run_attempt(&mut self, attempt: &OutboundAttempt<ForwardedCommand>) {
         let started_at = self.context.runtime.now();
         let idle_micros = self.stream.is_some().then(|| started_at.saturating_sub(self.idle_since));
@@ -119,7 +121,7 @@
             self.idle_since = now;
         } else {
             self.stream = None;
-            // Before the end of the attempt is reported, as the pool may hand out the connection after that.
+            // This is reported before the result of the attempt, after which the pool may choose the connection again.
             let broke_on_first_write = outcome == Outcome::Reset && elapsed_micros < FIRST_WRITE_MICROS;
             self.context.notify_closed(self.number, broke_on_first_write).await;
         }
@@ -128,7 +130,7 @@
             report: load_report,
             ..AttemptResult::without_answer(attempt.id, attempt.attempt, outcome)
         };
-        // Fails only when the instance has stopped.
+        // Fails only when the driver has stopped.
         let _ = self.context.driver.send(DriverEvent::AttemptEnded(Box::new(result))).await;
     }
 
@@ -138,14 +140,14 @@
             match self.connect(attempt).await {
                 Connect::Connected(stream) => self.stream = Some(stream),
                 Connect::Failed => return BackendReply::without_value(Outcome::ConnectFailed),
-                // Nothing was written.
+                // No byte was written.
                 Connect::Cancelled => return BackendReply::without_value(Outcome::NotSent),
             }
         }
         let now = self.context.runtime.now();
         let remaining_micros = attempt.deadline.saturating_sub(now);
         if remaining_micros == 0 || start_window_closed(attempt, self.context.runtime.now()) {
-            // Nothing was written: the connection can serve the next attempt.
+            // No byte was written, so the connection can be used for the next attempt.
             return BackendReply { reusable: true, ..BackendReply::without_value(Outcome::NotSent) };
         }
         let mut request = BytesMut::with_capacity(256);
@@ -159,7 +161,8 @@
         if exchange.request_written() {
             return reply;
         }
-        // A backend starts a command when its last byte has arrived: this one never ran, whatever came back.
+        // A backend starts a command when it has received its last byte. This command was not fully written, so it did not run,
+        // whatever the reply says.
         match reply.outcome {
             Outcome::Cancelled => BackendReply::without_value(Outcome::NotSent),
             Outcome::Rejected => BackendReply { reusable: false, ..reply },
@@ -188,11 +191,11 @@
         future::or(cancelled, future::or(connect, timeout)).await
     }
 
-    /// Returns once the attempt is cancelled or withdrawn, or the driver drops the connection.
+    /// Returns when the attempt is cancelled or withdrawn, or when the driver drops the connection.
     async fn cancelled(&mut self, attempt: &OutboundAttempt<ForwardedCommand>) {
         loop {
             match future::poll_fn(|cx| self.commands.as_mut().poll_next(cx)).await {
-                // For an earlier attempt.
+                // The command is for an earlier attempt.
                 Some(ConnectionCommand::Stop { id, attempt: number })
                 | Some(ConnectionCommand::Withdraw { id, attempt: number })
                     if (id, number) != (attempt.id, attempt.attempt) => {}
--- a/crates/platform/src/backend/exchange.rs
+++ b/crates/platform/src/backend/exchange.rs
@@ -1,4 +1,4 @@
-//! One request and its reply on an open connection, as a future that can be cancelled between any two writes.
+//! One request and its reply on an open connection. The exchange can be cancelled between any two writes.
 
 use super::connection::start_window_closed;
 use super::{ConnectionCommand, ConnectionContext};
@@ -16,15 +16,16 @@
 
 const READ_BUFFER_BYTES: usize = 16 << 10;
 
-/// The state of one exchange.
+/// The state of sending one request and receiving its reply.
 pub(super) struct Exchange<'a> {
     context: &'a ConnectionContext,
     attempt: &'a OutboundAttempt<ForwardedCommand>,
     stream: &'a mut Box<dyn Stream>,
     commands: &'a mut Pin<Box<Receiver<ConnectionCommand>>>,
     alarm: &'a mut Alarm,
-    /// What is still to be written.
+    /// The part of the request that has not been written yet.
     unwritten: BytesMut,
+    /// Length of the whole request.
     request_bytes: usize,
     received: BytesMut,
     memory: MemoryReservation,
@@ -52,17 +53,17 @@
         }
     }
 
-    /// Whether all of the request has been written.
+    /// Whether the whole request has been written.
     pub(super) fn request_written(&self) -> bool {
         self.unwritten.is_empty()
     }
 
-    /// Gives the reply; [`Outcome::Cancelled`] or [`Outcome::Reset`] where there is none.
+    /// Polls for the reply. Its outcome is [`Outcome::Cancelled`] or [`Outcome::Reset`] if the exchange ended without one.
     pub(super) fn poll(&mut self, cx: &mut Context<'_>) -> Poll<BackendReply> {
         if self.poll_cancelled(cx).is_ready() {
             return Poll::Ready(BackendReply::without_value(Outcome::Cancelled));
         }
-        // Until its last byte is written, the backend has not started the request.
+        // The backend starts a request when it has received its last byte, so one that is not fully written has not started.
         if !self.request_written() {
             let now = self.context.runtime.now();
             if start_window_closed(self.attempt, now) || self.alarm.poll(self.attempt.start_by, cx).is_ready()
@@ -76,7 +77,8 @@
         self.poll_read(cx)
     }
 
-    /// Ready when the attempt is cancelled, withdrawn in time, or the driver drops the connection.
+    /// Ready when the attempt is cancelled, when it is withdrawn before its first byte is written, or when the driver drops the
+    /// connection.
     fn poll_cancelled(&mut self, cx: &mut Context<'_>) -> Poll<()> {
         loop {
             match self.commands.as_mut().poll_next(cx) {
@@ -97,7 +99,7 @@
         }
     }
 
-    /// Writes as much as the stream takes; ready only when it fails.
+    /// Writes as much of the request as the stream accepts. Ready only if the write fails.
     fn poll_write(&mut self, cx: &mut Context<'_>) -> Poll<BackendReply> {
         while !self.unwritten.is_empty() {
             match Pin::new(&mut *self.stream).poll_write(cx, &self.unwritten) {
@@ -118,7 +120,7 @@
                 Poll::Pending => return Poll::Pending,
             };
             if !self.memory.grow(count) {
-                // The request has run, but its reply is given up for want of memory.
+                // The request has run, but there is not enough memory for its reply.
                 return Poll::Ready(BackendReply::without_value(Outcome::Reset));
             }
             self.received.extend_from_slice(&buffer[..count]);
--- a/crates/platform/src/backend/mod.rs
+++ b/crates/platform/src/backend/mod.rs
@@ -1,6 +1,6 @@
-//! Connections to backends. [`BackendConnections`] is the driver's side: it picks the connection for an attempt and
-//! sends commands to its task in [`connection`]. What passed on a connection gives the outcome of the attempt; when in
-//! doubt, the attempt may have run.
+//! Connections to backends. [`BackendConnections`] is used by the driver: it chooses the connection of each attempt and sends
+//! commands to that connection's task, see [`connection`]. The bytes sent and received on a connection determine the outcome
+//! of the attempt. If they leave open whether the backend ran the request, the outcome says that it may have run.
 
 mod connection;
 mod exchange;
@@ -17,25 +17,21 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// Commands that may await a connection's task: a start, two withdrawals and a stop, and one more of each that crossed
-/// the end of a request.
-const COMMAND_QUEUE: usize = 8;
+/// Capacity of a connection's command queue: a start, two withdrawals and a stop of the current request, and as many commands
+/// for the previous request, sent before the driver learned of its end.
+const COMMAND_QUEUE_CAPACITY: usize = 8;
 
-/// What the driver tells a connection's task.
+/// A command from the driver to a connection's task.
 enum ConnectionCommand {
+    /// Makes an attempt.
     Start(Box<OutboundAttempt<ForwardedCommand>>),
-    Stop {
-        id: RequestId,
-        attempt: u16,
-    },
-    /// Cancels the attempt only if nothing of it has been written.
-    Withdraw {
-        id: RequestId,
-        attempt: u16,
-    },
+    /// Cancels the attempt.
+    Stop { id: RequestId, attempt: u16 },
+    /// Cancels the attempt if no byte of it has been written.
+    Withdraw { id: RequestId, attempt: u16 },
 }
 
-/// What the tasks of all connections share.
+/// State shared by the tasks of all connections.
 #[derive(Clone)]
 struct ConnectionContext {
     runtime: Shared,
@@ -46,35 +42,35 @@
 impl ConnectionContext {
     async fn notify_closed(&self, connection: u64, broke_on_first_write: bool) {
         let closed = DriverEvent::ConnectionClosed { connection, broke_on_first_write };
-        // Fails only when the instance has stopped.
+        // Fails only when the driver has stopped.
         let _ = self.driver.send(closed).await;
     }
 }
 
 /// Settings of all connections to backends.
 pub struct BackendSettings {
-    /// Names of the values in a load report.
+    /// Names of the values in a backend's load report.
     pub load_report_fields: Vec<String>,
-    /// A connection that is not established after this has failed.
+    /// Timeout for establishing a connection.
     pub connect_timeout: Micros,
-    /// An idle connection is closed after this; less than the backend's own limit.
+    /// How long a connection may be idle before it is closed. Shorter than the backend's own limit.
     pub idle_timeout: Micros,
-    /// Bounds the memory of replies that are arriving.
+    /// Limits the memory of partly received replies, over all connections.
     pub reply_memory: Arc<MemoryBudget>,
 }
 
 /// All connections to backends.
 pub struct BackendConnections {
     context: ConnectionContext,
-    /// Closed to end all tasks.
+    /// Its sender is dropped to end all tasks.
     kill: Receiver<()>,
     pool: Pool,
-    /// Command channels by the connections' numbers; dropping one ends its connection's task.
+    /// Command channels, by connection number. Dropping one ends the connection's task.
     commands: HashMap<u64, Sender<ConnectionCommand>>,
 }
 
 impl BackendConnections {
-    /// No connections yet, and at most `max_connections` later.
+    /// Creates an empty set of at most `max_connections` connections, whose tasks end when `kill` is closed.
     pub fn new(
         runtime: Shared,
         driver: Sender<DriverEvent<ForwardedCommand>>,
@@ -87,7 +83,7 @@
     }
 
     fn spawn_connection(&mut self, number: u64, address: SocketAddr) {
-        let (commands, receiver) = async_channel::bounded(COMMAND_QUEUE);
+        let (commands, receiver) = async_channel::bounded(COMMAND_QUEUE_CAPACITY);
         let task = connection::run(self.context.clone(), number, address, receiver);
         self.context.runtime.spawn(Box::pin(while_alive(self.kill.clone(), task))).detach();
         self.commands.insert(number, commands);
@@ -126,7 +122,7 @@
 
     fn cancel(&mut self, connection: u64, id: RequestId, attempt: u16) {
         if let Some(commands) = self.commands.get(&connection) {
-            // If the queue is full, the task was notified already. To cancel an attempt is to close its connection.
+            // A full queue already holds such a command. Cancelling an attempt closes its connection.
             let _ = commands.try_send(ConnectionCommand::Stop { id, attempt });
             self.connection_closed(connection, false);
         }
@@ -134,7 +130,7 @@
 
     fn cancel_unsent(&mut self, connection: u64, id: RequestId, attempt: u16) {
         if let Some(commands) = self.commands.get(&connection) {
-            // If the queue is full, the task was notified already.
+            // A full queue already holds such a command.
             let _ = commands.try_send(ConnectionCommand::Withdraw { id, attempt });
         }
     }
--- a/crates/platform/src/client_connection.rs
+++ b/crates/platform/src/client_connection.rs
@@ -1,4 +1,5 @@
-//! The task of one client connection: bytes go to its [`Session`], requests to the driver, and answers back.
+//! The task of one client connection. It passes received bytes to the connection's [`Session`], requests to the driver, and
+//! the driver's answers to the client.
 
 use crate::frontend::{FrontendContext, LINGER_MICROS};
 use crate::session::{IncomingRequest, Session, MAX_PENDING_COMMANDS};
@@ -11,40 +12,40 @@
 use std::collections::HashMap;
 use std::sync::atomic::Ordering;
 
-/// How long a connection may take to send its first command, and any command once it has begun.
+/// Timeout for a client's first command, and for the rest of any partly received command.
 const COMMAND_TIMEOUT_MICROS: Micros = 2_200_000;
-/// How long a client whose connection is to be closed may take to send the rest of a command.
+/// Shorter timeout for the rest of a partly received command on a connection that is to be closed.
 const CLOSING_COMMAND_TIMEOUT_MICROS: Micros = 400_000;
-/// How long a client may leave its replies unread.
+/// A client that leaves replies unread for longer than this is disconnected.
 const UNREAD_REPLY_TIMEOUT_MICROS: Micros = 10_000_000;
 
 type ClientPipe = Pipe<Response, Session>;
 
 /// A request in flight.
 struct OpenRequest {
-    /// Its number at the driver.
+    /// The id under which the driver knows the request.
     request: RequestId,
-    /// The id that its client gave it.
+    /// The id that the client gave the request.
     client_id: u64,
 }
 
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum ClientState {
     Connected,
-    Left,
+    Disconnected,
 }
 
-/// When the connection's task has to act by itself.
+/// Timers of the connection; `None` for a timer that is not running.
 struct Deadlines {
-    /// Pending requests fail.
+    /// When pending requests are answered as failed, in a graceful shutdown.
     fail_pending: Option<Micros>,
-    /// No command has arrived since the connection was admitted.
+    /// When the connection is closed if no command has arrived since it was admitted.
     first_command: Option<Micros>,
-    /// A command that has begun is still incomplete.
+    /// When the connection is closed if a partly received command is still incomplete.
     partial_command: Option<Micros>,
-    /// Replies are still unread.
+    /// When the connection is closed if the client has still not read its replies.
     unread_reply: Option<Micros>,
-    /// A command that has begun is still incomplete, in a graceful shutdown.
+    /// When a partly received command is discarded, in a graceful shutdown.
     closing_command: Option<Micros>,
 }
 
@@ -65,16 +66,17 @@
     context: FrontendContext,
     permit: Permit,
     response_sender: Sender<Response>,
-    /// Requests in flight by their tokens.
+    /// Requests in flight, by token.
     open_requests: HashMap<u32, OpenRequest>,
     admitted_at: Micros,
+    /// When the partly received command began; `None` if there is none.
     partial_command_since: Option<Micros>,
-    /// When the graceful shutdown reached this connection.
+    /// When the graceful shutdown of this connection began.
     closing_since: Option<Micros>,
 }
 
 impl ClientConnection {
-    /// Serves a connection to its end.
+    /// Serves a connection until it is closed.
     pub(crate) async fn serve(context: FrontendContext, stream: Box<dyn Stream>, permit: Permit) {
         let (response_sender, responses) = async_channel::bounded(MAX_PENDING_COMMANDS);
         let session = Session::new(context.parser.clone());
@@ -98,7 +100,7 @@
         connection.cancel_requests().await;
     }
 
-    /// Waits for something to happen and acts on it.
+    /// Waits for the next event (bytes, an answer, the close signal or a deadline) and handles it.
     async fn turn(&mut self, pipe: &mut ClientPipe) -> ClientState {
         let deadlines = self.deadlines(pipe);
         let read = pipe.conn.wants_input();
@@ -112,19 +114,19 @@
             }
             Turn::Signal => self.on_close_signal(pipe),
             Turn::Time => {
-                if self.on_deadline(&deadlines, pipe).await == ClientState::Left {
-                    return ClientState::Left;
+                if self.on_deadline(&deadlines, pipe).await == ClientState::Disconnected {
+                    return ClientState::Disconnected;
                 }
             }
             Turn::Bad(never) => match never {},
             Turn::Closed => {
                 tracing::debug!(open_requests = self.open_requests.len(), read, "client disconnected");
-                return ClientState::Left;
+                return ClientState::Disconnected;
             }
         }
         let commands_before = pipe.conn.commands_received();
-        if self.forward_requests(pipe).await == ClientState::Left {
-            return ClientState::Left;
+        if self.forward_requests(pipe).await == ClientState::Disconnected {
+            return ClientState::Disconnected;
         }
         if commands_before == 0 && pipe.conn.commands_received() > 0 {
             self.permit.handshake_completed();
@@ -147,28 +149,31 @@
         }
     }
 
-    /// The connection is to be closed. Where input is wanted, the signal is seen only when nothing is left to read.
+    /// Handles the gate's signal to close the connection. While input is wanted, the pipe reports the signal only after it has
+    /// read all received bytes.
     fn on_close_signal(&mut self, pipe: &mut ClientPipe) {
         let now = self.context.runtime.now();
         let partial_command = self.partial_command_since;
-        let is_sending = partial_command.is_some_and(|since| now < since + CLOSING_COMMAND_TIMEOUT_MICROS);
+        let awaits_partial_command =
+            partial_command.is_some_and(|since| now < since + CLOSING_COMMAND_TIMEOUT_MICROS);
         if self.permit.draining() {
             self.closing_since = Some(now);
             pipe.conn.start_draining();
-        } else if pipe.conn.is_idle() && !is_sending {
+        } else if pipe.conn.is_idle() && !awaits_partial_command {
             pipe.conn.stop_reading();
         } else {
             pipe.watch(self.permit.refuse_eviction());
         }
     }
 
+    /// Handles a deadline that has passed.
     async fn on_deadline(&mut self, deadlines: &Deadlines, pipe: &mut ClientPipe) -> ClientState {
         let now = self.context.runtime.now();
         let is_due = |deadline: Option<Micros>| deadline.is_some_and(|deadline| deadline <= now);
         if is_due(deadlines.fail_pending) {
             self.fail_pending(&mut pipe.conn).await;
         } else if is_due(deadlines.unread_reply) {
-            return ClientState::Left;
+            return ClientState::Disconnected;
         } else if is_due(deadlines.closing_command) {
             pipe.conn.abandon_partial_command();
         } else if is_due(deadlines.partial_command) || is_due(deadlines.first_command) {
@@ -178,7 +183,7 @@
         ClientState::Connected
     }
 
-    /// Hands the requests that the client has sent to the driver.
+    /// Forwards the client's requests to the driver.
     async fn forward_requests(&mut self, pipe: &mut ClientPipe) -> ClientState {
         loop {
             let next = pipe.conn.next_request(|id| self.context.open_ids().insert(id));
@@ -189,14 +194,14 @@
             self.open_requests.insert(token, OpenRequest { request: pending.id, client_id });
             match pipe.hand_over(&self.context.driver, DriverEvent::Request(Box::new(pending))).await {
                 Some(true) => {}
-                Some(false) => pipe.conn.stop_reading(), // the instance has stopped
-                None => return ClientState::Left,
+                Some(false) => pipe.conn.stop_reading(), // the driver has stopped
+                None => return ClientState::Disconnected,
             }
         }
     }
 
-    /// A client that sends without a pause always has the beginning of a command in the buffer: the time counts from the
-    /// last complete command.
+    /// Updates the start time of the partly received command. A client that pipelines commands may always have a part of one in
+    /// the buffer, so the time restarts with each complete command.
     fn update_partial_command(&mut self, commands_before: u64, session: &Session) {
         let awaits_rest = session.has_partial_command() && session.wants_input();
         let command_completed = commands_before != session.commands_received();
@@ -215,8 +220,8 @@
         session.answer(response.token, response.answer);
     }
 
-    /// Answers all pending requests as failed, in the words of a timeout, and rejects what is not parsed yet: the process is
-    /// about to be killed.
+    /// Answers all pending requests with the error for a timeout and rejects the commands that are not parsed yet. Called when
+    /// the process is about to be killed.
     async fn fail_pending(&mut self, session: &mut Session) {
         for token in self.cancel_requests().await {
             self.permit.request_ended(RequestEnd::Other);
@@ -230,7 +235,7 @@
         let open_requests = std::mem::take(&mut self.open_requests);
         for open_request in open_requests.values() {
             self.context.open_ids().remove(&open_request.client_id);
-            // Fails only when the instance has stopped.
+            // Fails only when the driver has stopped.
             let _ = self.context.driver.send(DriverEvent::ClientGone(open_request.request)).await;
         }
         open_requests.into_keys().collect()
--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -1,4 +1,5 @@
-//! The configuration that the platform gives an ingress: a JSON file named by `RELAY_CONFIG`.
+//! The configuration of an ingress, written by the platform: a JSON file whose path is in the environment variable
+//! `RELAY_CONFIG`.
 
 use crate::endpoint_list::EndpointList;
 use chalkgap_deployment_config::DeploymentConfig;
@@ -7,41 +8,41 @@
 use std::net::SocketAddr;
 use std::path::Path;
 
-/// The environment variable that names the file.
-pub const VARIABLE: &str = "RELAY_CONFIG";
-/// Bytes of a configuration: enough for some ten thousand backends.
+/// The environment variable that holds the path of the configuration.
+pub const CONFIG_PATH_VARIABLE: &str = "RELAY_CONFIG";
+/// Maximum size of a configuration in bytes: enough for about ten thousand backends.
 const MAX_CONFIG_BYTES: u64 = 16 << 20;
-/// An ingress cannot work with fewer descriptors.
+/// Minimum number of file descriptors that an ingress needs.
 const MIN_DESCRIPTORS: u64 = 64;
 
 /// Why a configuration is rejected.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigError {
-    /// The variable is not set.
-    #[error("{VARIABLE}: expected the path of the configuration, found nothing")]
+    /// The environment variable is not set.
+    #[error("{CONFIG_PATH_VARIABLE}: expected the path of the configuration, found nothing")]
     Unset,
     /// The file cannot be read.
     #[error("{path}: {error}")]
     Read {
-        /// The file.
+        /// The path of the file.
         path: String,
-        /// The system's error.
+        /// The operating system's error.
         error: std::io::Error,
     },
-    /// The file is not JSON of the platform's form.
+    /// The file is not JSON of the form that the platform specifies.
     #[error("{path}: {error}")]
     Json {
-        /// The file.
+        /// The path of the file.
         path: String,
-        /// Where, and what was expected.
+        /// The error, with its line and column.
         error: serde_json::Error,
     },
-    /// A value is not valid.
+    /// A value is out of range or malformed.
     #[error("{path}: {error}")]
     Value {
-        /// The file.
+        /// The path of the file.
         path: String,
-        /// Which one, and what was expected.
+        /// The error, with the key and what was expected.
         error: InvalidValue,
     },
 }
@@ -52,21 +53,21 @@
     /// The file is too long.
     #[error("expected at most {MAX_CONFIG_BYTES} bytes")]
     FileLength,
-    /// The seed is no number.
+    /// The seed is not a hexadecimal number.
     #[error("seed: expected 16 hexadecimal digits, found {0:?}")]
     Seed(String),
-    /// There are too few descriptors.
+    /// The limit of file descriptors is too low.
     #[error("limits.sockets: expected {MIN_DESCRIPTORS} or more, found {0}")]
     Descriptors(u64),
-    /// The settings object is not valid; the text names the place.
+    /// The settings object is invalid. The text names the key.
     #[error("settings: {0}")]
     Settings(String),
-    /// The number of peers is not that of the gateways.
+    /// The number of peers differs from the number of gateways.
     #[error("peers: expected one for each of {gateways} ingresses, found {found}")]
     PeerCount {
-        /// How many gateways there are.
+        /// The number of gateways in the settings.
         gateways: usize,
-        /// How many peers are listed.
+        /// The number of peers listed.
         found: usize,
     },
 }
@@ -79,7 +80,7 @@
     descriptors: u64,
 }
 
-/// The file as it is written.
+/// The configuration file, before validation.
 #[derive(Deserialize)]
 #[serde(rename = "Raw")]
 struct ConfigDocument {
@@ -96,49 +97,50 @@
     settings: serde_json::Value,
 }
 
-/// A valid configuration.
+/// A validated configuration.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// The ingress's name.
+    /// The name of the ingress.
     pub name: String,
-    /// Where clients connect.
+    /// The address on which clients are accepted.
     pub listen: SocketAddr,
-    /// Discovery's address.
+    /// The address of discovery.
     pub discovery: SocketAddr,
-    /// The seed of random numbers, new with each start.
+    /// The seed of the core's random numbers, different for each start.
     pub seed: u64,
-    /// How much memory the process may use.
+    /// The memory limit of the process, in bytes.
     pub memory_bytes: u64,
-    /// How many descriptors the process may use.
+    /// The limit of file descriptors of the process.
     pub descriptors: u64,
-    /// Where gossip arrives.
+    /// The address on which gossip is received.
     pub peer_listen: Option<SocketAddr>,
-    /// The addresses of all ingresses by their numbers, this one included.
+    /// The gossip addresses of all ingresses, including this one, indexed by gateway number.
     pub peers: Vec<SocketAddr>,
-    /// The endpoints as this ingress last had them.
+    /// The endpoints that this ingress had before its restart, if the platform cached them.
     pub cached_endpoints: Option<EndpointList>,
-    /// The settings object.
+    /// The parsed settings object.
     pub deployment: DeploymentConfig,
 }
 
 impl Config {
-    /// Reads the file that the environment names.
+    /// Reads the file whose path is in [`CONFIG_PATH_VARIABLE`].
     ///
     /// # Errors
-    /// See [`ConfigError`].
+    /// [`ConfigError::Unset`] if the variable is not set, otherwise as [`Config::read`].
     pub fn from_env() -> Result<Config, ConfigError> {
-        let path = std::env::var_os(VARIABLE).ok_or(ConfigError::Unset)?;
+        let path = std::env::var_os(CONFIG_PATH_VARIABLE).ok_or(ConfigError::Unset)?;
         Config::read(Path::new(&path))
     }
 
-    /// Reads a file.
+    /// Reads a configuration file.
     ///
     /// # Errors
-    /// See [`ConfigError`].
+    /// [`ConfigError::Read`] if the file cannot be read, [`InvalidValue::FileLength`] if it exceeds 16 MiB, otherwise as
+    /// [`Config::parse`].
     pub fn read(path: &Path) -> Result<Config, ConfigError> {
         let name = path.display().to_string();
         let mut bytes = Vec::new();
-        // One byte more than allowed, so that a longer file is recognised.
+        // Reads one byte more than the limit, so that a file over the limit can be recognised.
         let read = std::fs::File::open(path)
             .and_then(|file| file.take(MAX_CONFIG_BYTES + 1).read_to_end(&mut bytes));
         read.map_err(|error| ConfigError::Read { path: name.clone(), error })?;
@@ -148,10 +150,10 @@
         Config::parse(&name, &bytes)
     }
 
-    /// Parses the contents of a file; `path` is for error messages.
+    /// Parses the contents of a configuration file. `path` is used in error messages only.
     ///
     /// # Errors
-    /// See [`ConfigError`].
+    /// [`ConfigError::Json`] if `bytes` are not JSON of the expected form, [`ConfigError::Value`] if a value is invalid.
     pub fn parse(path: &str, bytes: &[u8]) -> Result<Config, ConfigError> {
         let document: ConfigDocument = serde_json::from_slice(bytes)
             .map_err(|error| ConfigError::Json { path: path.to_owned(), error })?;
--- a/crates/platform/src/connection_limits.rs
+++ b/crates/platform/src/connection_limits.rs
@@ -1,4 +1,4 @@
-//! How an ingress splits its descriptors, and whom its connection gate admits.
+//! How an ingress divides its file descriptors, and the limits of its connection gate.
 
 use chalkgap::frontend::ConnectionGateConfig;
 use chalkgap_admission::minimum_throughput::MinimumThroughput;
@@ -6,13 +6,13 @@
 use chalkgap_admission::{Caps, DescriptorReservations, GivesWay};
 use chalkgap_runtime::Micros;
 
-/// Descriptors for the runtime, listeners, discovery and standard streams.
+/// Number of descriptors for the runtime, listeners, discovery and standard streams.
 const OWN_DESCRIPTORS: u64 = 20;
-/// How long a client that has sent no command, or is idle, may stay when descriptors are short.
+/// When descriptors are short, a client that has been silent since it connected, or idle, for this time may be evicted.
 const EVICTABLE_AFTER_MICROS: Micros = 50_000;
 
-/// Clients use at most a third of the descriptors for requests, and backends get as many; the rest is for connections that
-/// are idle or never send a request.
+/// Divides the descriptors: about a third is for connections to backends, and as many are for client connections with requests.
+/// The others are for client connections that are idle or never send a request.
 pub(crate) fn descriptor_split(descriptors: u64) -> DescriptorReservations {
     let spare = (descriptors / 20).max(8);
     let nodes = descriptors * 35 / 100;
@@ -27,10 +27,12 @@
     }
 }
 
-/// All clients come through one proxy, so their addresses do not tell them apart: no limit is by address.
+/// Returns the limits of the connection gate. There are no limits by address, because all clients connect through one proxy and
+/// share its address.
 ///
-/// A connection with an open request is never evicted. Of the others the longest idle one is, however short that is: it
-/// costs its client a connection, where a rejected newcomer loses a request.
+/// A connection with a pending request is never evicted. Of the others, the one that has been idle the longest is evicted
+/// first, even if it has been idle for only a short time: its client loses an idle connection, whereas a rejected new client
+/// would lose a request.
 pub(crate) fn gate_config(descriptors: u64) -> ConnectionGateConfig {
     ConnectionGateConfig {
         split: descriptor_split(descriptors),
--- a/crates/platform/src/discovery/call.rs
+++ b/crates/platform/src/discovery/call.rs
@@ -13,7 +13,7 @@
 /// A connection with one request on it.
 pub(super) struct DiscoveryCall<'a> {
     runtime: &'a Shared,
-    /// For the complete list, or for one that has begun to arrive.
+    /// Timeout for the complete list, or for the rest of a partly received list.
     timeout: Micros,
     started_at: Micros,
     stream: Box<dyn Stream>,
@@ -21,6 +21,7 @@
     buffer: [u8; READ_BUFFER_BYTES],
 }
 
+/// Runs an I/O operation with a timeout; `what` names the expected result in errors.
 async fn with_timeout<T>(
     runtime: &Shared,
     what: &'static str,
@@ -36,7 +37,7 @@
 }
 
 impl<'a> DiscoveryCall<'a> {
-    /// Connects and sends a request for the list; `query` is the part of its path behind the resource.
+    /// Connects to `address` and requests the endpoint list. `query` is the query string, with its question mark, or empty.
     pub(super) async fn start(
         runtime: &'a Shared,
         address: SocketAddr,
@@ -54,7 +55,7 @@
         Ok(DiscoveryCall { runtime, timeout, started_at, stream, client, buffer: [0; READ_BUFFER_BYTES] })
     }
 
-    /// Reads a complete list, within the call's timeout.
+    /// Reads the complete list, within the call's timeout counted from its start.
     pub(super) async fn complete_list(mut self) -> Result<EndpointList, DiscoveryError> {
         let runtime = self.runtime;
         let within = self.timeout;
@@ -73,7 +74,7 @@
         Err(DiscoveryError::Timeout { what: "list", within })
     }
 
-    /// Reads the next list. `max_silence`: how long no bytes may arrive between lists.
+    /// Reads the next list. Fails if no bytes arrive for `max_silence` between lists.
     pub(super) async fn next_list(&mut self, max_silence: Micros) -> Result<EndpointList, DiscoveryError> {
         let mut partial_since = None;
         loop {
@@ -83,7 +84,7 @@
             if self.client.is_ended() {
                 return Err(DiscoveryError::ConnectionEnded);
             }
-            // A list that has begun has a deadline of its own: empty lines go on behind one that was cut off.
+            // A list of which a part has arrived has its own deadline: discovery may truncate it and still send empty lines.
             let within = if self.client.has_partial_value() {
                 let now = self.runtime.now();
                 (*partial_since.get_or_insert(now) + self.timeout).saturating_sub(now)
@@ -99,6 +100,7 @@
         }
     }
 
+    /// Adds the time since the request to an error status.
     fn response_error(&self, error: ResponseError) -> DiscoveryError {
         match error {
             ResponseError::Status(_) => {
--- a/crates/platform/src/discovery/error.rs
+++ b/crates/platform/src/discovery/error.rs
@@ -1,20 +1,20 @@
-//! Why discovery cannot be followed for the moment.
+//! Errors of requests to discovery.
 
 use crate::discovery_client::ResponseError;
 use crate::endpoint_set::RejectedList;
 use chalkgap_runtime::Micros;
 
-/// Why a request to discovery ended. The current list stays in effect meanwhile.
+/// Why a request to discovery failed. The current list stays in effect.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum DiscoveryError {
     #[error("no {what} within {} ms", .within / 1000)]
     Timeout { what: &'static str, within: Micros },
-    /// It needs more time: part of the list had arrived.
-    #[error("part of the list had arrived within {} ms", .within / 1000)]
+    /// Only a part of the list arrived before the timeout.
+    #[error("only part of the list arrived within {} ms", .within / 1000)]
     SlowList { within: Micros },
     #[error("{what}: {error}")]
     Io { what: &'static str, error: std::io::Error },
-    /// An error status, this long after the request.
+    /// Discovery answered with an error status, `waited` microseconds after the request.
     #[error("{error}; after {} ms", .waited / 1000)]
     ErrorStatus { error: ResponseError, waited: Micros },
     #[error(transparent)]
--- a/crates/platform/src/discovery/mod.rs
+++ b/crates/platform/src/discovery/mod.rs
@@ -1,8 +1,9 @@
-//! Follows discovery for as long as the instance lives: the complete list first, then its changes.
+//! Follows discovery as long as the ingress runs: requests the complete list of endpoints, then watches for changes.
 //!
-//! With [`Discovery::Push`](chalkgap_core::Discovery::Push) every attempt begins with the complete list, so changes missed
-//! between two watches, lists that were cut off and restarted version numbers need no handling of their own. With
-//! [`Discovery::Poll`](chalkgap_core::Discovery::Poll) a watch from the version that is held does the same in one request.
+//! With [`Discovery::Push`](chalkgap_core::Discovery::Push) every attempt begins with the complete list. That also covers
+//! changes missed between two watches, truncated lists and restarted version numbers. With
+//! [`Discovery::Poll`](chalkgap_core::Discovery::Poll) a watch from the version of the current list covers them in one
+//! request.
 
 mod backoff;
 mod call;
@@ -24,42 +25,45 @@
 use std::convert::Infallible;
 use std::net::SocketAddr;
 
-/// A watch on which nothing arrives for so long has failed: an empty line is due every 2 s. Changes that it misses must be
-/// known 6 s after discovery had them; the rest of that is for further requests, of which three in a row may hang as well.
+/// A watch that receives nothing for this time has failed: discovery sends an empty line at least every 2 s. Changes that the
+/// watch missed must be known within 6 s. The remaining time is for further requests, of which three in a row may also hang.
 const WATCH_SILENCE_MICROS: Micros = 2_600_000;
 
-/// Keeps the driver's endpoints as discovery has them.
+/// Keeps the driver's endpoints up to date with discovery.
 ///
-/// The longest time from a change to the driver, with the timeouts `call` and `max_backoff`: at once for a change on a watch
-/// and for a new address; 50 ms for a watch that is reset; 2.6 s for one that falls silent, and `call` and a backoff for
-/// each request after it that hangs; `call` and `max_backoff` at the end of an outage.
+/// Longest time until a change reaches the driver, where `call` and `max_backoff` are those of [`DiscoveryTimeouts`]:
+///
+/// - a change on a working watch, or a new address of discovery: no delay
+/// - a watch that is reset: 50 ms
+/// - a watch that falls silent: 2.6 s, then `call` and a backoff for each further request that hangs
+/// - the end of an outage: `call` and `max_backoff`
 pub struct DiscoveryFollower {
-    /// Clock, randomness and connections.
+    /// Provides the clock, randomness and connections.
     pub runtime: Shared,
-    /// The endpoints known so far.
+    /// The endpoints of the lists applied so far.
     pub endpoints: EndpointSet,
-    /// Discovery's address.
+    /// Address of discovery.
     pub address: SocketAddr,
-    /// Timeouts of its requests.
+    /// Timeouts of the requests to discovery.
     pub timeouts: DiscoveryTimeouts,
-    /// Gets the changes.
+    /// Channel to the driver, which receives the endpoint updates.
     pub driver: Sender<DriverEvent<ForwardedCommand>>,
-    /// Closed when the first list has been applied.
+    /// Closed when the first list from discovery has been applied.
     pub first_list: Sender<()>,
 }
 
 impl DiscoveryFollower {
-    /// Follows discovery until the driver stops. A new address takes effect at once: the request in progress is dropped.
+    /// Follows discovery until the driver stops. A new address takes effect at once: the request in progress is cancelled.
     pub async fn run(mut self, new_addresses: Receiver<SocketAddr>) {
         let mut backoff = Backoff::new(self.timeouts, self.endpoints.has_list());
         loop {
-            let moved = async { new_addresses.recv().await.ok() };
+            let address_change = async { new_addresses.recv().await.ok() };
             let mut list_applied = false;
             let attempt = async {
                 self.attempt(&mut backoff, &mut list_applied).await;
                 None
             };
-            let new_address = future::or(moved, attempt).await;
+            let new_address = future::or(address_change, attempt).await;
             if self.driver.is_closed() {
                 return;
             }
@@ -76,7 +80,7 @@
         }
     }
 
-    /// Follows discovery until an error, then waits for the backoff.
+    /// Follows discovery until an error occurs, then waits for the backoff.
     async fn attempt(&mut self, backoff: &mut Backoff, list_applied: &mut bool) {
         let call_timeout = backoff.call_timeout();
         let result = self.follow_lists(call_timeout, backoff.first_request(), list_applied).await;
@@ -87,12 +91,12 @@
             tracing::debug!(discovery = %self.address, %error, "discovery still unavailable");
         }
         let delay = backoff.next_delay(&error);
-        // Jitter over half of it: ingresses that lost discovery together do not return together.
+        // Jitter over half of the delay, so that ingresses that lost discovery at the same time do not all retry together.
         let jitter = self.runtime.random() % (delay / 2);
         self.runtime.sleep_until(self.runtime.now() + delay / 2 + jitter).await;
     }
 
-    /// Applies lists until something goes wrong.
+    /// Applies lists from discovery until an error occurs.
     async fn follow_lists(
         &mut self,
         call_timeout: Micros,
--- a/crates/platform/src/discovery/timeouts.rs
+++ b/crates/platform/src/discovery/timeouts.rs
@@ -1,36 +1,39 @@
-//! How long requests to discovery may take, and the backoff between them.
+//! Timeouts of the requests to discovery, and the limit of the backoff between them.
 
 use super::backoff::MIN_BACKOFF_MICROS;
 use chalkgap_core::Discovery;
 use chalkgap_runtime::Micros;
 
-/// How long a request may wait where discovery serves requests in turn; given by the platform.
-pub(super) const POLL_TURN_MICROS: Micros = 2_000_000;
+/// Longest time a request waits in the queue of a polled discovery service, as specified by the platform.
+pub(super) const POLL_QUEUE_MICROS: Micros = 2_000_000;
 
 /// Timeouts of the requests to discovery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DiscoveryTimeouts {
-    /// For a complete list, from the connection to the list's end, or for a change that has begun to arrive.
+    /// Timeout for a complete list, from connecting to the end of the list, and for the rest of a partly received change.
     pub call: Micros,
-    /// The longest backoff between failed requests.
+    /// Maximum backoff between failed requests.
     pub max_backoff: Micros,
-    /// With [`Discovery::Poll`], discovery is one service for the whole fleet that serves requests in turn, including
-    /// those whose client has given up. A list that is held is then refreshed by a watch alone, in one request.
+    /// How discovery is served. With [`Discovery::Poll`], it is one service for all ingresses. It serves requests one after
+    /// the other, including those whose client has given up. An ingress that has a list then refreshes it by a watch only, in
+    /// one request.
     pub mode: Discovery,
 }
 
 impl DiscoveryTimeouts {
-    /// Timeouts that meet the settings' drain grace.
+    /// Creates timeouts that meet the settings' drain grace, in microseconds: how long the ingress may still send new requests
+    /// to a draining backend once the drain counts as known.
     ///
-    /// With [`Discovery::Push`], requests made during an outage are never answered, and changes count as known from the
-    /// outage's end: the rest of such a request and a backoff take at most five eighths of the grace. Three requests that
-    /// hang after a silent watch, with their backoffs, fit into the 6 s within which a change must be known.
+    /// With [`Discovery::Push`], requests made during an outage are never answered, and changes made during it count as known
+    /// when it ends. The rest of such a request's timeout and one backoff take at most five eighths of the grace. A change
+    /// that a silent watch missed counts as known after 6 s: the watch's timeout and three further requests that hang, with
+    /// their backoffs, fit into that.
     ///
-    /// With [`Discovery::Poll`], giving up a request and making another means being served later, by a service that does
-    /// the work of both.
+    /// With [`Discovery::Poll`], the timeout is as long as the queue: a request that is given up and repeated goes to the end
+    /// of the queue, and the service still does the work of both.
     pub fn new(drain_grace: Micros, mode: Discovery) -> DiscoveryTimeouts {
         let call = match mode {
-            Discovery::Poll => POLL_TURN_MICROS,
+            Discovery::Poll => POLL_QUEUE_MICROS,
             Discovery::Push => (drain_grace / 2).clamp(100_000, 750_000),
         };
         let max_backoff = (drain_grace / 8).clamp(2 * MIN_BACKOFF_MICROS, 250_000);
--- a/crates/platform/src/discovery_client.rs
+++ b/crates/platform/src/discovery_client.rs
@@ -1,5 +1,5 @@
-//! The client's half of one HTTP/1.1 request to discovery, free of I/O: the bytes of the request, then the JSON values of
-//! the response's body, one after the other, in any layout and in pieces of any size.
+//! The client side of one HTTP/1.1 request to discovery, without I/O. It encodes the request and decodes the response's body as
+//! a sequence of JSON values, in any layout and received in pieces of any size.
 
 use bytes::{Buf, BytesMut};
 use serde::de::DeserializeOwned;
@@ -8,29 +8,29 @@
 use ureq_proto::client::{Call, RecvResponseResult, SendRequestResult};
 use ureq_proto::http::{header, Request};
 
-/// Bytes of a request, and of a response's head, chunk line or trailer.
+/// Maximum size of a request, and of the head, a chunk line or the trailer of a response, in bytes.
 const MAX_HEAD_BYTES: usize = 16 << 10;
-/// Bytes of a value: a complete list of some twenty thousand backends.
+/// Maximum size of a JSON value in bytes: a complete list of about 20,000 backends.
 const MAX_VALUE_BYTES: usize = 8 << 20;
-/// An incomplete value of at most so many bytes is parsed again whenever more of it arrives.
+/// An incomplete value of up to this many bytes is parsed again whenever more of it arrives.
 const ALWAYS_PARSED_BYTES: usize = 64 << 10;
 
-/// Why a response of discovery cannot be used.
+/// Why a request to discovery cannot be made or its response cannot be used.
 #[derive(Debug, thiserror::Error)]
 pub enum ResponseError {
-    /// It is not HTTP/1.1.
+    /// The response is not valid HTTP/1.1.
     #[error("response: expected HTTP/1.1, found {0}; check that the address is discovery's")]
     Http(#[from] ureq_proto::Error),
-    /// Its head, a chunk line or the trailer is too long.
+    /// The response's head, a chunk line or the trailer exceeds `MAX_HEAD_BYTES`.
     #[error("response: expected a head and chunk lines of at most {MAX_HEAD_BYTES} bytes")]
     HeadTooLong,
-    /// Its status is not 200.
+    /// The response's status is not 200.
     #[error("status: expected 200, found {0}; see discovery's log")]
     Status(u16),
-    /// Its body is not of the expected form.
+    /// The response's body is not JSON of the expected form.
     #[error("body: expected an endpoint list, found {0}")]
     Json(#[from] serde_json::Error),
-    /// A value of its body is too long.
+    /// A JSON value of the body exceeds `MAX_VALUE_BYTES`.
     #[error("body: expected values of at most {MAX_VALUE_BYTES} bytes")]
     ValueTooLong,
     /// The request could not be built.
@@ -38,6 +38,7 @@
     Request(#[from] ureq_proto::http::Error),
 }
 
+/// The part of the response that is being received.
 enum ResponsePart {
     Head(Call<RecvResponse>),
     Body(Call<RecvBody>),
@@ -49,15 +50,16 @@
     part: ResponsePart,
     input: BytesMut,
     body: BytesMut,
-    /// So many bytes of `body` were parsed and found to be an incomplete value.
+    /// Length of the incomplete value in `body` when it was last parsed; 0 if it was not parsed yet.
     parsed_bytes: usize,
 }
 
 impl DiscoveryClient {
-    /// A GET request for a path with its query, and the bytes to write.
+    /// Creates a GET request for `path`, which may include a query. Returns the client and the bytes to send.
     ///
     /// # Errors
-    /// [`ResponseError::Request`] if the path is not a valid one.
+    /// [`ResponseError::Request`] if the path is invalid, [`ResponseError::Http`] if the request exceeds
+    /// `MAX_HEAD_BYTES`.
     pub fn get(address: SocketAddr, path: &str) -> Result<(DiscoveryClient, Vec<u8>), ResponseError> {
         let request = Request::get(format!("http://{address}{path}"))
             .header(header::ACCEPT, "application/json")
@@ -78,10 +80,11 @@
         Ok((client, bytes))
     }
 
-    /// Takes bytes of the response.
+    /// Decodes received bytes of the response.
     ///
     /// # Errors
-    /// See [`ResponseError`]; the connection is of no further use.
+    /// [`ResponseError::Http`], [`ResponseError::HeadTooLong`], [`ResponseError::Status`] or [`ResponseError::ValueTooLong`].
+    /// The connection cannot be used afterwards.
     pub fn receive(&mut self, bytes: &[u8]) -> Result<(), ResponseError> {
         self.input.extend_from_slice(bytes);
         while self.step()? {}
@@ -94,10 +97,10 @@
         Ok(())
     }
 
-    /// The next complete value of the body; none if more bytes are needed.
+    /// Takes the next JSON value from the received body; returns `None` if more bytes are needed.
     ///
     /// # Errors
-    /// [`ResponseError::Json`] if it is not of this form.
+    /// [`ResponseError::Json`] if the value is not a valid `T`.
     pub fn next_value<T: DeserializeOwned>(&mut self) -> Result<Option<T>, ResponseError> {
         if !self.may_hold_value() {
             return Ok(None);
@@ -110,7 +113,7 @@
                 self.parsed_bytes = self.body.len();
                 return Ok(None);
             }
-            None => None, // white space, which discovery sends as a sign of life
+            None => None, // white space, which discovery sends to show that the watch is alive
         };
         let consumed = values.byte_offset();
         self.body.advance(consumed);
@@ -118,25 +121,25 @@
         Ok(value)
     }
 
-    /// Whether to parse the body. To parse a long value with each piece of it would take the square of its length, so that
-    /// is done only when it may be complete or has grown by an eighth.
+    /// Whether to parse the body. Parsing a long value again with each received piece would take quadratic time, so it is
+    /// parsed only when it may be complete or has grown by an eighth.
     fn may_hold_value(&self) -> bool {
         let has_grown = self.body.len() - self.parsed_bytes > self.parsed_bytes / 8;
         let may_be_complete = self.body.trim_ascii_end().last() == Some(&b'}');
         has_grown || self.body.len() <= ALWAYS_PARSED_BYTES || may_be_complete
     }
 
-    /// Whether a value has begun to arrive and is not complete yet.
+    /// Whether a part of the next value has been received.
     pub fn has_partial_value(&self) -> bool {
         !self.body.is_empty()
     }
 
-    /// Whether the body has ended.
+    /// Whether the response has ended.
     pub fn is_ended(&self) -> bool {
         matches!(self.part, ResponsePart::End)
     }
 
-    /// Decodes the next piece of the input; false if more bytes are needed.
+    /// Decodes the next part of the input; returns false if more bytes are needed.
     fn step(&mut self) -> Result<bool, ResponseError> {
         match std::mem::replace(&mut self.part, ResponsePart::End) {
             ResponsePart::Head(call) => self.step_head(call),
@@ -168,7 +171,7 @@
         let (consumed, written) = call.read(&self.input, &mut self.body[decoded..])?;
         self.body.truncate(decoded + written);
         self.input.advance(consumed);
-        // A body delimited by the connection's close could end at any byte: it ends when the stream does.
+        // A body that is delimited by the close of the connection (RFC 9112, section 6.3) ends when the stream ends.
         let is_complete = call.can_proceed() && call.body_mode() != ureq_proto::BodyMode::CloseDelimited;
         if !is_complete {
             self.part = ResponsePart::Body(call);
--- a/crates/platform/src/endpoint_list.rs
+++ b/crates/platform/src/endpoint_list.rs
@@ -1,49 +1,49 @@
-//! Discovery's JSON documents: the complete list of backends, or changes to it.
+//! The JSON documents that discovery sends: the complete list of backends, or changes to it.
 
 use chalkgap_core::{Availability, BackendId};
 use serde::Deserialize;
 use std::net::SocketAddr;
 
-/// A list of backends, or changes to it.
+/// The list of backends, or changes to it.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(rename = "List")]
 pub struct EndpointList {
-    /// Grows with each change.
+    /// The version of the list, which increases with each change.
     #[serde(rename = "seq", default)]
     pub version: u64,
-    /// Whether it names all backends, or only those that changed.
+    /// Whether the list names all backends, or only those that have changed.
     #[serde(rename = "whole", default)]
     pub is_complete: bool,
-    /// The backends.
+    /// The backends that the list names.
     #[serde(rename = "hosts")]
     pub endpoints: Vec<EndpointRecord>,
 }
 
-/// A backend as listed.
+/// A backend in a list.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(rename = "Host")]
 pub struct EndpointRecord {
-    /// Its identity, the same at all ingresses.
+    /// The name of the backend, the same for all ingresses.
     #[serde(rename = "host")]
     pub name: String,
-    /// Where it is reached from this ingress.
+    /// The address of the backend, as reachable from this ingress.
     #[serde(rename = "dial")]
     pub address: SocketAddr,
-    /// The name of its zone.
+    /// The name of the backend's zone.
     #[serde(rename = "site", default)]
     pub zone: String,
-    /// The kind of its machine.
+    /// The kind of the backend's machine.
     #[serde(rename = "class", default)]
     pub machine_kind: String,
-    /// Its cell.
+    /// The number of the backend's cell.
     #[serde(rename = "block", default)]
     pub cell: u16,
-    /// Whether it takes requests.
+    /// Whether the backend accepts requests.
     pub health: EndpointHealth,
-    /// Its capacity relative to others.
+    /// The backend's capacity relative to other backends.
     #[serde(rename = "share", default = "default_weight")]
     pub weight: f64,
-    /// When it last started, in milliseconds since 1970; 0 for long ago.
+    /// When the backend was last started, in milliseconds since 1970. 0 means long ago.
     #[serde(rename = "born_ms", default)]
     pub started_at_millis: u64,
 }
@@ -52,13 +52,13 @@
     1.0
 }
 
-/// Whether a backend takes requests.
+/// Whether a backend accepts requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename = "Health", rename_all = "lowercase")]
 pub enum EndpointHealth {
-    /// It does.
+    /// It accepts requests.
     Ready,
-    /// It only finishes those it has.
+    /// It completes its current requests and accepts no new ones.
     Draining,
     /// It has been removed.
     Gone,
@@ -74,7 +74,7 @@
     }
 }
 
-/// The id of the backend of this name: the same at all ingresses and after every restart.
+/// Returns the id of the backend of this name: the same at all ingresses and after every restart.
 pub fn backend_id(name: &str) -> BackendId {
     let hash = blake3::hash(name.as_bytes());
     let mut prefix = [0; 8];
--- a/crates/platform/src/endpoint_set.rs
+++ b/crates/platform/src/endpoint_set.rs
@@ -1,75 +1,78 @@
-//! Decides which of discovery's lists are applied, and translates them for the gateway's core. Free of I/O and clock.
+//! Decides which of discovery's lists are applied, and translates them for the core. Performs no I/O and reads no clock.
 
 use crate::endpoint_list::{backend_id, EndpointList, EndpointRecord};
 use chalkgap_core::{Availability, BackendId, Endpoint, EndpointUpdate, Micros};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// Backends in one list.
+/// Maximum number of backends in a list.
 const MAX_ENDPOINTS: usize = 20_000;
-/// How long only older lists must have arrived before one is applied. Discovery may have restarted its version numbers,
-/// but far more often an agent serves outdated data.
+/// A list that is older than the current one is applied only if older lists, and no others, have arrived for this time. Usually
+/// such a list comes from a discovery agent that serves outdated data, but discovery may also have restarted its version
+/// numbers.
 const STALE_LIST_DELAY_MICROS: Micros = 3_000_000;
-/// How long after that a backend stays unavailable that the newer list had withdrawn, unless it has restarted: an agent that
-/// is outdated for long looks like a discovery that has restarted its version numbers.
+/// For this time after an older list is applied, backends that the newer list had withdrawn stay unavailable, unless they have
+/// restarted: an agent that is outdated for long cannot be told apart from a discovery that has restarted its version numbers.
 const WITHDRAWAL_MICROS: Micros = 60_000_000;
 
-/// An update for the gateway's core.
+/// An update of the endpoints, for the core.
 #[derive(Clone, Debug)]
 pub struct EndpointChange {
-    /// Whether it replaces what is known.
+    /// Whether the update replaces all endpoints or changes some of them.
     pub update: EndpointUpdate,
-    /// The backends, with where each listens.
+    /// The endpoints and their addresses.
     pub endpoints: Vec<(Endpoint, SocketAddr)>,
 }
 
-/// Why a list is not applied; the current one stays in effect.
+/// Why a list is not applied. The current list stays in effect.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RejectedList {
-    /// It would make backends available again that drain or are gone.
+    /// The list is older than the current one. It could make backends available again that are draining or removed.
     #[error("list {found} is older than the current one, {current}: the agent serves outdated data")]
     Stale {
-        /// Its version.
+        /// The version of the rejected list.
         found: u64,
         /// The version of the current list.
         current: u64,
     },
-    /// It names too many backends.
+    /// The list names too many backends.
     #[error("list {found}: expected at most {MAX_ENDPOINTS} backends, found {endpoints}")]
     TooLong {
-        /// Its version.
+        /// The version of the rejected list.
         found: u64,
-        /// How many backends it names.
+        /// The number of backends that it names.
         endpoints: usize,
     },
 }
 
-/// A backend that a list has withdrawn: it drains or is gone.
+/// A backend that a list reported as draining or removed, or no longer names.
 struct Withdrawal {
-    /// The start of the backend's process that was withdrawn.
+    /// When the backend had been started. A later start ends the withdrawal.
     started_at: Micros,
     withdrawn_at: Micros,
 }
 
-/// The endpoints as of the lists applied so far, in the order of their arrival.
+/// The state of the endpoints after the lists applied so far.
 #[derive(Default)]
 pub struct EndpointSet {
     zone_names: Vec<String>,
     machine_kinds: Vec<String>,
+    /// The version of the current list.
     version: u64,
-    /// When the first of the older lists since the last applied one arrived.
+    /// When the first older list since the last applied one arrived; `None` if none has arrived.
     stale_since: Option<Micros>,
-    /// The ready backends, with the times of their starts.
+    /// The ready backends and when each was started.
     ready: BTreeMap<BackendId, Micros>,
-    /// At most as many as a list may name.
+    /// The withdrawn backends, at most `MAX_ENDPOINTS`.
     withdrawn: BTreeMap<BackendId, Withdrawal>,
+    /// The highest version applied since discovery's version numbers last restarted.
     newest_version: u64,
-    /// When an older list was applied in the place of `newest_version`.
+    /// When a list older than `newest_version` was first applied; `None` if the current list is the newest.
     rolled_back_at: Option<Micros>,
 }
 
 impl EndpointSet {
-    /// A set without endpoints; the names are those of the settings, in their order.
+    /// Creates an empty set. The names are those of the settings, in the same order.
     pub fn new(zone_names: Vec<String>, machine_kinds: Vec<String>) -> Self {
         EndpointSet { zone_names, machine_kinds, ..EndpointSet::default() }
     }
@@ -79,12 +82,12 @@
         !self.ready.is_empty() || !self.withdrawn.is_empty()
     }
 
-    /// The version of the current list.
+    /// Returns the version of the current list.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// Applies the list that was cached before a restart.
+    /// Applies the list that was cached before the ingress restarted.
     pub fn restore_cached(&mut self, now: Micros, list: &EndpointList) -> EndpointChange {
         self.version = list.version;
         self.newest_version = list.version;
@@ -96,7 +99,8 @@
     /// Applies a list from discovery.
     ///
     /// # Errors
-    /// See [`RejectedList`].
+    /// [`RejectedList::Stale`] if the list is older than the current one, [`RejectedList::TooLong`] if it names more than
+    /// 20,000 backends.
     pub fn apply(&mut self, now: Micros, list: &EndpointList) -> Result<EndpointChange, RejectedList> {
         self.check(now, list)?;
         self.version = list.version;
@@ -125,8 +129,8 @@
         Ok(())
     }
 
-    /// Notes whether the applied version is older than one before. It is unclear for a while whether discovery has
-    /// restarted its version numbers or an agent serves outdated data.
+    /// Records whether the applied version is older than one applied before. For `WITHDRAWAL_MICROS` it is unknown whether
+    /// discovery has restarted its version numbers or an agent serves outdated data; after that, a restart is assumed.
     fn track_rollback(&mut self, now: Micros, version: u64) {
         if version < self.newest_version {
             let rolled_back_at = *self.rolled_back_at.get_or_insert(now);
@@ -138,7 +142,7 @@
         self.rolled_back_at = None;
     }
 
-    /// Marks backends as draining that were withdrawn and have not restarted since.
+    /// Marks backends as draining if they were withdrawn and have not restarted since.
     fn keep_withdrawn(&self, endpoints: &mut [(Endpoint, SocketAddr)]) {
         for (endpoint, _) in endpoints {
             let withdrawal = self.withdrawn.get(&endpoint.backend);
@@ -149,7 +153,7 @@
         }
     }
 
-    /// Remembers which backends are ready and which have been withdrawn.
+    /// Records which backends are ready and which have been withdrawn.
     fn record(&mut self, now: Micros, is_complete: bool, endpoints: &[(Endpoint, SocketAddr)]) {
         let mut no_longer_listed =
             if is_complete { std::mem::take(&mut self.ready) } else { BTreeMap::new() };
@@ -179,7 +183,7 @@
     }
 
     fn endpoint(&self, record: &EndpointRecord) -> Endpoint {
-        // Names that the settings do not know get an index beyond all of theirs.
+        // A name that is not in the settings gets an index beyond all of theirs.
         let zone = index_of(&self.zone_names, &record.zone);
         let kind = index_of(&self.machine_kinds, &record.machine_kind);
         Endpoint {
@@ -194,7 +198,7 @@
     }
 }
 
-/// The index of a name, or the length of the list.
+/// Returns the index of a name, or the number of names if it is not among them.
 fn index_of(names: &[String], name: &str) -> usize {
     names.iter().position(|known| known == name).unwrap_or(names.len())
 }
--- a/crates/platform/src/frontend.rs
+++ b/crates/platform/src/frontend.rs
@@ -1,4 +1,4 @@
-//! The platform's frontend: serves the connections that were admitted, and answers those that were not.
+//! The frontend for the platform's protocol. It serves admitted connections and sends `BUSY` on rejected ones.
 
 use crate::client_connection::ClientConnection;
 use crate::request::{ForwardedCommand, Request};
@@ -14,23 +14,24 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-/// How long a client may take to close its side of a connection that is being closed.
+/// How long the ingress waits for a client to close its side of a connection that the ingress closes.
 pub(crate) const LINGER_MICROS: Micros = 300_000;
-/// For the way back: an answer must reach the client by its deadline.
+/// Subtracted from a client's timeout, so that the answer reaches the client in time.
 const DEADLINE_MARGIN_MICROS: Micros = 4_000;
 
-/// What all client connections share.
+/// State shared by all client connections.
 #[derive(Clone)]
 pub struct FrontendContext {
     pub runtime: Shared,
     pub telemetry: Arc<Telemetry>,
     pub driver: Sender<DriverEvent<ForwardedCommand>>,
     pub parser: Arc<RequestParser>,
-    /// Gateway-wide numbers of requests: clients may use an id again, and timers of its earlier request must not meet it.
+    /// The driver's id for the next request. Clients may reuse their ids, so the driver has its own: a timer of an earlier
+    /// request must not affect a later one.
     pub next_request_id: Arc<AtomicU64>,
-    /// Clients' ids of the requests that are open.
+    /// The clients' ids of all open requests.
     pub open_ids: Arc<Mutex<HashSet<u64>>>,
-    /// When pending requests are answered as failed, as the process is about to be killed; 0 before the shutdown.
+    /// When pending requests are answered as failed because the process is about to be killed; 0 before a shutdown.
     pub fail_pending_at: Arc<AtomicU64>,
 }
 
@@ -39,7 +40,7 @@
         self.open_ids.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The request as the driver takes it; its answer comes with `token`.
+    /// Converts a request to the driver's form. The driver's answer has the same `token`.
     pub(crate) fn pending_request(
         &self,
         token: u32,
@@ -91,8 +92,8 @@
     ) -> BoxFuture<'static, ()> {
         Box::pin(async move {
             let reject = async {
-                // No request of the connection is forwarded, so retrying is harmless. Whether the client reads this or not,
-                // the connection is closed.
+                // No request of the connection is forwarded, so the client may retry safely. The connection is closed even if
+                // the client does not read this reply.
                 let text = match retry_after {
                     0 => "-BUSY\r\n".to_owned(),
                     retry_after => format!("-BUSY {}\r\n", retry_after.div_ceil(1000)),
--- a/crates/platform/src/ingress.rs
+++ b/crates/platform/src/ingress.rs
@@ -1,4 +1,4 @@
-//! An ingress of the platform: starts its parts, and is the handle to them.
+//! An ingress of the platform: starts all tasks and provides the handle to them.
 
 use crate::backend::{BackendConnections, BackendSettings};
 use crate::config::Config;
@@ -23,33 +23,34 @@
 use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering};
 use std::sync::Arc;
 
-/// Events that may await the driver; connections wait beyond that.
-const DRIVER_QUEUE: usize = 1024;
-/// Messages that may wait to be sent to peers.
-const GOSSIP_QUEUE: usize = 256;
-/// Changes of discovery's address that may wait.
-const ADDRESS_QUEUE: usize = 4;
-/// How long an ingress waits for discovery's first list before it accepts clients.
+/// Capacity of the driver's event queue. Connections wait while it is full.
+const DRIVER_QUEUE_CAPACITY: usize = 1024;
+/// Capacity of the queue of messages to peers.
+const GOSSIP_QUEUE_CAPACITY: usize = 256;
+/// Capacity of the queue of changes of discovery's address.
+const ADDRESS_QUEUE_CAPACITY: usize = 4;
+/// How long a starting ingress waits for the first list from discovery before it accepts clients.
 const FIRST_LIST_TIMEOUT_MICROS: Micros = 500_000;
-/// Arriving replies may take one part of the memory in so many. They are held a second time on their way out.
+/// Partly received replies may use the process's memory limit divided by this. Complete replies are held a second time while
+/// they are sent to clients.
 const REPLY_MEMORY_DIVISOR: u64 = 5;
-/// How often a shutdown checks whether all connections have been closed.
+/// Interval at which a graceful shutdown checks whether all connections have been closed.
 const DRAIN_CHECK_MICROS: Micros = 5000;
 
-/// Why an ingress does not start.
+/// Why an ingress cannot start.
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
     /// An address cannot be bound.
     #[error("{what}: {address} cannot be bound: {error}")]
     Bind {
-        /// The configuration's key.
+        /// The configuration key of the address.
         what: &'static str,
         /// The address.
         address: SocketAddr,
-        /// The system's error.
+        /// The operating system's error.
         error: std::io::Error,
     },
-    /// There are too few descriptors.
+    /// The limit of file descriptors is too low.
     #[error("limits.sockets: {0}")]
     Sockets(#[from] BudgetError),
 }
@@ -59,7 +60,7 @@
     runtime: Shared,
     address: SocketAddr,
     telemetry: Arc<Telemetry>,
-    /// How many clients are being served.
+    /// Number of client connections being served, plus one while the listener is open.
     open_connections: Arc<AtomicUsize>,
     gate: Arc<ConnectionGate>,
     discovery_addresses: Sender<SocketAddr>,
@@ -70,7 +71,7 @@
     _kill: Sender<()>,
 }
 
-/// What the parts of a starting ingress have in common.
+/// What the tasks of an ingress are started with.
 struct Startup {
     config: Config,
     runtime: Shared,
@@ -80,7 +81,7 @@
     killed: Receiver<()>,
 }
 
-/// Where the endpoints came from with which an ingress began to accept clients.
+/// The source of the endpoints with which an ingress started to accept clients.
 #[derive(Clone, Copy)]
 enum FirstEndpoints {
     Discovery,
@@ -97,25 +98,27 @@
 }
 
 impl Ingress {
-    /// Starts an ingress: binds its sockets, applies the cached endpoints, waits a moment for discovery, and serves.
+    /// Starts an ingress: binds the gossip socket, applies the cached endpoints, waits up to 0.5 s for the first list from
+    /// discovery, then accepts clients.
     ///
     /// # Errors
-    /// See [`StartError`]; nothing runs then.
+    /// [`StartError::Bind`] if an address cannot be bound, [`StartError::Sockets`] if the limit of descriptors is too low. All
+    /// tasks that were started have then been cancelled.
     pub async fn start(config: Config, runtime: Shared) -> Result<Ingress, StartError> {
         let telemetry = Arc::new(Telemetry::default());
         let gate_config = gate_config(config.descriptors);
         let gate = ConnectionGate::new(runtime.clone(), gate_config, telemetry.clone())?;
         let gossip_socket = bind_gossip(&config, &runtime)?;
-        let (driver, events) = async_channel::bounded(DRIVER_QUEUE);
+        let (driver, events) = async_channel::bounded(DRIVER_QUEUE_CAPACITY);
         let (accept, drained) = async_channel::bounded(1);
         let (kill, killed) = async_channel::bounded(1);
-        let (discovery_addresses, new_addresses) = async_channel::bounded(ADDRESS_QUEUE);
+        let (discovery_addresses, new_addresses) = async_channel::bounded(ADDRESS_QUEUE_CAPACITY);
         let startup = Startup { config, runtime, telemetry, driver, killed };
 
         let outgoing_gossip = gossip_socket.map(|socket| startup.start_gossip(socket));
         let endpoints = startup.start_driver(events, outgoing_gossip);
         let first_list = startup.start_discovery(endpoints, new_addresses);
-        // Clients arrive as soon as it listens: it does so with current endpoints if discovery has them at once.
+        // Clients connect as soon as the ingress listens, so it waits a moment for current endpoints before that.
         let first_endpoints = startup.await_first_list(first_list).await;
 
         let open_connections = Arc::new(AtomicUsize::new(0));
@@ -130,7 +133,7 @@
         };
         let address = startup.start_frontend(acceptor, fail_pending_at.clone())?;
         let Startup { config, runtime, telemetry, .. } = startup;
-        // The address is last: tests of the command read it up to the end of the line.
+        // The address is the last field: tests of the command read it up to the end of the line.
         tracing::info!(ingress = config.name, endpoints = first_endpoints.as_str(), %address, "started");
         let longest_deadline = config.deployment.settings.classes.iter().map(|class| class.deadline).max();
         Ok(Ingress {
@@ -147,29 +150,30 @@
         })
     }
 
-    /// Where clients connect.
+    /// Returns the address on which clients are accepted.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Running totals since the start.
+    /// Returns the counters since the start.
     pub fn counts(&self) -> Counts {
         self.telemetry.counts()
     }
 
-    /// How many connections of clients are open.
+    /// Returns the number of open client connections.
     pub fn open(&self) -> usize {
         self.gate.open_connections()
     }
 
-    /// Applies a new configuration: discovery's address now, the rest with the next start.
+    /// Applies the discovery address of a new configuration. All other changes need a restart.
     pub fn reload(&self, config: &Config) {
-        // If the queue is full, a later change follows.
+        // If the queue is full, this change is dropped.
         let _ = self.discovery_addresses.try_send(config.discovery);
     }
 
-    /// Shuts down gracefully: clients are accepted for a moment longer, then connections are closed between requests, and
-    /// all requests are answered, at the latest when the process is about to be killed.
+    /// Shuts down gracefully, see [`ShutdownTimeouts`]. Accepts clients for 0.45 s more, then closes each connection once its
+    /// requests are answered. Shortly before the platform kills the process, requests that are still pending are answered as
+    /// failed.
     pub async fn drain(&mut self) {
         let now = self.runtime.now();
         self.fail_pending_at.store(now + self.shutdown.fail_pending, Ordering::Relaxed);
@@ -183,6 +187,7 @@
     }
 }
 
+/// Binds the gossip socket. Returns `None` if the settings disable gossip or the configuration has no address for it.
 fn bind_gossip(config: &Config, runtime: &Shared) -> Result<Option<Arc<dyn Datagrams>>, StartError> {
     if !config.deployment.settings.limits.gossip {
         return Ok(None);
@@ -199,10 +204,10 @@
         self.runtime.spawn(Box::pin(while_alive(self.killed.clone(), task))).detach();
     }
 
-    /// Starts sending and receiving gossip; returns the channel of messages to send.
+    /// Starts sending and receiving gossip. Returns the channel for messages to be sent.
     fn start_gossip(&self, socket: Arc<dyn Datagrams>) -> Sender<OutgoingGossip> {
         let peers = &self.config.peers;
-        let (outgoing, messages) = async_channel::bounded(GOSSIP_QUEUE);
+        let (outgoing, messages) = async_channel::bounded(GOSSIP_QUEUE_CAPACITY);
         self.spawn(Box::pin(gossip::send(socket.clone(), peers.clone(), messages)));
         let receive = gossip::receive(
             self.runtime.clone(),
@@ -216,7 +221,7 @@
         outgoing
     }
 
-    /// Starts the driver, with the cached endpoints as its first event; returns the endpoints.
+    /// Starts the driver, with the cached endpoints as its first event. Returns the endpoint set for discovery to update.
     fn start_driver(
         &self,
         events: Receiver<DriverEvent<ForwardedCommand>>,
@@ -251,7 +256,7 @@
         let settings = BackendSettings {
             load_report_fields: deployment.load_report_fields.clone(),
             connect_timeout: deployment.connect_timeout,
-            // Well before the backend closes it: a request that crosses its closing may have run.
+            // Well before the backend closes the connection: a request that is sent while the backend closes it may have run.
             idle_timeout: deployment.keepalive * 6 / 10,
             reply_memory: MemoryBudget::new((self.config.memory_bytes / REPLY_MEMORY_DIVISOR) as usize),
         };
@@ -260,7 +265,7 @@
         BackendConnections::new(runtime, self.driver.clone(), settings, max_connections, self.killed.clone())
     }
 
-    /// Starts to follow discovery; the returned channel is closed when the first list has been applied.
+    /// Starts to follow discovery. The returned channel is closed when the first list has been applied.
     fn start_discovery(&self, endpoints: EndpointSet, new_addresses: Receiver<SocketAddr>) -> Receiver<()> {
         let settings = &self.config.deployment.settings;
         let (first_list, first_list_applied) = async_channel::bounded::<()>(1);
@@ -276,10 +281,11 @@
         first_list_applied
     }
 
+    /// Waits for the first list from discovery, for at most `FIRST_LIST_TIMEOUT_MICROS`.
     async fn await_first_list(&self, first_list_applied: Receiver<()>) -> FirstEndpoints {
         let timeout = self.runtime.sleep_until(self.runtime.now() + FIRST_LIST_TIMEOUT_MICROS);
         let applied = async {
-            // Nothing is ever sent: this ends when the channel is closed.
+            // No message is sent on this channel: `recv` returns when the channel is closed.
             let _ = first_list_applied.recv().await;
             FirstEndpoints::Discovery
         };
@@ -290,7 +296,7 @@
         future::or(applied, timed_out).await
     }
 
-    /// Starts to accept clients; returns the bound address.
+    /// Starts to accept clients. Returns the bound address.
     fn start_frontend(
         &self,
         acceptor: Acceptor,
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -1,14 +1,14 @@
-//! An ingress for the users' platform: it speaks the platform's protocol (RESP2 over TCP), reads its configuration, follows
-//! its discovery and obeys its signals. The driver, the connection gate and the core are those of the gateway; all
-//! decisions on requests are the core's.
+//! An ingress for the users' platform. It accepts the platform's protocol (RESP2 over TCP), reads the platform's configuration
+//! file, follows the platform's discovery service and shuts down gracefully on its signals. The driver, the connection gate
+//! and the core are the gateway's; the core makes all decisions on requests.
 //!
-//! - [`Ingress`]: all parts, running
-//! - [`config`]: what the platform tells an ingress
-//! - [`session`], [`request`], [`request_parser`]: a client's connection and its commands
-//! - [`pool`], [`backend_reply`], [`memory_budget`]: connections to backends and what arrives on them
-//! - [`discovery`], [`discovery_client`]: follows the list of backends
-//! - [`endpoint_list`], [`endpoint_set`]: the list, and which of its versions are applied
-//! - [`shutdown`]: the timetable of a graceful shutdown
+//! - [`Ingress`]: a running ingress
+//! - [`config`]: the configuration that the platform provides
+//! - [`session`], [`request`], [`request_parser`]: client connections and their commands
+//! - [`pool`], [`backend_reply`], [`memory_budget`]: connections to backends and their replies
+//! - [`discovery`], [`discovery_client`]: requests to the discovery service
+//! - [`endpoint_list`], [`endpoint_set`]: the lists of backends, and which of them are applied
+//! - [`shutdown`]: the timeouts of a graceful shutdown
 
 mod backend;
 pub mod backend_reply;
--- a/crates/platform/src/memory_budget.rs
+++ b/crates/platform/src/memory_budget.rs
@@ -1,34 +1,34 @@
-//! Bounds the memory that replies from backends take together while they arrive.
+//! Limits the memory of the replies from backends that are being received.
 
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Arc;
 
-/// A limit on the bytes held by all connections together.
+/// A limit on the total number of bytes reserved by all connections.
 pub struct MemoryBudget {
     max_bytes: usize,
     reserved_bytes: AtomicUsize,
 }
 
-/// A part of a [`MemoryBudget`], returned when it is dropped.
+/// Bytes reserved from a [`MemoryBudget`], returned to it on drop.
 pub struct MemoryReservation {
     budget: Arc<MemoryBudget>,
     bytes: usize,
 }
 
 impl MemoryBudget {
-    /// A budget of `max_bytes`.
+    /// Creates a budget of `max_bytes`.
     pub fn new(max_bytes: usize) -> Arc<Self> {
         Arc::new(MemoryBudget { max_bytes, reserved_bytes: AtomicUsize::new(0) })
     }
 
-    /// A reservation of no bytes yet.
+    /// Creates an empty reservation.
     pub fn reservation(self: &Arc<Self>) -> MemoryReservation {
         MemoryReservation { budget: self.clone(), bytes: 0 }
     }
 }
 
 impl MemoryReservation {
-    /// Reserves more bytes. False, with nothing changed, if that would exceed the budget.
+    /// Reserves `bytes` more. Returns false and reserves nothing if that would exceed the budget.
     #[must_use]
     pub fn grow(&mut self, bytes: usize) -> bool {
         let max_bytes = self.budget.max_bytes;
--- a/crates/platform/src/pool.rs
+++ b/crates/platform/src/pool.rs
@@ -1,50 +1,51 @@
-//! Which connection an attempt uses, free of I/O and clock.
+//! Chooses the connection of each attempt. Performs no I/O and reads no clock.
 //!
-//! A connection carries one request at a time: an attempt is cancelled by closing its connection, and a malformed reply
-//! would spoil the requests behind it. Of a backend's idle connections the most recently used is taken first, so that the
-//! others age out and a few stay in use. When the pool is full, an idle connection to any backend is evicted; when all
-//! are busy there is none, which says nothing about the backend.
+//! A connection carries one request at a time, because an attempt is cancelled by closing its connection, and because a
+//! malformed reply would corrupt the replies of the requests behind it. Of a backend's idle connections the most recently used
+//! one is taken first, so that a few stay in use and the others reach the idle timeout. When the pool is full, the connection
+//! that has been idle the longest is evicted, whichever backend it belongs to. When all connections are busy, the attempt gets
+//! none; that is no failure of the backend.
 
 use crate::stale_connections::StaleStatistics;
 use chalkgap_core::{BackendId, Micros};
 use std::collections::{BTreeSet, HashMap};
 use std::net::SocketAddr;
 
-/// How long a connection is not reused after a reply. Surplus bytes behind a reply may arrive some milliseconds late, and a
-/// request written before them would take them for its own reply.
+/// How long a connection is not reused after a reply. Surplus bytes behind a reply may arrive some milliseconds late; they
+/// would be taken for the reply to a request that was written before they arrived.
 const REUSE_DELAY_MICROS: Micros = 20_000;
 
-/// Idle connections by the time they became idle, and their number.
+/// Idle connections, ordered by the time at which they became idle and by their number.
 type IdleOrder = BTreeSet<(Micros, u64)>;
 
 struct PooledConnection {
     backend: BackendId,
     address: SocketAddr,
-    /// How long it had been idle when its request came; none for a new one.
+    /// How long the connection had been idle before its current or last request; `None` for the first request.
     idle_before_use: Option<Micros>,
-    /// Since when it is idle; none while it carries a request.
+    /// When the connection became idle; `None` while it carries a request.
     idle_since: Option<Micros>,
-    /// It is closed when its request ends.
+    /// Whether the connection is to be closed when its request ends.
     closing: bool,
 }
 
-/// The connection for an attempt.
+/// The connection of an attempt, see [`Pool::check_out`]. Connections are identified by numbers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Checkout {
-    /// An existing connection.
+    /// Use the existing connection of this number.
     Reuse(u64),
-    /// A connection to be opened.
+    /// Open a new connection.
     Open {
-        /// Its number.
+        /// The number of the new connection.
         number: u64,
-        /// The idle connection to close in its place.
+        /// The number of an idle connection to close.
         evict: Option<u64>,
     },
-    /// All connections are busy.
+    /// The pool is full and all connections are busy.
     Full,
 }
 
-/// The connections to all backends.
+/// The connections to all backends, idle and busy.
 pub struct Pool {
     max_connections: usize,
     connections: HashMap<u64, PooledConnection>,
@@ -55,7 +56,7 @@
 }
 
 impl Pool {
-    /// A pool of at most `max_connections`.
+    /// Creates an empty pool of at most `max_connections` connections.
     pub fn new(max_connections: usize) -> Self {
         Pool {
             max_connections,
@@ -67,12 +68,12 @@
         }
     }
 
-    /// How many connections there are, idle and busy.
+    /// Returns the number of connections, idle and busy.
     pub fn count(&self) -> usize {
         self.connections.len()
     }
 
-    /// Picks the connection for an attempt and marks it busy.
+    /// Chooses the connection of an attempt to `backend` at `address` and marks it as busy.
     pub fn check_out(&mut self, now: Micros, backend: BackendId, address: SocketAddr) -> Checkout {
         let mut evict = None;
         if let Some((idle_since, number)) = self.last_used(now, backend) {
@@ -101,7 +102,7 @@
         Checkout::Open { number, evict }
     }
 
-    /// The backend's most recently used idle connection that may be reused already.
+    /// Returns the most recently used idle connection to a backend, of those whose reuse delay has passed.
     fn last_used(&self, now: Micros, backend: BackendId) -> Option<(Micros, u64)> {
         let latest = (now.saturating_sub(REUSE_DELAY_MICROS), u64::MAX);
         self.idle_by_backend.get(&backend)?.range(..=latest).next_back().copied()
@@ -124,7 +125,7 @@
         self.connections.remove(&number);
     }
 
-    /// A connection's request has ended. False if the connection is to be closed now.
+    /// Marks a connection as idle because its request has ended. Returns false if the connection is to be closed now.
     pub fn release(&mut self, now: Micros, number: u64) -> bool {
         let connection = self.connections.get_mut(&number);
         let Some(connection) = connection.filter(|c| c.idle_since.is_none()) else { return true };
@@ -139,8 +140,9 @@
         true
     }
 
-    /// A connection has ended, or will with its request; `broke_on_first_write`: as soon as that was written. True if
-    /// the connection is no longer in the pool.
+    /// Removes a closed connection if it is idle; a busy one is removed when its request ends. `broke_on_first_write` says
+    /// whether the connection was reset as soon as a request was written to it. Returns whether the connection is no longer in
+    /// the pool.
     pub fn mark_closed(&mut self, now: Micros, number: u64, broke_on_first_write: bool) -> bool {
         match self.connections.get_mut(&number) {
             Some(connection) if connection.idle_since.is_none() => {
@@ -158,7 +160,7 @@
         }
     }
 
-    /// Removes the idle connections to a backend and returns their numbers.
+    /// Removes all idle connections to a backend and returns their numbers, for the caller to close them.
     pub fn close_idle(&mut self, backend: BackendId) -> Vec<u64> {
         let idle = self.idle_by_backend.get(&backend).into_iter().flatten();
         let numbers: Vec<u64> = idle.map(|(_, number)| *number).collect();
@@ -166,8 +168,8 @@
         numbers
     }
 
-    /// Removes connections to backends that are no longer listed: idle ones now, returning their numbers, busy ones when
-    /// their request ends.
+    /// Removes the connections to backends that are no longer listed. Idle ones are removed now, and their numbers returned,
+    /// for the caller to close them; busy ones are removed when their request ends.
     pub fn retain(&mut self, listed: &dyn Fn(BackendId) -> bool) -> Vec<u64> {
         let unlisted: Vec<BackendId> =
             self.idle_by_backend.keys().copied().filter(|backend| !listed(*backend)).collect();
--- a/crates/platform/src/request.rs
+++ b/crates/platform/src/request.rs
@@ -1,4 +1,4 @@
-//! A client's request, and the command that is forwarded to backends for it.
+//! A client's request, and the command that is forwarded to backends.
 
 use bytes::{Bytes, BytesMut};
 use chalkgap_core::Micros;
@@ -7,48 +7,48 @@
 use std::ops::Range;
 use std::sync::Arc;
 
-/// Which argument of a command is the list of attributes.
+/// Index of the attribute list among a command's arguments.
 pub(crate) const ATTRIBUTES_INDEX: usize = 3;
-/// Digits that any number may have.
+/// Maximum length of a number in the attribute list, in characters.
 pub(crate) const MAX_DIGITS: usize = 15;
 
-/// Why a command is no valid request: what is wrong, and what was expected. The texts are sent to clients.
+/// Why a command is not a valid request. The error text is sent to the client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum InvalidRequest {
-    /// The command is not known.
+    /// The command is unknown.
     #[error("unknown command, expected SVC.QUERY, SVC.SUBMIT or PING")]
     UnknownCommand,
-    /// Too few or too many arguments.
+    /// The command has too few or too many arguments.
     #[error("wrong number of words: expected customer, id, list and, with SVC.SUBMIT, a body")]
     ArgumentCount,
-    /// The customer's number.
+    /// The customer number is malformed or too large.
     #[error("customer: expected 16 hexadecimal digits of a number below 2^33")]
     Customer,
-    /// The request's id.
+    /// The request id is malformed.
     #[error("id: expected 16 hexadecimal digits")]
     Id,
-    /// Another open request has the id.
+    /// Another open request has the same id.
     #[error("id: a request of this id is open")]
     DuplicateId,
-    /// The list of attributes.
+    /// The attribute list is malformed or too long, or has unknown or repeated attributes.
     #[error("list: expected NAME=VALUE, joined by commas, each name once")]
     Attributes,
-    /// The request class.
+    /// The request class is missing or unknown, or does not match the command.
     #[error("c: no such class, or it goes by the other command")]
     Class,
-    /// The plan.
+    /// The plan is missing or unknown.
     #[error("t: no such plan")]
     Plan,
-    /// The deadline.
+    /// The deadline is missing or malformed.
     #[error("d: expected milliseconds")]
     Deadline,
-    /// The idempotency key.
+    /// The idempotency key is malformed, or missing although the class requires one, or present although it does not.
     #[error("k: expected 16 hexadecimal digits, with a keyed class only")]
     IdempotencyKey,
-    /// The units.
+    /// The units are missing, malformed or out of range.
     #[error("units: expected a number within the settings' limit")]
     Units,
-    /// The ingresses that share the customer's requests.
+    /// The set of ingresses that share the customer's requests is missing or out of range.
     #[error("spread, first: expected a set of the ingresses there are")]
     Spread,
 }
@@ -58,42 +58,42 @@
 pub struct Request {
     /// The customer's number.
     pub customer: u64,
-    /// Its id.
+    /// The id that the client gave the request.
     pub id: u64,
-    /// Index of its class.
+    /// Index of the request class in the settings.
     pub class: u8,
-    /// Index of its plan.
+    /// Index of the customer's plan in the settings.
     pub plan: u16,
-    /// How long its client waits.
+    /// How long the client waits for the answer, in microseconds; at most the deadline of the request class.
     pub timeout: Micros,
-    /// What it takes from the quota.
+    /// The number of units that the request consumes of the customer's quota.
     pub units: f64,
-    /// How many ingresses share the customer's requests.
+    /// The number of ingresses that share the customer's requests.
     pub spread: f64,
-    /// The first of these.
+    /// The number of the first of these ingresses.
     pub first_ingress: f64,
-    /// What backends get.
+    /// The command that is forwarded to backends.
     pub command: ForwardedCommand,
 }
 
 #[derive(Debug)]
 struct CommandParts {
     arguments: Vec<Bytes>,
-    /// Where the digits of the deadline are in the attributes.
+    /// Range of the deadline's digits in the attribute list.
     deadline: Range<usize>,
 }
 
-/// A command as it arrived, to be forwarded with what remains of its deadline.
+/// A client's command, which is forwarded unchanged except for the deadline: it is replaced by the remaining time.
 #[derive(Clone, Debug)]
 pub struct ForwardedCommand(Arc<CommandParts>);
 
 impl ForwardedCommand {
-    /// `deadline` is where the digits of the deadline are in the attributes.
+    /// Creates a command. `deadline` is the range of the deadline's digits in the attribute list.
     pub(crate) fn new(arguments: Vec<Bytes>, deadline: Range<usize>) -> ForwardedCommand {
         ForwardedCommand(Arc::new(CommandParts { arguments, deadline }))
     }
 
-    /// Writes the command, with `remaining_millis` in the place of the client's deadline.
+    /// Writes the command, with `remaining_millis` in place of the client's deadline.
     pub fn encode(&self, out: &mut BytesMut, remaining_millis: u64) {
         let CommandParts { arguments, deadline } = &*self.0;
         put_array_header(out, arguments.len());
--- a/crates/platform/src/request_parser.rs
+++ b/crates/platform/src/request_parser.rs
@@ -1,5 +1,5 @@
-//! Parses a client's command into a request. What is not of the protocol's form is rejected here: it reaches no backend,
-//! and takes nothing from the quota of the customer in whose name it comes.
+//! Parses a client's command into a request. Commands that violate the protocol are rejected here: they are not forwarded to
+//! any backend and consume no quota of the customer that they name.
 
 use crate::request::{ForwardedCommand, InvalidRequest, Request, ATTRIBUTES_INDEX, MAX_DIGITS};
 use chalkgap_core::{Micros, RetrySafety};
@@ -7,14 +7,14 @@
 use chalkgap_resp::Command;
 use std::collections::HashMap;
 
-/// Customers' numbers are below this.
-const CUSTOMERS: u64 = 1 << 33;
-/// Bytes of the list of attributes.
+/// Customer numbers are less than this.
+const CUSTOMER_NUMBER_LIMIT: u64 = 1 << 33;
+/// Maximum length of the attribute list, in bytes.
 const MAX_ATTRIBUTE_BYTES: usize = 512;
-/// Hexadecimal digits of customers, ids and keys.
+/// Number of hexadecimal digits of a customer number, request id or idempotency key.
 const HEX_DIGITS: usize = 16;
 
-/// A request class of the settings.
+/// What the parser needs to know of a request class of the settings.
 #[derive(Clone, Copy)]
 struct ClassEntry {
     index: u8,
@@ -22,7 +22,7 @@
     max_timeout: Micros,
 }
 
-/// Parses requests by the names and limits of the settings.
+/// Parses requests, using the class names, plan names and limits of the settings.
 pub struct RequestParser {
     classes: HashMap<Vec<u8>, ClassEntry>,
     plans: HashMap<Vec<u8>, u16>,
@@ -30,15 +30,15 @@
     gateways: f64,
 }
 
-/// The value of an attribute.
+/// An attribute of a command.
 #[derive(Clone, Copy)]
 struct Attribute<'a> {
     value: &'a [u8],
-    /// Where the value is in the list.
+    /// Offset of the value in the attribute list.
     offset: usize,
 }
 
-/// The attributes of a command, by their names.
+/// The attributes of a command. Each field is `None` if the command lacks the attribute.
 #[derive(Default)]
 struct Attributes<'a> {
     class: Option<Attribute<'a>>,
@@ -91,7 +91,7 @@
     digits.iter().try_fold(0, append)
 }
 
-/// Parses a decimal number of digits and a point, without a sign or an exponent.
+/// Parses a decimal number that consists of digits and at most one point, without a sign or an exponent.
 fn parse_number(text: &[u8]) -> Option<f64> {
     let is_plain = text.iter().all(|byte| byte.is_ascii_digit() || *byte == b'.');
     if !is_plain || text.len() > MAX_DIGITS {
@@ -106,7 +106,7 @@
 }
 
 impl RequestParser {
-    /// A parser for this deployment.
+    /// Creates a parser for a deployment.
     pub fn new(deployment: &DeploymentConfig) -> Self {
         let classes = deployment.class_names.iter().zip(&deployment.settings.classes).enumerate();
         let classes = classes.map(|(index, (name, class))| {
@@ -130,7 +130,7 @@
     /// Parses a command other than `PING`.
     ///
     /// # Errors
-    /// See [`InvalidRequest`].
+    /// The first violation found, see [`InvalidRequest`].
     pub fn parse(&self, command: Command) -> Result<Request, InvalidRequest> {
         let arguments = command.arguments;
         let name: &[u8] = arguments.first().map_or(&[], |argument| argument);
@@ -139,11 +139,11 @@
             b"SVC.SUBMIT" => false,
             _ => return Err(InvalidRequest::UnknownCommand),
         };
-        // A query needs no body; one that has a body all the same is forwarded as it came.
+        // A query needs no body. One that has a body is forwarded unchanged.
         if !(4..=5).contains(&arguments.len()) {
             return Err(InvalidRequest::ArgumentCount);
         }
-        let customer = parse_hex(&arguments[1]).filter(|customer| *customer < CUSTOMERS);
+        let customer = parse_hex(&arguments[1]).filter(|customer| *customer < CUSTOMER_NUMBER_LIMIT);
         let customer = customer.ok_or(InvalidRequest::Customer)?;
         let id = parse_hex(&arguments[2]).ok_or(InvalidRequest::Id)?;
         let list = &arguments[ATTRIBUTES_INDEX];
@@ -173,7 +173,8 @@
         Ok(Request { customer, id, class: class.index, plan, timeout, units, spread, first_ingress, command })
     }
 
-    /// The class, which must match the command: queries are idempotent, and only they.
+    /// Looks up the request class. It must match the command: classes of `SVC.QUERY` are idempotent, those of `SVC.SUBMIT` are
+    /// not.
     fn class(&self, attributes: &Attributes<'_>, is_query: bool) -> Result<ClassEntry, InvalidRequest> {
         let class = attributes.class.and_then(|class| self.classes.get(class.value)).copied();
         let class = class.ok_or(InvalidRequest::Class)?;
@@ -189,7 +190,7 @@
     }
 }
 
-/// An idempotency key is given with the classes that have one, and with no other.
+/// Checks that an idempotency key is given if, and only if, the class requires one.
 fn check_key(class: ClassEntry, key: Option<Attribute<'_>>) -> Result<(), InvalidRequest> {
     let has_key = matches!(class.retry_safety, RetrySafety::IdempotencyKey { .. });
     let is_valid = key.is_none_or(|key| parse_hex(key.value).is_some());
--- a/crates/platform/src/session.rs
+++ b/crates/platform/src/session.rs
@@ -1,5 +1,5 @@
-//! The state machine of one client connection, free of I/O: bytes go in, requests come out, and replies are written in
-//! the order of their commands.
+//! The state machine of one client connection, without I/O. It parses received bytes into requests and encodes the replies in
+//! the order of the commands.
 
 use crate::request::{InvalidRequest, Request};
 use crate::request_parser::RequestParser;
@@ -12,7 +12,7 @@
 use std::convert::Infallible;
 use std::sync::Arc;
 
-/// Limits of a command: the longest is a `SVC.SUBMIT` with a body of 64 KiB.
+/// Limits of a command. The longest is `SVC.SUBMIT` with a body of 64 KiB.
 pub const COMMAND_LIMITS: Limits = Limits {
     max_elements: 8,
     max_depth: 1,
@@ -20,37 +20,38 @@
     max_line_bytes: 24,
     max_item_bytes: (64 << 10) + 4096,
 };
-/// Commands of one connection that may await their replies; further ones are not read meanwhile.
+/// Maximum number of commands of one connection that await their replies. While it is reached, no further commands are read.
 pub const MAX_PENDING_COMMANDS: usize = 32;
-/// Unparsed bytes from which on no more are read: they hold commands beyond `MAX_PENDING_COMMANDS`.
+/// No further bytes are read while this many are unparsed. Bytes stay unparsed while `MAX_PENDING_COMMANDS` is reached.
 const MAX_BUFFERED_BYTES: usize = COMMAND_LIMITS.max_item_bytes;
 
 /// The reply to one command, in the order of the commands.
 enum ReplySlot {
     /// The request of this id is in flight.
     Pending(u64),
-    /// Bytes ready to be sent, for commands that are answered here.
+    /// The encoded reply to a command that needs no backend.
     Encoded(Bytes),
+    /// The request's answer, which is not encoded yet.
     Answered(Answer),
 }
 
-/// What is still read from the client. A connection only moves down this list.
+/// How much of the client's input is still read. A connection passes through the phases in this order and may skip some.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum ReadPhase {
     Open,
-    /// Commands that have arrived, or of which a part has arrived, are still taken.
+    /// Only commands that have already been received, completely or in part, are still parsed.
     Draining,
-    /// Only complete commands in the buffer are still taken.
+    /// Only complete commands in the buffer are still parsed.
     BufferedOnly,
     Stopped,
 }
 
-/// The state of a client connection.
+/// The protocol state of a client connection.
 pub struct Session {
     parser: Arc<RequestParser>,
     input: BytesMut,
     output: BytesMut,
-    /// Replies that are owed; the first one has the token `first_token`.
+    /// Replies that have not been encoded yet, in the order of the commands. The first one has the token `first_token`.
     slots: VecDeque<ReplySlot>,
     first_token: u32,
     phase: ReadPhase,
@@ -61,10 +62,11 @@
 pub struct IncomingRequest {
     /// Identifies the request's reply slot, see [`Session::answer`].
     pub token: u32,
-    /// The request.
+    /// The parsed request.
     pub request: Request,
 }
 
+/// Encodes an error reply.
 fn encode_error(text: &str) -> Bytes {
     let mut out = BytesMut::with_capacity(text.len() + 3);
     put_error(&mut out, text);
@@ -100,9 +102,9 @@
         }
     }
 
-    /// Parses buffered commands up to the next request. Commands that need no backend are answered on the way.
+    /// Parses buffered commands up to the next request, which it returns. Answers commands that need no backend.
     ///
-    /// `reserve_id` is called with the id of each valid request and returns false if another open request has it.
+    /// `reserve_id` is called with the id of each valid request. It returns false if another open request has the same id.
     pub fn next_request(&mut self, mut reserve_id: impl FnMut(u64) -> bool) -> Option<IncomingRequest> {
         while self.phase != ReadPhase::Stopped && self.slots.len() < MAX_PENDING_COMMANDS {
             let command = match decode_command(&mut self.input, &COMMAND_LIMITS) {
@@ -146,18 +148,18 @@
         None
     }
 
-    /// Starts the graceful shutdown, to be called when nothing is left to read. Commands that have arrived completely or
-    /// in part are still answered, as is the first command of a connection that has sent none.
+    /// Starts the graceful shutdown. Must be called when all received bytes have been read. Commands that have been received,
+    /// completely or in part, are still answered, as is the first command of a connection that has sent none.
     pub fn start_draining(&mut self) {
         self.phase = self.phase.max(ReadPhase::Draining);
     }
 
-    /// Stops waiting for the rest of an incomplete command; complete ones in the buffer are still answered.
+    /// Stops waiting for the rest of an incomplete command. Complete commands in the buffer are still answered.
     pub fn abandon_partial_command(&mut self) {
         self.phase = self.phase.max(ReadPhase::BufferedOnly);
     }
 
-    /// Rejects the complete commands in the buffer and stops reading. No attempt was made for any of them.
+    /// Rejects the complete commands in the buffer, for which no attempt has been made, and stops reading.
     pub fn reject_buffered_commands(&mut self) {
         while let Ok(Some(_)) = decode_command(&mut self.input, &COMMAND_LIMITS) {
             self.slots.push_back(ReplySlot::Encoded(encode_error("BUSY")));
@@ -166,7 +168,7 @@
         self.flush();
     }
 
-    /// Sets the answer to a request and returns the request's id, or none if the token has no pending request.
+    /// Sets the answer to a request. Returns the request's id, or `None` if no request of this token is pending.
     pub fn answer(&mut self, token: u32, answer: Answer) -> Option<u64> {
         let slot = self.slots.get_mut(token.wrapping_sub(self.first_token) as usize)?;
         let ReplySlot::Pending(id) = *slot else { return None };
@@ -175,7 +177,7 @@
         Some(id)
     }
 
-    /// Stops reading, with `error` as the last reply, after those that are still owed.
+    /// Stops reading and appends `error` as the last reply. Pending requests are still answered before it.
     pub fn fail(&mut self, error: &str) {
         if self.phase != ReadPhase::Stopped {
             self.slots.push_back(ReplySlot::Encoded(encode_error(error)));
@@ -184,13 +186,13 @@
         self.flush();
     }
 
-    /// Stops reading and drops what is buffered; replies that are owed are still sent.
+    /// Stops reading and discards the unparsed input. Pending requests are still answered.
     pub fn stop_reading(&mut self) {
         self.phase = ReadPhase::Stopped;
         self.input = BytesMut::new();
     }
 
-    /// Whether reading has stopped for good.
+    /// Whether the session has stopped reading; it does not start again.
     pub fn has_stopped_reading(&self) -> bool {
         self.phase == ReadPhase::Stopped
     }
@@ -202,7 +204,7 @@
         (self.phase == ReadPhase::Stopped || drained) && self.slots.is_empty()
     }
 
-    /// Whether bytes should be read from the client now.
+    /// Whether the caller should read bytes from the client now.
     pub fn wants_input(&self) -> bool {
         let has_room = self.slots.len() < MAX_PENDING_COMMANDS && self.input.len() < MAX_BUFFERED_BYTES;
         match self.phase {
@@ -212,22 +214,22 @@
         }
     }
 
-    /// Whether the buffer holds a command that is incomplete or not taken yet.
+    /// Whether the buffer holds an incomplete or unparsed command.
     pub fn has_partial_command(&self) -> bool {
         !self.input.is_empty()
     }
 
-    /// How many complete commands have been taken.
+    /// Returns the number of complete commands that have been parsed.
     pub fn commands_received(&self) -> u64 {
         self.commands_received
     }
 
-    /// Whether no reply is owed.
+    /// Whether all commands have been answered.
     pub fn is_idle(&self) -> bool {
         self.slots.is_empty()
     }
 
-    /// The tokens and ids of the requests in flight.
+    /// Returns the tokens and ids of the requests in flight.
     pub fn pending_requests(&self) -> impl Iterator<Item = (u32, u64)> + '_ {
         self.slots.iter().zip(0u32..).filter_map(|(slot, offset)| match slot {
             ReplySlot::Pending(id) => Some((self.first_token.wrapping_add(offset), *id)),
@@ -235,7 +237,7 @@
         })
     }
 
-    /// Writes the replies that are ready, up to the first pending one.
+    /// Encodes the replies that are ready, up to the first pending request.
     fn flush(&mut self) {
         while let Some(slot) = self.slots.front() {
             match slot {
--- a/crates/platform/src/shutdown.rs
+++ b/crates/platform/src/shutdown.rs
@@ -1,32 +1,34 @@
-//! The timetable of a graceful shutdown, set by the platform: free of I/O and clock.
+//! Timeouts of a graceful shutdown, derived from the platform's rules. Performs no I/O and reads no clock.
 
 use chalkgap_core::Micros;
 
-/// New connections arrive for up to 0.4 s after SIGTERM, from clients that do not know of it yet; the rest is latency.
+/// How long after SIGTERM connections are accepted. Clients that have not learned of the shutdown connect for up to 0.4 s
+/// after SIGTERM; the remaining 50 ms allow for latency.
 const ACCEPT_MICROS: Micros = 450_000;
-/// The platform kills the process no sooner than the longest deadline after SIGTERM, of which at most this counts, ...
+/// The platform sends SIGKILL no sooner than the longest request deadline plus [`KILL_DELAY_MICROS`] after SIGTERM. It caps
+/// the deadline at this value.
 const MAX_COUNTED_DEADLINE_MICROS: Micros = 3_000_000;
-/// ... and this.
+/// Shortest time from SIGTERM to SIGKILL, in addition to the longest request deadline.
 const KILL_DELAY_MICROS: Micros = 700_000;
-/// How long before the kill pending requests are answered as failed. A request that arrived in the last moment of
-/// `ACCEPT_MICROS` has had its whole deadline by then.
+/// How long before SIGKILL pending requests are answered as failed. A request that arrived at the end of `ACCEPT_MICROS` has
+/// had its whole deadline by that time.
 const FAIL_PENDING_RESERVE_MICROS: Micros = 250_000;
-/// How long before the kill the process exits by itself.
+/// How long before SIGKILL the process exits on its own.
 const EXIT_RESERVE_MICROS: Micros = 50_000;
 
-/// Times after SIGTERM.
+/// Timeouts of a graceful shutdown, counted from SIGTERM.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ShutdownTimeouts {
-    /// Connections are accepted until then.
+    /// When the ingress stops accepting connections.
     pub accept: Micros,
-    /// Requests still pending then are answered as failed.
+    /// When pending requests are answered as failed.
     pub fail_pending: Micros,
-    /// The process exits then at the latest.
+    /// When the process exits at the latest.
     pub exit: Micros,
 }
 
 impl ShutdownTimeouts {
-    /// By the longest deadline of the settings' request classes.
+    /// Creates timeouts for a deployment whose request classes have at most `longest_deadline`.
     pub fn new(longest_deadline: Micros) -> ShutdownTimeouts {
         let kill = longest_deadline.min(MAX_COUNTED_DEADLINE_MICROS) + KILL_DELAY_MICROS;
         ShutdownTimeouts {
--- a/crates/platform/src/stale_connections.rs
+++ b/crates/platform/src/stale_connections.rs
@@ -1,25 +1,28 @@
-//! Learns how long a connection may be idle and still be worth reusing, free of I/O and clock.
+//! Estimates from past requests how long a connection may be idle and still be safe to reuse. Performs no I/O and reads no
+//! clock.
 //!
-//! Backends, and middleboxes before them, close idle connections when they like, at the latest after the platform's limit,
-//! and not always with a sign. The next request then ends as a reset and may have run, which costs far more than a new
-//! connection. Reuse is refused only where requests on idle connections break clearly more often than on new ones.
+//! Backends, and middleboxes in front of them, close idle connections at any time, at the latest after the platform's limit,
+//! and do not always send a FIN or RST. The next request is then reset and may have run, which costs far more than a new
+//! connection. Connections are not reused if requests on them are reset clearly more often than on new connections.
 
 use chalkgap_core::Micros;
 
-/// Idle times are grouped by the power of two of their milliseconds.
+/// Number of groups of idle times. A group spans a factor of two, from 1 ms; the last one has no upper end.
 const AGE_BUCKETS: usize = 16;
-/// Time constant of the exponential decay of the counts, in microseconds.
+/// Time constant of the exponential decay of the counts, in microseconds: 20 s.
 const DECAY_MICROS: f64 = 20e6;
-/// Decayed breaks from which on an age is judged.
+/// A group of idle times is judged only if its decayed count of resets exceeds this.
 const MIN_BREAKS: f64 = 1.5;
-/// How far the share of uses that break may lie above that of new connections.
+/// How far the fraction of uses that end in a reset may exceed the fraction for new connections.
 const MAX_EXCESS_BREAK_RATE: f64 = 0.08;
 
-/// Decayed counts of one group of idle times.
+/// Decayed counts of a group of idle times.
 #[derive(Default)]
 struct AgeBucket {
     uses: f64,
+    /// Uses that ended in a reset on the first write.
     breaks: f64,
+    /// When the counts were last updated.
     decayed_at: Micros,
 }
 
@@ -33,10 +36,10 @@
     }
 }
 
-/// What became of requests by how long their connection had been idle.
+/// How often requests were reset, by how long their connection had been idle.
 #[derive(Default)]
 pub(crate) struct StaleStatistics {
-    /// New connections first, then by idle time.
+    /// The first bucket is for new connections, the others for increasing idle times.
     buckets: [AgeBucket; AGE_BUCKETS + 1],
 }
 
@@ -48,7 +51,8 @@
 }
 
 impl StaleStatistics {
-    /// Counts a use of a connection that had been idle for so long, or was new; `broke`: it ended on its first write.
+    /// Counts a use of a connection. `idle_micros` is how long it had been idle, `None` for a new connection. `broke` says
+    /// whether it was reset on the first write.
     pub(crate) fn record(&mut self, now: Micros, idle_micros: Option<Micros>, broke: bool) {
         let bucket = &mut self.buckets[bucket_index(idle_micros)];
         let factor = bucket.decay_factor(now);
@@ -57,13 +61,13 @@
         bucket.decayed_at = now;
     }
 
-    /// Whether a connection that has been idle for so long is as good as a new one. An idle time that breaks too often rules
-    /// out all longer ones.
+    /// Whether a connection that has been idle for `idle_micros` may be reused. If connections of one group are reset too often,
+    /// those with longer idle times are not reused either.
     pub(crate) fn is_reusable(&self, now: Micros, idle_micros: Micros) -> bool {
         let max_break_rate = self.buckets[0].break_rate() + MAX_EXCESS_BREAK_RATE;
         let up_to_this_age = &self.buckets[1..=bucket_index(Some(idle_micros))];
         !up_to_this_age.iter().any(|bucket| {
-            // The evidence decays, so such connections are tried again after a while.
+            // The counts decay, so that connections of this group are tried again after a while.
             let remaining_breaks = bucket.breaks * bucket.decay_factor(now);
             remaining_breaks > MIN_BREAKS && bucket.break_rate() > max_break_rate
         })
