--- a/crates/platform/src/ingress.rs
+++ b/crates/platform/src/ingress.rs
@@ -161,7 +161,7 @@
     }
 
     /// Returns the number of open client connections.
-    pub fn open(&self) -> usize {
+    pub fn open_connections(&self) -> usize {
         self.gate.open_connections()
     }
 
--- a/crates/platform/tests/rig/mod.rs
+++ b/crates/platform/tests/rig/mod.rs
@@ -79,7 +79,7 @@
                 tell.send(ingress.address()).unwrap();
                 let look = async {
                     loop {
-                        connections.store(ingress.open(), Ordering::SeqCst);
+                        connections.store(ingress.open_connections(), Ordering::SeqCst);
                         system.sleep_until(system.now() + 2000).await;
                     }
                 };
