--- a/crates/resp/src/decoder.rs
+++ b/crates/resp/src/decoder.rs
@@ -1,7 +1,7 @@
 //! Decodes commands and replies from the front of a buffer that the caller fills.
 //!
-//! Decoding is attempted from the item's first byte each time, and keeps no state in between: an attempt costs a few lines,
-//! whatever the sizes of the values, as bulk strings are skipped.
+//! Each attempt starts at the first byte of the item and keeps no state for the next one. An attempt is cheap for values of
+//! any size, because it parses only the lines with types and lengths and skips the contents of bulk strings.
 
 use crate::error::DecodeError;
 use crate::limits::Limits;
@@ -9,13 +9,13 @@
 use bytes::{Bytes, BytesMut};
 use std::ops::Range;
 
-/// Digits of an integer: fewer than overflow an `i64`.
+/// Maximum number of digits of an integer. 18 digits cannot overflow an `i64`.
 const MAX_INTEGER_DIGITS: usize = 18;
 
-/// The least length of a value that may be null, which is encoded as a length of -1.
-const NULLABLE: i64 = -1;
+/// Minimum length of a bulk string or array that may be null: null is encoded as length -1.
+const NULL_LENGTH: i64 = -1;
 
-/// Why decoding stops.
+/// Why an attempt to decode ended without an item.
 enum Stop {
     /// More bytes are needed.
     Incomplete,
@@ -28,33 +28,35 @@
     }
 }
 
-/// A value by its places in the buffer.
-enum Shape {
+/// A decoded value whose strings are ranges of the buffer.
+enum ParsedValue {
     Simple(Range<usize>),
     Error(Range<usize>),
     Integer(i64),
     Bulk(Option<Range<usize>>),
-    Array(Option<Vec<Shape>>),
+    Array(Option<Vec<ParsedValue>>),
 }
 
-impl Shape {
+impl ParsedValue {
     fn into_value(self, item: &Bytes) -> Value {
         match self {
-            Shape::Simple(range) => Value::Simple(item.slice(range)),
-            Shape::Error(range) => Value::Error(item.slice(range)),
-            Shape::Integer(number) => Value::Integer(number),
-            Shape::Bulk(range) => Value::Bulk(range.map(|range| item.slice(range))),
-            Shape::Array(elements) => Value::Array(
-                elements.map(|elements| elements.into_iter().map(|shape| shape.into_value(item)).collect()),
+            ParsedValue::Simple(range) => Value::Simple(item.slice(range)),
+            ParsedValue::Error(range) => Value::Error(item.slice(range)),
+            ParsedValue::Integer(number) => Value::Integer(number),
+            ParsedValue::Bulk(range) => Value::Bulk(range.map(|range| item.slice(range))),
+            ParsedValue::Array(elements) => Value::Array(
+                elements
+                    .map(|elements| elements.into_iter().map(|element| element.into_value(item)).collect()),
             ),
         }
     }
 }
 
-/// Takes a command off the front of a buffer; none if more bytes are needed.
+/// Takes a command off the front of a buffer. Returns `None` if more bytes are needed.
 ///
 /// # Errors
-/// See [`DecodeError`]. The buffer is unchanged, and nothing behind the error can be trusted to begin a command.
+/// Returns a [`DecodeError`] if the bytes are not a command within `limits`. The buffer is unchanged then, and decoding
+/// cannot continue, as the start of the next command is unknown.
 pub fn decode_command(buffer: &mut BytesMut, limits: &Limits) -> Result<Option<Command>, DecodeError> {
     let decoded = take_item(buffer, limits, |cursor| cursor.arguments())?;
     Ok(decoded.map(|(item, arguments)| Command {
@@ -62,16 +64,17 @@
     }))
 }
 
-/// Takes a reply off the front of a buffer; none if more bytes are needed.
+/// Takes a reply off the front of a buffer. Returns `None` if more bytes are needed.
 ///
 /// # Errors
-/// See [`DecodeError`]. The buffer is unchanged, and nothing behind the error can be trusted to begin a reply.
+/// Returns a [`DecodeError`] if the bytes are not a reply within `limits`. The buffer is unchanged then, and decoding
+/// cannot continue, as the start of the next reply is unknown.
 pub fn decode_reply(buffer: &mut BytesMut, limits: &Limits) -> Result<Option<Value>, DecodeError> {
-    let decoded = take_item(buffer, limits, |cursor| cursor.shape(0))?;
-    Ok(decoded.map(|(item, shape)| shape.into_value(&item)))
+    let decoded = take_item(buffer, limits, |cursor| cursor.value(0))?;
+    Ok(decoded.map(|(item, value)| value.into_value(&item)))
 }
 
-/// Takes an item off the buffer if it is complete; returns its bytes and what `decode` made of them.
+/// Takes an item off the buffer if it is complete. Returns its bytes and the result of `decode`.
 fn take_item<T>(
     buffer: &mut BytesMut,
     limits: &Limits,
@@ -82,7 +85,7 @@
     let decoded = match decode(&mut cursor) {
         Ok(decoded) => decoded,
         Err(Stop::Error(error)) => return Err(error),
-        // The item can only grow further past the limit.
+        // The item is longer than the limit already, so it need not be complete to be rejected.
         Err(Stop::Incomplete) if buffer.len() > limits.max_item_bytes => return Err(too_long),
         Err(Stop::Incomplete) => return Ok(None),
     };
@@ -93,7 +96,7 @@
     Ok(Some((buffer.split_to(end).freeze(), decoded)))
 }
 
-/// Walks over an item.
+/// A read position in an item.
 struct Cursor<'a> {
     bytes: &'a [u8],
     position: usize,
@@ -101,13 +104,14 @@
 }
 
 impl Cursor<'_> {
+    /// Reads the byte that identifies the type of an item or element.
     fn type_byte(&mut self) -> Result<u8, Stop> {
         let type_byte = self.bytes.get(self.position).copied().ok_or(Stop::Incomplete)?;
         self.position += 1;
         Ok(type_byte)
     }
 
-    /// The place of a line, without its end.
+    /// Reads a line and returns its range, without CR LF.
     fn line(&mut self) -> Result<Range<usize>, Stop> {
         let start = self.position;
         let max = self.limits.max_line_bytes;
@@ -130,12 +134,13 @@
         }
     }
 
+    /// Reads a line that holds an integer.
     fn integer(&mut self) -> Result<i64, Stop> {
         let at = self.position;
         let line = self.line()?;
         let text = &self.bytes[line];
         let digits = text.strip_prefix(b"-").unwrap_or(text);
-        // Digits only: a plus sign, spaces and an empty line are no integer.
+        // Only digits after an optional minus sign: a plus sign, spaces and an empty line are invalid.
         let all_digits = digits.iter().all(u8::is_ascii_digit);
         if digits.is_empty() || digits.len() > MAX_INTEGER_DIGITS || !all_digits {
             return Err(DecodeError::InvalidInteger { at }.into());
@@ -145,6 +150,7 @@
         Ok(if is_negative { -magnitude } else { magnitude })
     }
 
+    /// Reads a line that holds a length from `min` to `max`.
     fn length(&mut self, min: i64, max: usize) -> Result<i64, Stop> {
         let at = self.position;
         let found = self.integer()?;
@@ -155,7 +161,8 @@
         Err(DecodeError::LengthOutOfRange { at, min, max, found }.into())
     }
 
-    /// The place of a bulk string; none if it is null, which needs a `min_length` of [`NULLABLE`].
+    /// Reads the length and contents of a bulk string and returns the range of the contents. Returns `None` for null, which
+    /// is accepted if `min_length` is [`NULL_LENGTH`].
     fn bulk(&mut self, min_length: i64) -> Result<Option<Range<usize>>, Stop> {
         let length = self.length(min_length, self.limits.max_bulk_bytes)?;
         let Ok(length) = usize::try_from(length) else { return Ok(None) };
@@ -171,7 +178,7 @@
         }
     }
 
-    /// The places of a command's arguments.
+    /// Reads a command and returns the ranges of its arguments.
     fn arguments(&mut self) -> Result<Vec<Range<usize>>, Stop> {
         self.expect_type(b'*', "an array")?;
         let count = self.length(1, self.limits.max_elements)?;
@@ -183,6 +190,7 @@
         Ok(arguments)
     }
 
+    /// Reads a type byte and checks it; `expected` names the type in the error.
     fn expect_type(&mut self, type_byte: u8, expected: &'static str) -> Result<(), Stop> {
         let at = self.position;
         let found = self.type_byte()?;
@@ -192,27 +200,27 @@
         Err(DecodeError::UnexpectedType { at, expected, found }.into())
     }
 
-    /// A reply, `depth` arrays deep.
-    fn shape(&mut self, depth: usize) -> Result<Shape, Stop> {
+    /// Reads a value that is nested in `depth` arrays.
+    fn value(&mut self, depth: usize) -> Result<ParsedValue, Stop> {
         let at = self.position;
         match self.type_byte()? {
-            b'+' => Ok(Shape::Simple(self.line()?)),
-            b'-' => Ok(Shape::Error(self.line()?)),
-            b':' => Ok(Shape::Integer(self.integer()?)),
-            b'$' => Ok(Shape::Bulk(self.bulk(NULLABLE)?)),
+            b'+' => Ok(ParsedValue::Simple(self.line()?)),
+            b'-' => Ok(ParsedValue::Error(self.line()?)),
+            b':' => Ok(ParsedValue::Integer(self.integer()?)),
+            b'$' => Ok(ParsedValue::Bulk(self.bulk(NULL_LENGTH)?)),
             b'*' if depth >= self.limits.max_depth => {
                 Err(DecodeError::TooDeep { at, max: self.limits.max_depth }.into())
             }
             b'*' => {
-                let count = self.length(NULLABLE, self.limits.max_elements)?;
-                let Ok(count) = usize::try_from(count) else { return Ok(Shape::Array(None)) };
+                let count = self.length(NULL_LENGTH, self.limits.max_elements)?;
+                let Ok(count) = usize::try_from(count) else { return Ok(ParsedValue::Array(None)) };
                 let mut elements = Vec::with_capacity(count);
                 for _ in 0..count {
-                    elements.push(self.shape(depth + 1)?);
+                    elements.push(self.value(depth + 1)?);
                 }
-                Ok(Shape::Array(Some(elements)))
+                Ok(ParsedValue::Array(Some(elements)))
             }
-            found => Err(DecodeError::UnexpectedType { at, expected: "an answer", found }.into()),
+            found => Err(DecodeError::UnexpectedType { at, expected: "a reply", found }.into()),
         }
     }
 }
--- a/crates/resp/src/encoder.rs
+++ b/crates/resp/src/encoder.rs
@@ -2,11 +2,11 @@
 
 use bytes::BytesMut;
 
-/// Digits of the largest `usize`.
+/// Number of decimal digits of the largest 64-bit `usize`.
 const MAX_DIGITS: usize = 20;
 
-/// Writes a type byte, a number and the line's end, without allocating: each request writes several of these.
-fn put_header(out: &mut BytesMut, kind: u8, number: usize) {
+/// Writes a type byte, a number and CR LF. Does not allocate, because every request writes several headers.
+fn put_header(out: &mut BytesMut, type_byte: u8, number: usize) {
     let mut digits = [0; MAX_DIGITS];
     let mut start = digits.len();
     let mut rest = number;
@@ -18,19 +18,19 @@
             break;
         }
     }
-    out.extend_from_slice(&[kind]);
+    out.extend_from_slice(&[type_byte]);
     out.extend_from_slice(&digits[start..]);
     out.extend_from_slice(b"\r\n");
 }
 
-/// Writes a type byte and a text. Ends of lines in the text become spaces, so that it stays one line.
-fn put_line(out: &mut BytesMut, kind: u8, text: &str) {
-    out.extend_from_slice(&[kind]);
+/// Writes a type byte, a text and CR LF. CR and LF in the text are replaced by spaces, so that it stays on one line.
+fn put_line(out: &mut BytesMut, type_byte: u8, text: &str) {
+    out.extend_from_slice(&[type_byte]);
     out.extend(text.bytes().map(|byte| if byte == b'\r' || byte == b'\n' { b' ' } else { byte }));
     out.extend_from_slice(b"\r\n");
 }
 
-/// Writes the header of an array, which its elements must follow.
+/// Writes the header of an array. The caller must write `elements` items after it.
 pub fn put_array_header(out: &mut BytesMut, elements: usize) {
     put_header(out, b'*', elements);
 }
@@ -47,17 +47,17 @@
     out.extend_from_slice(b"$-1\r\n");
 }
 
-/// Writes a simple string; ends of lines in it become spaces.
+/// Writes a simple string. CR and LF in `text` are replaced by spaces.
 pub fn put_simple_string(out: &mut BytesMut, text: &str) {
     put_line(out, b'+', text);
 }
 
-/// Writes an error; ends of lines in it become spaces.
+/// Writes an error. CR and LF in `text` are replaced by spaces.
 pub fn put_error(out: &mut BytesMut, text: &str) {
     put_line(out, b'-', text);
 }
 
-/// Writes a command.
+/// Writes a command as an array of bulk strings. The first argument is the command's name.
 pub fn put_command(out: &mut BytesMut, arguments: &[&[u8]]) {
     put_array_header(out, arguments.len());
     arguments.iter().for_each(|argument| put_bulk(out, argument));
--- a/crates/resp/src/error.rs
+++ b/crates/resp/src/error.rs
@@ -1,64 +1,64 @@
-//! Why bytes cannot be decoded.
+//! Decoding errors.
 
-/// What is wrong with an item. Positions count in bytes from the item's first one.
+/// Why an item cannot be decoded. Positions are byte offsets from the start of the item.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum DecodeError {
-    /// The item or element begins with a byte that begins none here.
+    /// An item or element starts with a type byte that is not allowed here.
     #[error("byte {at}: expected {expected}, found 0x{found:02x}")]
     UnexpectedType {
-        /// Its position.
+        /// Position of the type byte.
         at: usize,
-        /// What may stand there.
+        /// The expected type.
         expected: &'static str,
-        /// The byte that does.
+        /// The byte found.
         found: u8,
     },
-    /// A line is too long or not ended by CR LF.
+    /// A line is too long or does not end with CR LF.
     #[error("byte {at}: expected a line of at most {max} bytes")]
     InvalidLine {
-        /// Where the line begins.
+        /// Position of the line.
         at: usize,
-        /// The limit.
+        /// Maximum length of a line, in bytes.
         max: usize,
     },
     /// An integer is malformed.
     #[error("byte {at}: expected a length")]
     InvalidInteger {
-        /// Where it begins.
+        /// Position of the integer.
         at: usize,
     },
     /// A length is out of range.
     #[error("byte {at}: expected a length from {min} to {max}, found {found}")]
     LengthOutOfRange {
-        /// Where it begins.
+        /// Position of the length.
         at: usize,
-        /// The least that is allowed.
+        /// Minimum that is allowed.
         min: i64,
-        /// The most that is allowed.
+        /// Maximum that is allowed.
         max: i64,
-        /// The length.
+        /// The length found.
         found: i64,
     },
-    /// A bulk string is longer than its length says.
+    /// A bulk string is not followed by CR LF at its declared length.
     #[error("byte {at}: expected the end of a value of {length} bytes")]
     MissingTerminator {
-        /// Where its end should be.
+        /// Position at which CR LF was expected.
         at: usize,
-        /// The length it declares.
+        /// The declared length of the bulk string.
         length: usize,
     },
     /// Arrays are nested too deeply.
     #[error("byte {at}: arrays nested deeper than {max}")]
     TooDeep {
-        /// Where the innermost one begins.
+        /// Position of the array that exceeds the limit.
         at: usize,
-        /// The limit.
+        /// Maximum nesting depth.
         max: usize,
     },
     /// The whole item is too long.
     #[error("an item of more than {max} bytes")]
     ItemTooLong {
-        /// The limit.
+        /// Maximum length of an item, in bytes.
         max: usize,
     },
 }
--- a/crates/resp/src/lib.rs
+++ b/crates/resp/src/lib.rs
@@ -1,9 +1,9 @@
-//! RESP2, free of I/O: commands as clients send them (arrays of bulk strings) and replies as servers send them.
+//! A sans-I/O codec for RESP2: commands as clients send them (arrays of bulk strings) and replies as servers send them.
 //!
-//! - [`decode_command`], [`decode_reply`]: take one complete item off the front of a buffer, or say that more bytes are
-//!   needed, or what is wrong and where
-//! - [`put_command`] and its like: append an item to a buffer
-//! - [`Limits`]: what an item may hold, so that a buffer never has to hold more
+//! - [`decode_command`], [`decode_reply`]: take one complete item (a command or a reply) off the front of a buffer
+//! - [`put_command`] and the other `put_` functions: append an item, or a part of one, to a buffer
+//! - [`Limits`]: maximum sizes of an item, which also bound the buffer of the caller
+//! - [`DecodeError`]: what is invalid, and at which byte
 
 mod decoder;
 mod encoder;
--- a/crates/resp/src/limits.rs
+++ b/crates/resp/src/limits.rs
@@ -1,16 +1,16 @@
-//! What an item may hold.
+//! Size limits of items.
 
-/// Limits of a command or a reply. A length is checked before memory is taken for it.
+/// Size limits of a command or a reply. A length is checked before memory is allocated for it.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// Elements of an array.
+    /// Maximum number of elements of an array, or of arguments of a command.
     pub max_elements: usize,
-    /// Nesting of arrays, the outermost one counted.
+    /// Maximum nesting depth of arrays in a reply. An array of plain values has depth 1.
     pub max_depth: usize,
-    /// Bytes of a bulk string.
+    /// Maximum length of a bulk string, in bytes.
     pub max_bulk_bytes: usize,
-    /// Bytes of a line without its end.
+    /// Maximum length of a line in bytes, without its CR LF.
     pub max_line_bytes: usize,
-    /// Bytes of the whole item.
+    /// Maximum length of the whole item, in bytes.
     pub max_item_bytes: usize,
 }
--- a/crates/resp/src/value.rs
+++ b/crates/resp/src/value.rs
@@ -2,24 +2,24 @@
 
 use bytes::Bytes;
 
-/// A command.
+/// A command: its name and arguments.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Command {
-    /// The name is the first one, as in `argv`.
+    /// The arguments. The first one is the command's name, as in `argv`.
     pub arguments: Vec<Bytes>,
 }
 
-/// A reply, or an element of one.
+/// A reply, or an element of an array reply.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Value {
-    /// `+`: a simple string.
+    /// A simple string, `+`.
     Simple(Bytes),
-    /// `-`: an error.
+    /// An error, `-`.
     Error(Bytes),
-    /// `:`: an integer.
+    /// An integer, `:`.
     Integer(i64),
-    /// `$`: a bulk string; none is null.
+    /// A bulk string, `$`. `None` is the null bulk string.
     Bulk(Option<Bytes>),
-    /// `*`: an array; none is null.
+    /// An array, `*`. `None` is the null array.
     Array(Option<Vec<Value>>),
 }
