--- a/crates/platform/src/discovery/call.rs
+++ b/crates/platform/src/discovery/call.rs
@@ -10,7 +10,7 @@
 
 const READ_BUFFER_BYTES: usize = 8 << 10;
 
-/// A connection with one request on it.
+/// A request to discovery on its own connection.
 pub(super) struct DiscoveryCall<'a> {
     runtime: &'a Shared,
     /// Timeout for the complete list, or for the rest of a partly received list.
--- a/crates/platform/src/endpoint_list.rs
+++ b/crates/platform/src/endpoint_list.rs
@@ -56,11 +56,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename = "Health", rename_all = "lowercase")]
 pub enum EndpointHealth {
-    /// It accepts requests.
+    /// The backend accepts requests.
     Ready,
-    /// It completes its current requests and accepts no new ones.
+    /// The backend completes its current requests and accepts no new ones.
     Draining,
-    /// It has been removed.
+    /// The backend has been removed.
     Gone,
 }
 
--- a/crates/platform/src/ingress.rs
+++ b/crates/platform/src/ingress.rs
@@ -45,7 +45,7 @@
     Bind {
         /// The configuration key of the address.
         what: &'static str,
-        /// The address.
+        /// The address that cannot be bound.
         address: SocketAddr,
         /// The operating system's error.
         error: std::io::Error,
@@ -244,7 +244,7 @@
             EndpointSet::new(deployment.zone_names.clone(), deployment.machine_kinds.clone());
         if let Some(list) = &self.config.cached_endpoints {
             let EndpointChange { update, endpoints } = endpoint_set.restore_cached(self.runtime.now(), list);
-            // Cannot fail: the channel is new and empty.
+            // Cannot fail: the channel is empty and its receiver exists.
             let _ = self.driver.try_send(DriverEvent::Endpoints { update, endpoints });
         }
         self.spawn(Box::pin(driver.run()));
--- a/crates/platform/src/request.rs
+++ b/crates/platform/src/request.rs
@@ -56,7 +56,7 @@
 /// A client's request.
 #[derive(Debug)]
 pub struct Request {
-    /// The customer's number.
+    /// The customer number.
     pub customer: u64,
     /// The id that the client gave the request.
     pub id: u64,
