--- a/crates/fault-injection/benches/ingress.rs
+++ b/crates/fault-injection/benches/ingress.rs
@@ -237,7 +237,7 @@
         if now >= end && (open.is_empty() || now > end + 2_000_000) {
             break;
         }
-        while pipe.conn.greeted() && now < end && pipe.conn.can_open().is_ok() {
+        while pipe.conn.settings_received() && now < end && pipe.conn.can_open().is_ok() {
             // Open loop: timed from when it was to be sent, so that a queue here counts as well.
             let at = match gap {
                 Some(gap) if next <= now as f64 => {
@@ -537,7 +537,7 @@
             let (keep, signal) = async_channel::bounded(1);
             let conn = Connection::client(Config { max_streams: 0, ..Config::default() });
             let mut pipe = Pipe::new(runtime.clone(), stream, conn, none, signal);
-            while !pipe.conn.greeted() {
+            while !pipe.conn.settings_received() {
                 assert!(matches!(pipe.turn(None, true).await, Turn::Read), "let in");
             }
             pipes.push((pipe, commands, keep));
--- a/crates/gateway/src/discovery/service.rs
+++ b/crates/gateway/src/discovery/service.rs
@@ -112,7 +112,7 @@
                     last_activity = self.runtime.now();
                     ping_sent = false;
                 }
-                Turn::Time if ping_sent || !pipe.conn.greeted() => return Err(CallError::Silent),
+                Turn::Time if ping_sent || !pipe.conn.settings_received() => return Err(CallError::Silent),
                 Turn::Time => {
                     pipe.conn.ping();
                     last_activity = self.runtime.now();
@@ -139,7 +139,7 @@
                     _ => {}
                 }
             }
-            if call.is_none() && pipe.conn.greeted() && pipe.conn.can_open().is_ok() {
+            if call.is_none() && pipe.conn.settings_received() && pipe.conn.can_open().is_ok() {
                 call = self.open_call(&mut pipe.conn);
             }
         }
--- a/crates/gateway/src/frontends/grpc/connection.rs
+++ b/crates/gateway/src/frontends/grpc/connection.rs
@@ -68,7 +68,7 @@
             break;
         }
         connection.handle_events(&mut pipe).await;
-        if !handshake_reported && pipe.conn.greeted() {
+        if !handshake_reported && pipe.conn.settings_received() {
             handshake_reported = true;
             connection.permit.handshake_completed();
         }
@@ -93,7 +93,7 @@
             }
             Turn::Time => {
                 if let Some(reason) = self.check_progress(pipe) {
-                    pipe.conn.abort(ConnError { code: http2::Code::ENHANCE_YOUR_CALM, what: reason });
+                    pipe.conn.abort(ConnError { code: http2::Code::ENHANCE_YOUR_CALM, reason });
                     add(&self.context.telemetry.too_slow);
                     add(&self.context.telemetry.connections_bad);
                     return ControlFlow::Break(());
@@ -123,7 +123,7 @@
         if draining {
             return ControlFlow::Continue(());
         }
-        pipe.conn.calm("idle, and others need the room; retry-after: 1");
+        pipe.conn.reject("idle, and others need the room; retry-after: 1");
         ControlFlow::Break(())
     }
 
--- a/crates/gateway/src/frontends/grpc/mod.rs
+++ b/crates/gateway/src/frontends/grpc/mod.rs
@@ -53,7 +53,7 @@
     let connection = Connection::server(Config::default());
     let mut pipe = Pipe::new(runtime.clone(), stream, connection, no_commands, no_signal);
     let seconds = retry_after.div_ceil(1_000_000).max(1);
-    pipe.conn.calm(&format!("no room for this connection; retry-after: {seconds}"));
+    pipe.conn.reject(&format!("no room for this connection; retry-after: {seconds}"));
     let deadline = runtime.now() + REJECTION_TIMEOUT;
     loop {
         if let Turn::Closed | Turn::Time = pipe.turn(Some(deadline), true).await {
--- a/crates/gateway/src/frontends/grpc/slow_clients.rs
+++ b/crates/gateway/src/frontends/grpc/slow_clients.rs
@@ -76,7 +76,7 @@
         let now = self.client_time();
         let idle_deadline = self.progress.idle_since + self.idle_timeout();
         let progress = &mut self.progress;
-        if !pipe.conn.midway() {
+        if !pipe.conn.has_partial_input() {
             progress.partial_frame = None;
         } else if progress.partial_frame.is_none() {
             progress.partial_frame = Some(PartialFrame { since: now, received_before: received });
@@ -86,7 +86,7 @@
             let known = known.filter(|unread| unread.since_by_pipe == since_by_pipe);
             UnreadOutput { since_by_pipe, since: known.map_or(now, |unread| unread.since), written }
         });
-        let handshake = (!pipe.conn.greeted()).then_some(progress.opened_at + minimum.grace_period);
+        let handshake = (!pipe.conn.settings_received()).then_some(progress.opened_at + minimum.grace_period);
         let frame = progress.partial_frame.as_ref();
         let frame = frame.map(|frame| minimum.deadline(frame.since, received - frame.received_before));
         let unread = progress.unread_output.as_ref();
@@ -105,7 +105,7 @@
         let idle_timeout = self.idle_timeout();
         let progress = &mut self.progress;
         progress.stalled = self.context.runtime.now().saturating_sub(now);
-        if !pipe.conn.greeted() && now >= progress.opened_at + minimum.grace_period {
+        if !pipe.conn.settings_received() && now >= progress.opened_at + minimum.grace_period {
             return Some("no SETTINGS in time");
         }
         let frame = progress.partial_frame.as_ref();
--- a/crates/gateway/src/frontends/mqtt/connection.rs
+++ b/crates/gateway/src/frontends/mqtt/connection.rs
@@ -13,7 +13,7 @@
 use chalkgap_runtime::{Micros, Stream};
 use chalkgap_transport::{Pipe, Turn};
 use chalkgap_wire::mqtt::packet::{Filter, Subscribe, Unsubscribe, Will};
-use chalkgap_wire::mqtt::server::{connect_code, Event, Server, Session};
+use chalkgap_wire::mqtt::server::{connack_code, Event, Server, Session};
 use chalkgap_wire::mqtt::{reason, Error, Properties, QoS};
 use futures_lite::future;
 use std::collections::HashMap;
@@ -148,7 +148,7 @@
     fn deadlines(&self, pipe: &ClientPipe, opened_at: Micros, last_packet_at: Micros) -> TurnDeadlines {
         let minimum = self.permit.minimum_throughput();
         let keep_alive = if pipe.conn.open() {
-            pipe.conn.patience().map(|seconds| last_packet_at + (seconds * 1e6) as Micros)
+            pipe.conn.keep_alive_timeout().map(|seconds| last_packet_at + (seconds * 1e6) as Micros)
         } else {
             Some(opened_at + minimum.grace_period)
         };
@@ -194,7 +194,7 @@
                 add(&self.context.telemetry.connections_bad);
                 tracing::debug!(peer = %self.peer, %error, "protocol error, closing client connection");
                 if pipe.conn.version().is_none() || self.session_key.is_empty() {
-                    pipe.conn.refuse(connect_code(&error), Properties::default());
+                    pipe.conn.refuse(connack_code(&error), Properties::default());
                 }
                 ControlFlow::Break(())
             }
@@ -236,7 +236,7 @@
             match event {
                 Event::Connect(connect) => self.on_connect(*connect, pipe).await,
                 Event::Publish(publish) => self.on_publish(publish, pipe).await,
-                Event::Repeated(publish) => self.reject_unknown_duplicate(&publish, pipe),
+                Event::UnknownDuplicate(publish) => self.reject_unknown_duplicate(&publish, pipe),
                 Event::Subscribe(subscribe) => self.on_subscribe(&subscribe, pipe),
                 Event::Unsubscribe(unsubscribe) => self.on_unsubscribe(&unsubscribe, pipe),
                 Event::Disconnect { will, expiry } => self.on_disconnect(will, expiry),
@@ -336,7 +336,7 @@
             let Some(publish) = self.close_publish(&response) else { continue };
             let answer = MqttAnswer::from(response.answer);
             if publish.qos == QoS::ExactlyOnce {
-                session.said(publish.packet, answer.code, answer.properties);
+                session.record_response(publish.packet, answer.code, answer.properties);
             }
         }
     }
--- a/crates/gateway/src/frontends/mqtt/mod.rs
+++ b/crates/gateway/src/frontends/mqtt/mod.rs
@@ -99,10 +99,10 @@
 impl SharedState {
     fn protocol_limits(&self) -> Limits {
         Limits {
-            packet: self.settings.most_packet,
-            receive: self.settings.receive_maximum,
-            aliases: self.settings.topic_aliases,
-            remembered: MAX_REMEMBERED_IDENTIFIERS,
+            packet_bytes: self.settings.most_packet,
+            receive_maximum: self.settings.receive_maximum,
+            topic_alias_maximum: self.settings.topic_aliases,
+            remembered_identifiers: MAX_REMEMBERED_IDENTIFIERS,
         }
     }
 }
--- a/crates/gateway/src/frontends/mqtt/snapshot.rs
+++ b/crates/gateway/src/frontends/mqtt/snapshot.rs
@@ -51,7 +51,7 @@
     fn stored_sessions(&self) -> Vec<StoredSession> {
         let sessions = lock(&self.shared.sessions);
         let stored = sessions.idle_sessions().map(|(key, idle)| {
-            StoredSession(key.to_owned(), idle.expires_at, idle.session.known().collect())
+            StoredSession(key.to_owned(), idle.expires_at, idle.session.responses().collect())
         });
         let mut stored: Vec<StoredSession> = stored.collect();
         stored.sort_unstable();
--- a/crates/gateway/src/ledger/export.rs
+++ b/crates/gateway/src/ledger/export.rs
@@ -8,7 +8,7 @@
 use chalkgap_ledger::export::{Config, ConsumerReply, ExportBlocked, ExportStep, Exporter};
 use chalkgap_runtime::Micros;
 use chalkgap_transport::unary;
-use chalkgap_wire::billing::{Hand, Handed, HAND};
+use chalkgap_wire::billing::{HandRequest, HandResponse, HAND};
 use chalkgap_wire::grpc;
 use prost::Message;
 use std::net::SocketAddr;
@@ -117,16 +117,19 @@
     async fn call_consumer(&self, address: SocketAddr, batch: &Batch) -> ConsumerReply {
         let runtime = &self.ledger.runtime;
         let until = runtime.now() + self.settings.patience_ms * 1000;
-        let message =
-            Hand { stream: batch.stream.clone(), number: batch.number, batch: batch.encode_to_vec().into() };
+        let message = HandRequest {
+            stream: batch.stream.clone(),
+            number: batch.number,
+            batch: batch.encode_to_vec().into(),
+        };
         let message = grpc::frame(&message);
         let response = unary::call(runtime, address, HAND, message, MAX_BATCH_BYTES as usize, until).await;
-        let handed = response.ok().and_then(|message| Handed::decode(message).ok());
+        let handed = response.ok().and_then(|message| HandResponse::decode(message).ok());
         handed.map_or(ConsumerReply::None, |handed| reply_of(batch, &handed))
     }
 }
 
-fn reply_of(batch: &Batch, handed: &Handed) -> ConsumerReply {
+fn reply_of(batch: &Batch, handed: &HandResponse) -> ConsumerReply {
     if handed.batch.is_empty() {
         return ConsumerReply::Gap { last: handed.last };
     }
--- a/crates/gateway/src/ledger/usage_lookup.rs
+++ b/crates/gateway/src/ledger/usage_lookup.rs
@@ -7,7 +7,7 @@
 use chalkgap_runtime::Micros;
 use chalkgap_transport::{unary, while_alive};
 use chalkgap_wire::grpc;
-use chalkgap_wire::truth::{Answer, Fate, Question, ASK, MOST};
+use chalkgap_wire::truth::{Answer, ExecutionStatus, Question, ASK, MAX_REQUESTS};
 use prost::Message;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -25,7 +25,7 @@
 pub(super) async fn run(ledger: Arc<LedgerHandle>, alive: Receiver<()>) {
     loop {
         ledger.runtime.sleep_until(ledger.runtime.now() + CHECK_MICROS).await;
-        let lookups = lock(&ledger.recorder).lookups_due(ledger.runtime.now(), MOST, MAX_NODES);
+        let lookups = lock(&ledger.recorder).lookups_due(ledger.runtime.now(), MAX_REQUESTS, MAX_NODES);
         let mut calls = Vec::new();
         for (node, requests) in lookups {
             let call = query_node(ledger.clone(), node, requests);
@@ -45,24 +45,24 @@
     let until = ledger.runtime.now() + CALL_TIMEOUT_MICROS;
     let answer = unary::call(&ledger.runtime, address, ASK, question, MAX_ANSWER_BYTES, until).await;
     let answer = answer.ok().and_then(|message| Answer::decode(message).ok());
-    let Some(answer) = answer.filter(|answer| answer.fates.len() == requests.len()) else {
+    let Some(answer) = answer.filter(|answer| answer.statuses.len() == requests.len()) else {
         return add(&ledger.telemetry.ledger_unanswered);
     };
     let now = ledger.runtime.now();
     {
         let mut recorder = lock(&ledger.recorder);
-        for (lookup, fate) in requests.iter().zip(&answer.fates) {
-            recorder.lookup_answered(now, lookup.id, &node, status_of(*fate));
+        for (lookup, status) in requests.iter().zip(&answer.statuses) {
+            recorder.lookup_answered(now, lookup.id, &node, status_of(*status));
         }
     }
     ledger.wake_writer();
 }
 
-fn status_of(fate: i32) -> RequestStatus {
-    match Fate::try_from(fate) {
-        Ok(Fate::Never) => RequestStatus::NeverRan,
-        Ok(Fate::Running) => RequestStatus::Running,
-        Ok(Fate::Ran) => RequestStatus::Ran,
-        Ok(Fate::Unknown) | Err(_) => RequestStatus::Unknown,
+fn status_of(status: i32) -> RequestStatus {
+    match ExecutionStatus::try_from(status) {
+        Ok(ExecutionStatus::Never) => RequestStatus::NeverRan,
+        Ok(ExecutionStatus::Running) => RequestStatus::Running,
+        Ok(ExecutionStatus::Ran) => RequestStatus::Ran,
+        Ok(ExecutionStatus::Unknown) | Err(_) => RequestStatus::Unknown,
     }
 }
--- a/crates/gateway/src/upstream/calls.rs
+++ b/crates/gateway/src/upstream/calls.rs
@@ -31,7 +31,7 @@
 impl ConnectionTask {
     /// Opens streams for the attempts that are not written yet, up to the node's limit on concurrent streams.
     pub(super) fn write_unsent(&mut self, pipe: &mut Pipe<Command>) {
-        while pipe.conn.greeted() && pipe.conn.can_open().is_ok() {
+        while pipe.conn.settings_received() && pipe.conn.can_open().is_ok() {
             let Some(call) = self.unsent.pop_front() else { return };
             let now = self.shared.runtime.now();
             let time_left = call.deadline.saturating_sub(now);
@@ -55,18 +55,18 @@
         let mut fields = vec![
             Field::constant(":method", "POST"),
             Field::constant(":scheme", "http"),
-            Field::new(":path", format!("{}{class}", intake::SERVICE)),
+            Field::new(":path", format!("{}{class}", intake::PATH_PREFIX)),
             Field::new(":authority", self.address.to_string()),
             Field::constant("content-type", "application/grpc"),
             Field::constant("te", "trailers"),
             Field::new("grpc-timeout", grpc::format_timeout(timeout)),
-            Field::new(intake::REQUEST, node_request_id(&self.shared.instance_name, call.id)),
+            Field::new(intake::REQUEST_ID_HEADER, node_request_id(&self.shared.instance_name, call.id)),
         ];
         if let Some(at) = call.ledger_entry_at {
-            fields.push(Field::new(truth::ENTERED, at.to_string()));
+            fields.push(Field::new(truth::ACCEPTED_AT_HEADER, at.to_string()));
         }
         if let Some(key) = &call.work.idempotency_key {
-            fields.push(Field::new(intake::KEY, key.clone()));
+            fields.push(Field::new(intake::IDEMPOTENCY_KEY_HEADER, key.clone()));
         }
         fields
     }
@@ -79,10 +79,10 @@
                     pipe.conn.consumed(stream, data.len());
                     self.on_data(stream, &data, end, pipe);
                 }
-                Event::Reset { stream, code, ours } => {
+                Event::Reset { stream, code, local } => {
                     let Some(open) = self.open.remove(&stream) else { continue };
                     // RFC 9113, section 8.7: with REFUSED_STREAM the node has not processed the request.
-                    let not_processed = code == Code::REFUSED_STREAM && !ours;
+                    let not_processed = code == Code::REFUSED_STREAM && !local;
                     let outcome = if not_processed { Outcome::Rejected } else { Outcome::Reset };
                     self.results.push(result_without_answer(&open.call, outcome));
                     self.idle_since = self.shared.runtime.now();
--- a/crates/gateway/src/upstream/connection.rs
+++ b/crates/gateway/src/upstream/connection.rs
@@ -89,7 +89,7 @@
         let mut pipe = Pipe::new(runtime.clone(), stream, Connection::client(config), commands.clone(), kill);
         loop {
             let idle_deadline = self.idle_since + upstream.keepalive_ms * 1000;
-            let deadline = match pipe.conn.greeted() {
+            let deadline = match pipe.conn.settings_received() {
                 false => Some(connect_deadline),
                 true => self.open.is_empty().then_some(idle_deadline),
             };
@@ -101,7 +101,7 @@
                     }
                 }
                 Turn::Read => {}
-                Turn::Time if !pipe.conn.greeted() => return Outcome::ConnectFailed, // no SETTINGS in time
+                Turn::Time if !pipe.conn.settings_received() => return Outcome::ConnectFailed, // no SETTINGS in time
                 Turn::Time if self.unsent.is_empty() => {
                     pipe.conn.shutdown();
                     pipe.close(runtime.now() + CLOSE_TIMEOUT).await;
@@ -116,7 +116,7 @@
                     return Outcome::NotSent;
                 }
                 Turn::Signal | Turn::Closed => {
-                    let greeted = pipe.conn.greeted();
+                    let greeted = pipe.conn.settings_received();
                     return if greeted { Outcome::NotSent } else { Outcome::ConnectFailed };
                 }
             }
--- a/crates/testbed/src/billing.rs
+++ b/crates/testbed/src/billing.rs
@@ -7,7 +7,7 @@
 use chalkgap_runtime::Shared;
 use chalkgap_transport::unary::{self, Handler, Limits};
 use chalkgap_transport::while_alive;
-use chalkgap_wire::billing::{Hand, Handed, HAND};
+use chalkgap_wire::billing::{HandRequest, HandResponse, HAND};
 use chalkgap_wire::grpc::{self, Code, Status};
 use prost::Message;
 use rand::rngs::SmallRng;
@@ -37,7 +37,7 @@
     }
 
     /// Takes what comes next, and says what is there.
-    pub fn hand(&self, hand: &Hand) -> Handed {
+    pub fn hand(&self, hand: &HandRequest) -> HandResponse {
         let mut all = lock(&self.0);
         let list = all.entry(hand.stream.clone()).or_default();
         if hand.number == list.len() as u64 + 1 {
@@ -45,7 +45,7 @@
         }
         let at = (hand.number as usize).checked_sub(1);
         let batch = at.and_then(|n| list.get(n)).cloned().unwrap_or_default();
-        Handed { last: list.len() as u64, batch }
+        HandResponse { last: list.len() as u64, batch }
     }
 }
 
@@ -81,7 +81,7 @@
                     return Err(Status::new(Code::Unavailable, "told to refuse"));
                 }
                 let broken = |e: prost::DecodeError| Status::new(Code::InvalidArgument, e.to_string());
-                let handed = vault.hand(&Hand::decode(message).map_err(broken)?);
+                let handed = vault.hand(&HandRequest::decode(message).map_err(broken)?);
                 if silent {
                     return Err(Status::new(Code::Unavailable, "told to say nothing of what it took"));
                 }
--- a/crates/testbed/src/client.rs
+++ b/crates/testbed/src/client.rs
@@ -279,7 +279,7 @@
 
     /// Opens streams for calls that wait, as far as the gateway permits.
     fn open_waiting(&mut self) {
-        while self.pipe.conn.greeted() && self.pipe.conn.can_open().is_ok() {
+        while self.pipe.conn.settings_received() && self.pipe.conn.can_open().is_ok() {
             let Some(NewCall { message, deadline, outcome }) = self.waiting.pop_front() else { return };
             let time_left = deadline.saturating_sub(self.runtime.now());
             let fields = [
--- a/crates/testbed/src/node/execution_log.rs
+++ b/crates/testbed/src/node/execution_log.rs
@@ -2,7 +2,7 @@
 
 use crate::lock;
 use chalkgap_runtime::Micros;
-use chalkgap_wire::truth::Fate;
+use chalkgap_wire::truth::ExecutionStatus;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::{Arc, Mutex};
 
@@ -62,15 +62,15 @@
     }
 
     /// Whether a request ran. One that has not is barred from running later.
-    pub(super) fn look_up(&self, request: &str) -> Fate {
+    pub(super) fn look_up(&self, request: &str) -> ExecutionStatus {
         let mut executions = lock(&self.0);
         if executions.completed.contains_key(request) {
-            Fate::Ran
+            ExecutionStatus::Ran
         } else if executions.running.contains(request) {
-            Fate::Running
+            ExecutionStatus::Running
         } else {
             executions.barred.insert(request.into());
-            Fate::Never
+            ExecutionStatus::Never
         }
     }
 }
--- a/crates/testbed/src/node/server.rs
+++ b/crates/testbed/src/node/server.rs
@@ -12,7 +12,7 @@
 use chalkgap_wire::http2::{Code, Config, Connection, Event, Field, SendError};
 use chalkgap_wire::intake::{self, Done, Work};
 use chalkgap_wire::orca;
-use chalkgap_wire::truth::{self, Answer, Fate, Question};
+use chalkgap_wire::truth::{self, Answer, ExecutionStatus, Question};
 use prost::Message;
 use std::collections::HashMap;
 use std::future::Future;
@@ -110,12 +110,12 @@
         };
         let path = text(":path").unwrap_or_default();
         let call = work.entries.iter().find(|entry| entry.key == CALL_ENTRY);
-        let entered = text(truth::ENTERED).and_then(|text| text.parse().ok()).unwrap_or(0);
+        let entered = text(truth::ACCEPTED_AT_HEADER).and_then(|text| text.parse().ok()).unwrap_or(0);
         Attempt {
-            class: path.strip_prefix(intake::SERVICE).unwrap_or_default().to_owned(),
-            key: text(intake::KEY),
+            class: path.strip_prefix(intake::PATH_PREFIX).unwrap_or_default().to_owned(),
+            key: text(intake::IDEMPOTENCY_KEY_HEADER),
             call: call.and_then(|entry| entry.value.parse().ok()).unwrap_or_default(),
-            request: text(intake::REQUEST).unwrap_or_default(),
+            request: text(intake::REQUEST_ID_HEADER).unwrap_or_default(),
             usage: Used { account: work.account.clone(), units: work.units.into(), entered },
         }
     }
@@ -215,8 +215,9 @@
             let engine = lock(&self.engine);
             (engine.machine.executions.clone(), engine.faults.forgets)
         };
-        let fate = |request: &String| if forgets { Fate::Unknown } else { executions.look_up(request) };
-        Answer { fates: question.requests.iter().map(|request| fate(request).into()).collect() }
+        let status =
+            |request: &String| if forgets { ExecutionStatus::Unknown } else { executions.look_up(request) };
+        Answer { statuses: question.requests.iter().map(|request| status(request).into()).collect() }
     }
 }
 
--- a/crates/testbed/src/rogue.rs
+++ b/crates/testbed/src/rogue.rs
@@ -218,14 +218,14 @@
     let fields = [
         Field::constant(":method", "POST"),
         Field::constant(":scheme", "http"),
-        Field::new(":path", format!("{}{class}", intake::SERVICE)),
-        Field::new(intake::REQUEST, Bytes::from(name.to_owned())),
+        Field::new(":path", format!("{}{class}", intake::PATH_PREFIX)),
+        Field::new(intake::REQUEST_ID_HEADER, Bytes::from(name.to_owned())),
     ];
     let deadline = runtime.now() + ATTEMPT_TIMEOUT_MICROS;
     let served = async {
         let mut sent = false;
         loop {
-            if !sent && pipe.conn.greeted() {
+            if !sent && pipe.conn.settings_received() {
                 if let Ok(stream) = pipe.conn.open(&fields, false) {
                     let _ = pipe.conn.data(stream, grpc::frame(work), true); // cannot fail: the stream was just opened
                     sent = true;
--- a/crates/transport/src/unary/client.rs
+++ b/crates/transport/src/unary/client.rs
@@ -52,7 +52,7 @@
             }
         }
         // Before the server's SETTINGS nothing is sent: an unanswered handshake then proves that nothing ran.
-        if !exchange.opened && pipe.conn.greeted() && pipe.conn.can_open().is_ok() {
+        if !exchange.opened && pipe.conn.settings_received() && pipe.conn.can_open().is_ok() {
             open(&mut pipe.conn, to, path, message.clone())?;
             exchange.opened = true;
         }
--- a/crates/wire/src/billing.rs
+++ b/crates/wire/src/billing.rs
@@ -8,7 +8,7 @@
 
 /// A batch is handed over.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
-pub struct Hand {
+pub struct HandRequest {
     #[prost(string, tag = "1")]
     pub stream: String,
     /// From 1.
@@ -21,7 +21,7 @@
 
 /// The word on it.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
-pub struct Handed {
+pub struct HandResponse {
     /// The last number of the stream that is there.
     #[prost(uint64, tag = "1")]
     pub last: u64,
--- a/crates/wire/src/http2/connection/allowance.rs
+++ b/crates/wire/src/http2/connection/allowance.rs
@@ -16,8 +16,8 @@
 
 impl ControlAllowance {
     pub(super) fn new(config: &Config) -> Self {
-        let capacity = f64::from(config.calm_burst) + 2.0 * f64::from(config.max_streams);
-        let per_second = f64::from(config.calm_per_s);
+        let capacity = f64::from(config.control_burst) + 2.0 * f64::from(config.max_streams);
+        let per_second = f64::from(config.control_per_s);
         ControlAllowance { tokens: capacity, capacity, per_second, refilled_at: 0 }
     }
 
@@ -25,12 +25,12 @@
     ///
     /// # Errors
     /// The allowance is used up: the connection ends with ENHANCE_YOUR_CALM, for the reason `what`.
-    pub(super) fn spend(&mut self, now: u64, cost: f64, what: &'static str) -> Result<(), ConnError> {
+    pub(super) fn spend(&mut self, now: u64, cost: f64, reason: &'static str) -> Result<(), ConnError> {
         let elapsed = now.saturating_sub(self.refilled_at) as f64 / MICROS_PER_SECOND;
         self.refilled_at = now;
         self.tokens = (self.tokens + elapsed * self.per_second).min(self.capacity) - cost;
         if self.tokens < 0.0 {
-            return Err(ConnError::new(Code::ENHANCE_YOUR_CALM, what));
+            return Err(ConnError::new(Code::ENHANCE_YOUR_CALM, reason));
         }
         Ok(())
     }
--- a/crates/wire/src/http2/connection/config.rs
+++ b/crates/wire/src/http2/connection/config.rs
@@ -16,9 +16,9 @@
     /// Bytes that may wait on a stream for the peer's window.
     pub send_buffer: usize,
     /// Control frames and resets that may come at once, besides two for each allowed stream.
-    pub calm_burst: u32,
+    pub control_burst: u32,
     /// Control frames and resets that may come in a second, permanently.
-    pub calm_per_s: u32,
+    pub control_per_s: u32,
 }
 
 impl Default for Config {
@@ -30,8 +30,8 @@
             header_list: 16 << 10,
             header_table: 4096,
             send_buffer: 1 << 20,
-            calm_burst: 200,
-            calm_per_s: 100,
+            control_burst: 200,
+            control_per_s: 100,
         }
     }
 }
--- a/crates/wire/src/http2/connection/events.rs
+++ b/crates/wire/src/http2/connection/events.rs
@@ -34,7 +34,7 @@
         /// The code that was sent or received.
         code: Code,
         /// This side closed it, for an error of the peer.
-        ours: bool,
+        local: bool,
     },
     /// The peer accepts no new streams. Those above its last id came as `Reset` with REFUSED_STREAM before this.
     GoAway(Code),
--- a/crates/wire/src/http2/connection/messages.rs
+++ b/crates/wire/src/http2/connection/messages.rs
@@ -1,6 +1,6 @@
 //! Frames that make up requests and responses: HEADERS, CONTINUATION and DATA (RFC 9113, sections 6.1, 6.2, 6.10 and 8.1).
 
-use super::super::frame::{unpad, Code, ConnError, Head, END_HEADERS, END_STREAM, PRIORITIZED};
+use super::super::frame::{unpad, Code, ConnError, FrameHeader, END_HEADERS, END_STREAM, PRIORITIZED};
 use super::super::hpack::{Field, HpackError};
 use super::receiving::LATE_FRAME_COST;
 use super::validation::{check, CheckedFields, MessageKind};
@@ -15,8 +15,8 @@
 const PRIORITY_BYTES: usize = 5;
 
 impl Connection {
-    pub(super) fn on_data(&mut self, head: Head, payload: Bytes) -> Result<(), ConnError> {
-        let id = head.stream;
+    pub(super) fn on_data(&mut self, header: FrameHeader, payload: Bytes) -> Result<(), ConnError> {
+        let id = header.stream;
         if id == 0 || self.is_idle(id) {
             return Err(protocol_error("DATA on a stream that is not open"));
         }
@@ -25,8 +25,8 @@
         if self.receive_window < 0 {
             return Err(ConnError::new(Code::FLOW_CONTROL_ERROR, "DATA beyond the connection's window"));
         }
-        let data = unpad(&head, payload).ok_or(protocol_error("padding longer than the frame"))?;
-        let end = head.has(END_STREAM);
+        let data = unpad(&header, payload).ok_or(protocol_error("padding longer than the frame"))?;
+        let end = header.has(END_STREAM);
         if data.is_empty() && !end {
             self.spend(EMPTY_FRAME_COST, "too many empty DATA frames")?;
         }
@@ -94,29 +94,29 @@
         }
     }
 
-    pub(super) fn on_headers(&mut self, head: Head, payload: Bytes) -> Result<(), ConnError> {
-        let id = head.stream;
+    pub(super) fn on_headers(&mut self, header: FrameHeader, payload: Bytes) -> Result<(), ConnError> {
+        let id = header.stream;
         if id == 0 || id % 2 == 0 {
             return Err(protocol_error("HEADERS on a stream that a client cannot have opened"));
         }
         if !self.is_server && self.is_idle(id) {
             return Err(protocol_error("an answer on a stream that was never opened"));
         }
-        let mut part = unpad(&head, payload).ok_or(protocol_error("padding longer than the frame"))?;
-        if head.has(PRIORITIZED) {
+        let mut part = unpad(&header, payload).ok_or(protocol_error("padding longer than the frame"))?;
+        if header.has(PRIORITIZED) {
             if part.len() < PRIORITY_BYTES {
                 return Err(ConnError::new(Code::FRAME_SIZE_ERROR, "HEADERS too short for its priority"));
             }
             part.advance(PRIORITY_BYTES);
         }
-        if head.has(END_HEADERS) {
-            return self.on_header_block(head, &part);
+        if header.has(END_HEADERS) {
+            return self.on_header_block(header, &part);
         }
-        self.header_block = Some(HeaderBlock { head, bytes: BytesMut::from(&part[..]), frames: 0 });
+        self.header_block = Some(HeaderBlock { header, bytes: BytesMut::from(&part[..]), frames: 0 });
         Ok(())
     }
 
-    pub(super) fn on_continuation(&mut self, head: Head, payload: &[u8]) -> Result<(), ConnError> {
+    pub(super) fn on_continuation(&mut self, header: FrameHeader, payload: &[u8]) -> Result<(), ConnError> {
         let limit = self.config.header_list as usize;
         let Some(block) = &mut self.header_block else {
             return Err(protocol_error("CONTINUATION without an open header block"));
@@ -126,19 +126,19 @@
             return Err(ConnError::new(Code::ENHANCE_YOUR_CALM, "a header block over the limit"));
         }
         block.bytes.extend_from_slice(payload);
-        if !head.has(END_HEADERS) {
+        if !header.has(END_HEADERS) {
             return Ok(());
         }
         match self.header_block.take() {
-            Some(block) => self.on_header_block(block.head, &block.bytes),
+            Some(block) => self.on_header_block(block.header, &block.bytes),
             None => Ok(()),
         }
     }
 
     /// A whole header block. It is decoded in any case: the tables of both sides must stay alike.
-    fn on_header_block(&mut self, head: Head, block: &[u8]) -> Result<(), ConnError> {
-        let id = head.stream;
-        let end = head.has(END_STREAM);
+    fn on_header_block(&mut self, header: FrameHeader, block: &[u8]) -> Result<(), ConnError> {
+        let id = header.stream;
+        let end = header.has(END_STREAM);
         let fields = self.decode_fields(block)?;
         if self.is_server && self.is_idle(id) {
             self.last_peer_stream = id;
--- a/crates/wire/src/http2/connection/mod.rs
+++ b/crates/wire/src/http2/connection/mod.rs
@@ -24,7 +24,8 @@
 use self::allowance::ControlAllowance;
 use self::stream::Stream;
 use super::frame::{
-    write_goaway, write_head, write_settings, write_u32, Code, ConnError, Head, PING, PREFACE, WINDOW_UPDATE,
+    write_frame_header, write_goaway, write_settings, write_u32, Code, ConnError, FrameHeader, PING, PREFACE,
+    WINDOW_UPDATE,
 };
 use super::hpack::{Decoder, Encoder};
 use bytes::{BufMut, BytesMut};
@@ -54,7 +55,7 @@
 
 /// A header block whose CONTINUATION frames are still to come (section 6.10).
 struct HeaderBlock {
-    head: Head,
+    header: FrameHeader,
     bytes: BytesMut,
     frames: u32,
 }
@@ -103,8 +104,8 @@
     error: Option<ConnError>,
 }
 
-fn protocol_error(what: &'static str) -> ConnError {
-    ConnError::new(Code::PROTOCOL_ERROR, what)
+fn protocol_error(reason: &'static str) -> ConnError {
+    ConnError::new(Code::PROTOCOL_ERROR, reason)
 }
 
 impl Connection {
@@ -189,7 +190,7 @@
     }
 
     /// Whether the peer is in the middle of its preface, a frame or a header block.
-    pub fn midway(&self) -> bool {
+    pub fn has_partial_input(&self) -> bool {
         let in_preface = self.preface_left > 0 && self.preface_left < PREFACE.len();
         !self.input.is_empty() || self.header_block.is_some() || in_preface
     }
@@ -200,7 +201,7 @@
     }
 
     /// Whether the peer's SETTINGS have come.
-    pub fn greeted(&self) -> bool {
+    pub fn settings_received(&self) -> bool {
         self.is_ready
     }
 
@@ -230,7 +231,7 @@
 
     /// Sends a PING; the response comes as [`Event::Pong`].
     pub fn ping(&mut self) {
-        write_head(&mut self.output, 8, PING, 0, 0);
+        write_frame_header(&mut self.output, 8, PING, 0, 0);
         self.output.put_u64(0);
     }
 
@@ -243,7 +244,7 @@
         if self.is_server {
             self.goaway_sent = Some(MAX_WINDOW as u32);
             write_goaway(&mut self.output, MAX_WINDOW as u32, Code::NO_ERROR, b"drain");
-            write_head(&mut self.output, 8, PING, 0, 0);
+            write_frame_header(&mut self.output, 8, PING, 0, 0);
             self.output.put_u64(DRAIN_PING);
         } else {
             self.goaway_sent = Some(self.last_peer_stream);
@@ -254,7 +255,7 @@
 
     /// Rejects the connection with ENHANCE_YOUR_CALM and a text for people: no stream that the peer opens is processed.
     /// For connections on which no request was accepted; the caller closes them afterwards.
-    pub fn calm(&mut self, text: &str) {
+    pub fn reject(&mut self, text: &str) {
         write_goaway(&mut self.output, 0, Code::ENHANCE_YOUR_CALM, text.as_bytes());
     }
 
@@ -267,10 +268,10 @@
         self.error = Some(error);
         self.input = BytesMut::new();
         self.header_block = None;
-        write_goaway(&mut self.output, self.last_peer_stream, error.code, error.what.as_bytes());
+        write_goaway(&mut self.output, self.last_peer_stream, error.code, error.reason.as_bytes());
         self.scheduled.clear();
         for stream in std::mem::take(&mut self.streams).into_keys() {
-            self.events.push_back(Event::Reset { stream, code: error.code, ours: true });
+            self.events.push_back(Event::Reset { stream, code: error.code, local: true });
         }
     }
 
--- a/crates/wire/src/http2/connection/receiving.rs
+++ b/crates/wire/src/http2/connection/receiving.rs
@@ -2,8 +2,9 @@
 //! sections 6.3 to 6.9).
 
 use super::super::frame::{
-    write_goaway, write_head, write_u32, Code, ConnError, Head, ACK, CONTINUATION, DATA, GOAWAY, HEAD,
-    HEADERS, PING, PREFACE, PRIORITY, PUSH_PROMISE, RST_STREAM, SETTINGS, WINDOW_UPDATE,
+    write_frame_header, write_goaway, write_u32, Code, ConnError, FrameHeader, ACK, CONTINUATION, DATA,
+    FRAME_HEADER_BYTES, GOAWAY, HEADERS, PING, PREFACE, PRIORITY, PUSH_PROMISE, RST_STREAM, SETTINGS,
+    WINDOW_UPDATE,
 };
 use super::{
     protocol_error, Connection, Event, DRAIN_PING, MAX_FRAME_BYTES, MAX_WINDOW, SETTINGS_ENABLE_PUSH,
@@ -51,17 +52,17 @@
 
     fn read_input(&mut self) -> Result<(), ConnError> {
         self.read_preface()?;
-        while self.preface_left == 0 && self.input.len() >= HEAD {
-            let head = Head::read(&self.input);
-            if head.len > MAX_FRAME_BYTES {
+        while self.preface_left == 0 && self.input.len() >= FRAME_HEADER_BYTES {
+            let header = FrameHeader::read(&self.input);
+            if header.len > MAX_FRAME_BYTES {
                 return Err(ConnError::new(Code::FRAME_SIZE_ERROR, "frame of more than 16,384 bytes"));
             }
-            if self.input.len() < HEAD + head.len {
+            if self.input.len() < FRAME_HEADER_BYTES + header.len {
                 break;
             }
-            self.input.advance(HEAD);
-            let payload = self.input.split_to(head.len).freeze();
-            self.on_frame(head, payload)?;
+            self.input.advance(FRAME_HEADER_BYTES);
+            let payload = self.input.split_to(header.len).freeze();
+            self.on_frame(header, payload)?;
         }
         Ok(())
     }
@@ -78,30 +79,30 @@
     }
 
     /// Draws on the allowance for frames that cost the peer nothing.
-    pub(super) fn spend(&mut self, cost: f64, what: &'static str) -> Result<(), ConnError> {
-        self.allowance.spend(self.now, cost, what)
+    pub(super) fn spend(&mut self, cost: f64, reason: &'static str) -> Result<(), ConnError> {
+        self.allowance.spend(self.now, cost, reason)
     }
 
-    fn on_frame(&mut self, head: Head, payload: Bytes) -> Result<(), ConnError> {
-        if !self.is_ready && (head.kind != SETTINGS || head.has(ACK)) {
+    fn on_frame(&mut self, header: FrameHeader, payload: Bytes) -> Result<(), ConnError> {
+        if !self.is_ready && (header.kind != SETTINGS || header.has(ACK)) {
             return Err(protocol_error("expected SETTINGS as the first frame"));
         }
         if let Some(block) = &self.header_block {
-            if head.kind != CONTINUATION || head.stream != block.head.stream {
+            if header.kind != CONTINUATION || header.stream != block.header.stream {
                 return Err(protocol_error("expected the CONTINUATION of an open header block"));
             }
         }
-        match head.kind {
-            DATA => self.on_data(head, payload),
-            HEADERS => self.on_headers(head, payload),
-            PRIORITY => self.on_priority(head),
-            RST_STREAM => self.on_reset(head, &payload),
-            SETTINGS => self.on_settings(head, &payload),
+        match header.kind {
+            DATA => self.on_data(header, payload),
+            HEADERS => self.on_headers(header, payload),
+            PRIORITY => self.on_priority(header),
+            RST_STREAM => self.on_reset(header, &payload),
+            SETTINGS => self.on_settings(header, &payload),
             PUSH_PROMISE => Err(protocol_error("PUSH_PROMISE where none is allowed")),
-            PING => self.on_ping(head, &payload),
-            GOAWAY => self.on_goaway(head, &payload),
-            WINDOW_UPDATE => self.on_window_update(head, &payload),
-            CONTINUATION => self.on_continuation(head, &payload),
+            PING => self.on_ping(header, &payload),
+            GOAWAY => self.on_goaway(header, &payload),
+            WINDOW_UPDATE => self.on_window_update(header, &payload),
+            CONTINUATION => self.on_continuation(header, &payload),
             // Passed over (section 5.5).
             _ => self.spend(CONTROL_FRAME_COST, "too many frames of unknown types"),
         }
@@ -113,59 +114,59 @@
         write_u32(&mut self.output, RST_STREAM, id, code.0);
         self.remember_reset(id);
         if self.streams.remove(&id).is_some() {
-            self.events.push_back(Event::Reset { stream: id, code, ours: true });
+            self.events.push_back(Event::Reset { stream: id, code, local: true });
         }
         Ok(())
     }
 
-    fn on_priority(&mut self, head: Head) -> Result<(), ConnError> {
-        if head.stream == 0 {
+    fn on_priority(&mut self, header: FrameHeader) -> Result<(), ConnError> {
+        if header.stream == 0 {
             return Err(protocol_error("PRIORITY on stream 0"));
         }
         self.spend(CONTROL_FRAME_COST, "too many PRIORITY frames")?;
-        if head.len != PRIORITY_BYTES {
-            return self.stream_error(head.stream, Code::FRAME_SIZE_ERROR);
+        if header.len != PRIORITY_BYTES {
+            return self.stream_error(header.stream, Code::FRAME_SIZE_ERROR);
         }
         Ok(())
     }
 
-    fn on_reset(&mut self, head: Head, payload: &[u8]) -> Result<(), ConnError> {
-        if head.len != 4 {
+    fn on_reset(&mut self, header: FrameHeader, payload: &[u8]) -> Result<(), ConnError> {
+        if header.len != 4 {
             return Err(ConnError::new(Code::FRAME_SIZE_ERROR, "RST_STREAM of other than four bytes"));
         }
-        if head.stream == 0 || self.is_idle(head.stream) {
+        if header.stream == 0 || self.is_idle(header.stream) {
             return Err(protocol_error("RST_STREAM on a stream that is not open"));
         }
         let code = Code(u32_at(payload, 0));
         // Opening and resetting at once is work for this side and none for the peer.
         self.spend(CONTROL_FRAME_COST, "too many streams reset")?;
-        if self.streams.remove(&head.stream).is_some() {
-            self.remember_reset(head.stream);
-            self.events.push_back(Event::Reset { stream: head.stream, code, ours: false });
+        if self.streams.remove(&header.stream).is_some() {
+            self.remember_reset(header.stream);
+            self.events.push_back(Event::Reset { stream: header.stream, code, local: false });
         }
         Ok(())
     }
 
-    fn on_settings(&mut self, head: Head, payload: &[u8]) -> Result<(), ConnError> {
-        if head.stream != 0 {
+    fn on_settings(&mut self, header: FrameHeader, payload: &[u8]) -> Result<(), ConnError> {
+        if header.stream != 0 {
             return Err(protocol_error("SETTINGS on a stream"));
         }
-        if head.has(ACK) {
-            if head.len != 0 {
+        if header.has(ACK) {
+            if header.len != 0 {
                 return Err(ConnError::new(Code::FRAME_SIZE_ERROR, "SETTINGS acknowledged with a payload"));
             }
             return self.spend(CONTROL_FRAME_COST, "too many SETTINGS");
         }
-        if head.len % SETTING_BYTES != 0 {
+        if header.len % SETTING_BYTES != 0 {
             return Err(ConnError::new(Code::FRAME_SIZE_ERROR, "SETTINGS of other than six bytes each"));
         }
-        let cost = CONTROL_FRAME_COST + head.len as f64 / SETTINGS_BYTES_PER_COST;
+        let cost = CONTROL_FRAME_COST + header.len as f64 / SETTINGS_BYTES_PER_COST;
         self.spend(cost, "too many SETTINGS")?;
         for setting in payload.chunks_exact(SETTING_BYTES) {
             let id = u16::from_be_bytes([setting[0], setting[1]]);
             self.apply_setting(id, u32_at(setting, 2))?;
         }
-        write_head(&mut self.output, 0, SETTINGS, ACK, 0);
+        write_frame_header(&mut self.output, 0, SETTINGS, ACK, 0);
         if !self.is_ready {
             self.is_ready = true;
             self.events.push_back(Event::Ready);
@@ -212,16 +213,16 @@
         Ok(())
     }
 
-    fn on_ping(&mut self, head: Head, payload: &[u8]) -> Result<(), ConnError> {
-        if head.stream != 0 {
+    fn on_ping(&mut self, header: FrameHeader, payload: &[u8]) -> Result<(), ConnError> {
+        if header.stream != 0 {
             return Err(protocol_error("PING on a stream"));
         }
-        if head.len != PING_BYTES {
+        if header.len != PING_BYTES {
             return Err(ConnError::new(Code::FRAME_SIZE_ERROR, "PING of other than eight bytes"));
         }
         self.spend(CONTROL_FRAME_COST, "too many PINGs")?;
-        if !head.has(ACK) {
-            write_head(&mut self.output, PING_BYTES, PING, ACK, 0);
+        if !header.has(ACK) {
+            write_frame_header(&mut self.output, PING_BYTES, PING, ACK, 0);
             self.output.put_slice(payload);
         } else if *payload == DRAIN_PING.to_be_bytes() && self.goaway_sent.is_some() && !self.is_draining {
             // The client read the first GOAWAY before this: streams that it opens from here on never run.
@@ -234,11 +235,11 @@
         Ok(())
     }
 
-    fn on_goaway(&mut self, head: Head, payload: &[u8]) -> Result<(), ConnError> {
-        if head.stream != 0 {
+    fn on_goaway(&mut self, header: FrameHeader, payload: &[u8]) -> Result<(), ConnError> {
+        if header.stream != 0 {
             return Err(protocol_error("GOAWAY on a stream"));
         }
-        if head.len < MIN_GOAWAY_BYTES {
+        if header.len < MIN_GOAWAY_BYTES {
             return Err(ConnError::new(Code::FRAME_SIZE_ERROR, "GOAWAY of less than eight bytes"));
         }
         self.spend(CONTROL_FRAME_COST, "too many GOAWAYs")?;
@@ -250,18 +251,18 @@
             let unprocessed: Vec<u32> = unprocessed.map(|(id, _)| *id).collect();
             for stream in unprocessed {
                 self.streams.remove(&stream);
-                self.events.push_back(Event::Reset { stream, code: Code::REFUSED_STREAM, ours: false });
+                self.events.push_back(Event::Reset { stream, code: Code::REFUSED_STREAM, local: false });
             }
         }
         self.events.push_back(Event::GoAway(code));
         Ok(())
     }
 
-    fn on_window_update(&mut self, head: Head, payload: &[u8]) -> Result<(), ConnError> {
-        if head.len != 4 {
+    fn on_window_update(&mut self, header: FrameHeader, payload: &[u8]) -> Result<(), ConnError> {
+        if header.len != 4 {
             return Err(ConnError::new(Code::FRAME_SIZE_ERROR, "WINDOW_UPDATE of other than four bytes"));
         }
-        let id = head.stream;
+        let id = header.stream;
         let increment = i64::from(u32_at(payload, 0)) & MAX_WINDOW;
         if id == 0 {
             self.send_window += increment;
--- a/crates/wire/src/http2/connection/sending.rs
+++ b/crates/wire/src/http2/connection/sending.rs
@@ -1,7 +1,7 @@
 //! The sending side: streams that are opened, fields and bodies, and the windows that are given back.
 
 use super::super::frame::{
-    write_head, write_u32, Code, CONTINUATION, DATA, END_HEADERS, END_STREAM, HEADERS, RST_STREAM,
+    write_frame_header, write_u32, Code, CONTINUATION, DATA, END_HEADERS, END_STREAM, HEADERS, RST_STREAM,
     WINDOW_UPDATE,
 };
 use super::super::hpack::Field;
@@ -107,7 +107,7 @@
             if more.is_empty() {
                 flags |= END_HEADERS;
             }
-            write_head(&mut self.output, part.len(), kind, flags, id);
+            write_frame_header(&mut self.output, part.len(), kind, flags, id);
             self.output.put_slice(part);
             if more.is_empty() {
                 return;
@@ -170,7 +170,7 @@
         if !is_last {
             self.scheduled.push_back(id);
         }
-        write_head(&mut self.output, piece.len(), DATA, if end { END_STREAM } else { 0 }, id);
+        write_frame_header(&mut self.output, piece.len(), DATA, if end { END_STREAM } else { 0 }, id);
         self.output.put_slice(&piece);
         match trailers {
             Some(fields) => {
--- a/crates/wire/src/http2/frame.rs
+++ b/crates/wire/src/http2/frame.rs
@@ -23,7 +23,7 @@
 pub const PADDED: u8 = 0x8;
 pub const PRIORITIZED: u8 = 0x20;
 
-pub const HEAD: usize = 9;
+pub const FRAME_HEADER_BYTES: usize = 9;
 
 /// An error code (RFC 9113, section 7).
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -80,35 +80,35 @@
 
 /// Why this side gives a connection up. The GOAWAY that says so is in the output already.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("{code}: {what}")]
+#[error("{code}: {reason}")]
 pub struct ConnError {
     /// The code that the GOAWAY carries.
     pub code: Code,
     /// What was seen and what was expected.
-    pub what: &'static str,
+    pub reason: &'static str,
 }
 
 impl ConnError {
-    pub(crate) const fn new(code: Code, what: &'static str) -> Self {
-        ConnError { code, what }
+    pub(crate) const fn new(code: Code, reason: &'static str) -> Self {
+        ConnError { code, reason }
     }
 }
 
 /// The nine bytes before a payload.
 #[derive(Clone, Copy, Debug)]
-pub struct Head {
+pub struct FrameHeader {
     pub len: usize,
     pub kind: u8,
     pub flags: u8,
     pub stream: u32,
 }
 
-impl Head {
-    /// Reads a head; `bytes` holds nine or more.
-    pub fn read(b: &[u8]) -> Head {
+impl FrameHeader {
+    /// Reads a header; `bytes` holds nine or more.
+    pub fn read(b: &[u8]) -> FrameHeader {
         let len = usize::from(b[0]) << 16 | usize::from(b[1]) << 8 | usize::from(b[2]);
         let stream = u32::from_be_bytes([b[5], b[6], b[7], b[8]]) & 0x7fff_ffff;
-        Head { len, kind: b[3], flags: b[4], stream }
+        FrameHeader { len, kind: b[3], flags: b[4], stream }
     }
 
     pub fn has(&self, flag: u8) -> bool {
@@ -116,8 +116,8 @@
     }
 }
 
-pub fn write_head(out: &mut BytesMut, len: usize, kind: u8, flags: u8, stream: u32) {
-    out.reserve(HEAD + len);
+pub fn write_frame_header(out: &mut BytesMut, len: usize, kind: u8, flags: u8, stream: u32) {
+    out.reserve(FRAME_HEADER_BYTES + len);
     out.put_uint(len as u64, 3);
     out.put_u8(kind);
     out.put_u8(flags);
@@ -125,19 +125,19 @@
 }
 
 pub fn write_u32(out: &mut BytesMut, kind: u8, stream: u32, value: u32) {
-    write_head(out, 4, kind, 0, stream);
+    write_frame_header(out, 4, kind, 0, stream);
     out.put_u32(value);
 }
 
 pub fn write_goaway(out: &mut BytesMut, last: u32, code: Code, debug: &[u8]) {
-    write_head(out, 8 + debug.len(), GOAWAY, 0, 0);
+    write_frame_header(out, 8 + debug.len(), GOAWAY, 0, 0);
     out.put_u32(last);
     out.put_u32(code.0);
     out.put_slice(debug);
 }
 
 pub fn write_settings(out: &mut BytesMut, list: &[(u16, u32)]) {
-    write_head(out, 6 * list.len(), SETTINGS, 0, 0);
+    write_frame_header(out, 6 * list.len(), SETTINGS, 0, 0);
     for (id, value) in list {
         out.put_u16(*id);
         out.put_u32(*value);
@@ -145,8 +145,8 @@
 }
 
 /// Takes padding off (sections 6.1, 6.2); none if it is longer than the payload.
-pub fn unpad(head: &Head, mut payload: Bytes) -> Option<Bytes> {
-    if head.has(PADDED) {
+pub fn unpad(header: &FrameHeader, mut payload: Bytes) -> Option<Bytes> {
+    if header.has(PADDED) {
         let pad = usize::from(*payload.first()?);
         if pad + 1 > payload.len() {
             return None;
--- a/crates/wire/src/http2/hpack.rs
+++ b/crates/wire/src/http2/hpack.rs
@@ -36,7 +36,7 @@
 #[allow(missing_docs)]
 pub enum HpackError {
     #[error("the block ends inside a field")]
-    Short,
+    Truncated,
     #[error("an integer does not fit 32 bits")]
     Integer,
     #[error("index {0} is in neither table")]
@@ -215,10 +215,10 @@
     }
 
     fn string(&mut self, block: &mut &[u8], room: usize, most: usize) -> Result<Bytes, HpackError> {
-        let coded = block.first().ok_or(HpackError::Short)? & 0x80 != 0;
+        let coded = block.first().ok_or(HpackError::Truncated)? & 0x80 != 0;
         let len = integer(block, 7)? as usize;
         if len > block.len() {
-            return Err(HpackError::Short);
+            return Err(HpackError::Truncated);
         }
         let (text, rest) = block.split_at(len);
         *block = rest;
@@ -241,13 +241,13 @@
 
 /// Reads an integer with a prefix of `bits` (section 5.1).
 fn integer(block: &mut &[u8], bits: u32) -> Result<u32, HpackError> {
-    let (first, mut rest) = block.split_first().ok_or(HpackError::Short)?;
+    let (first, mut rest) = block.split_first().ok_or(HpackError::Truncated)?;
     let mask = (1u32 << bits) - 1;
     let mut value = u64::from(u32::from(*first) & mask);
     if value == u64::from(mask) {
         let mut shift = 0;
         loop {
-            let (b, tail) = rest.split_first().ok_or(HpackError::Short)?;
+            let (b, tail) = rest.split_first().ok_or(HpackError::Truncated)?;
             rest = tail;
             value += u64::from(b & 0x7f) << shift;
             shift += 7;
--- a/crates/wire/src/intake.rs
+++ b/crates/wire/src/intake.rs
@@ -7,11 +7,11 @@
 use crate::ratelimit::Entry;
 
 /// What comes before the class in `:path`.
-pub const SERVICE: &str = "/chalkgap.intake.v1.Intake/";
+pub const PATH_PREFIX: &str = "/chalkgap.intake.v1.Intake/";
 /// The field that carries the key of a keyed class.
-pub const KEY: &str = "idempotency-key";
+pub const IDEMPOTENCY_KEY_HEADER: &str = "idempotency-key";
 /// The field that names the client's request, alike for all its attempts.
-pub const REQUEST: &str = "x-request-id";
+pub const REQUEST_ID_HEADER: &str = "x-request-id";
 
 /// A request.
 #[derive(Clone, PartialEq, prost::Message)]
--- a/crates/wire/src/mqtt/decode.rs
+++ b/crates/wire/src/mqtt/decode.rs
@@ -6,7 +6,7 @@
     Ack, Acks, ConnAck, Connect, Filter, Packet, Publish, QoS, Reason, Subscribe, Unsubscribe, Version, Will,
 };
 use super::packet_type::PacketType;
-use super::property::{Place, Properties, Property};
+use super::property::{Properties, Property, PropertyLocation};
 use super::reader::{read_variable_byte_integer, Reader};
 use super::reason::{
     PACKET_TOO_LARGE, PROTOCOL_ERROR, TOPIC_FILTER_INVALID, TOPIC_NAME_INVALID, UNSUPPORTED_PROTOCOL_VERSION,
@@ -83,8 +83,8 @@
         PacketType::UnsubAck => Packet::UnsubAck(acks(reader, v5)?),
         PacketType::PingReq => Packet::PingReq,
         PacketType::PingResp => Packet::PingResp,
-        PacketType::Disconnect => Packet::Disconnect(reason(reader, v5, Place::DISCONNECT)?),
-        PacketType::Auth => Packet::Auth(reason(reader, v5, Place::AUTH)?),
+        PacketType::Disconnect => Packet::Disconnect(reason(reader, v5, PropertyLocation::DISCONNECT)?),
+        PacketType::Auth => Packet::Auth(reason(reader, v5, PropertyLocation::AUTH)?),
     })
 }
 
@@ -94,19 +94,19 @@
         return Err(malformed("flags of CONNACK that are reserved"));
     }
     let code = reader.u8()?;
-    let properties = properties(reader, v5, Place::CONNACK)?;
+    let properties = properties(reader, v5, PropertyLocation::CONNACK)?;
     Ok(ConnAck { session_present: flags == 1, code, properties })
 }
 
 fn acks(reader: &mut Reader, v5: bool) -> Result<Acks, Error> {
     let packet = reader.packet_identifier()?;
-    let properties = properties(reader, v5, Place::ACK)?;
+    let properties = properties(reader, v5, PropertyLocation::ACK)?;
     Ok(Acks { packet, properties, codes: reader.remaining().to_vec() })
 }
 
-fn properties(reader: &mut Reader, v5: bool, place: Place) -> Result<Properties, Error> {
+fn properties(reader: &mut Reader, v5: bool, location: PropertyLocation) -> Result<Properties, Error> {
     if v5 {
-        Properties::read(reader, place)
+        Properties::read(reader, location)
     } else {
         Ok(Properties::default())
     }
@@ -126,11 +126,11 @@
         return Err(malformed("the reserved flag of CONNECT is set")); // [MQTT-3.1.2-3]
     }
     let keep_alive = reader.u16()?;
-    let connect_properties = properties(reader, v5, Place::CONNECT)?;
+    let connect_properties = properties(reader, v5, PropertyLocation::CONNECT)?;
     let client = reader.string()?;
     let qos = QoS::from_bits(flags >> 3 & 3).ok_or(malformed("a will with QoS 3"))?; // [MQTT-3.1.2-12]
     let will = if flags & 4 != 0 {
-        let properties = properties(reader, v5, Place::WILL)?;
+        let properties = properties(reader, v5, PropertyLocation::WILL)?;
         let topic = reader.string()?;
         if !topic::is_name(&topic) {
             return Err(Error::new(TOPIC_NAME_INVALID, "a will's topic that is empty or has wildcards"));
@@ -168,7 +168,7 @@
     }
     let topic = reader.string()?;
     let packet = if qos == QoS::AtMostOnce { 0 } else { reader.packet_identifier()? };
-    let properties = properties(reader, v5, Place::PUBLISH)?;
+    let properties = properties(reader, v5, PropertyLocation::PUBLISH)?;
     let alias = properties.find(|p| if let Property::TopicAlias(n) = p { Some(*n) } else { None });
     if topic.is_empty() && alias.is_none() {
         return Err(Error::new(PROTOCOL_ERROR, "neither a topic nor an alias"));
@@ -187,13 +187,13 @@
 fn ack(reader: &mut Reader, v5: bool) -> Result<Ack, Error> {
     let packet = reader.packet_identifier()?;
     let code = if v5 && !reader.is_empty() { reader.u8()? } else { 0 };
-    let properties = properties(reader, v5 && !reader.is_empty(), Place::ACK)?;
+    let properties = properties(reader, v5 && !reader.is_empty(), PropertyLocation::ACK)?;
     Ok(Ack { packet, code, properties })
 }
 
 fn subscribe(reader: &mut Reader, v5: bool) -> Result<Subscribe, Error> {
     let packet = reader.packet_identifier()?;
-    let properties = properties(reader, v5, Place::SUBSCRIBE)?;
+    let properties = properties(reader, v5, PropertyLocation::SUBSCRIBE)?;
     let mut filters = Vec::new();
     while !reader.is_empty() {
         let filter = subscription(reader, v5)?;
@@ -236,7 +236,7 @@
 
 fn unsubscribe(reader: &mut Reader, v5: bool) -> Result<Unsubscribe, Error> {
     let packet = reader.packet_identifier()?;
-    let properties = properties(reader, v5, Place::UNSUBSCRIBE)?;
+    let properties = properties(reader, v5, PropertyLocation::UNSUBSCRIBE)?;
     let mut filters = Vec::new();
     while !reader.is_empty() {
         let filter = reader.string()?;
@@ -254,8 +254,8 @@
     Ok(Unsubscribe { packet, properties, filters })
 }
 
-fn reason(reader: &mut Reader, v5: bool, place: Place) -> Result<Reason, Error> {
+fn reason(reader: &mut Reader, v5: bool, location: PropertyLocation) -> Result<Reason, Error> {
     let code = if v5 && !reader.is_empty() { reader.u8()? } else { 0 };
-    let properties = properties(reader, v5 && !reader.is_empty(), place)?;
+    let properties = properties(reader, v5 && !reader.is_empty(), location)?;
     Ok(Reason { code, properties })
 }
--- a/crates/wire/src/mqtt/error.rs
+++ b/crates/wire/src/mqtt/error.rs
@@ -4,21 +4,21 @@
 
 /// Why bytes are no packet: the connection is closed with this reason code.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("{what} (reason code {code:#04x})")]
+#[error("{message} (reason code {code:#04x})")]
 pub struct Error {
     /// The reason code.
     pub code: u8,
     /// What was found, and what was expected.
-    pub what: &'static str,
+    pub message: &'static str,
 }
 
 impl Error {
     /// An error with this reason code.
-    pub const fn new(code: u8, what: &'static str) -> Self {
-        Error { code, what }
+    pub const fn new(code: u8, message: &'static str) -> Self {
+        Error { code, message }
     }
 }
 
-pub(super) const fn malformed(what: &'static str) -> Error {
-    Error::new(MALFORMED_PACKET, what)
+pub(super) const fn malformed(message: &'static str) -> Error {
+    Error::new(MALFORMED_PACKET, message)
 }
--- a/crates/wire/src/mqtt/property.rs
+++ b/crates/wire/src/mqtt/property.rs
@@ -41,20 +41,20 @@
 
 /// Where properties may be: a bit each.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Place(pub u16);
+pub struct PropertyLocation(pub u16);
 
 #[allow(missing_docs)]
-impl Place {
-    pub const CONNECT: Place = Place(1);
-    pub const CONNACK: Place = Place(2);
-    pub const PUBLISH: Place = Place(4);
-    pub const WILL: Place = Place(8);
+impl PropertyLocation {
+    pub const CONNECT: PropertyLocation = PropertyLocation(1);
+    pub const CONNACK: PropertyLocation = PropertyLocation(2);
+    pub const PUBLISH: PropertyLocation = PropertyLocation(4);
+    pub const WILL: PropertyLocation = PropertyLocation(8);
     /// PUBACK, PUBREC, PUBREL, PUBCOMP, SUBACK, UNSUBACK.
-    pub const ACK: Place = Place(16);
-    pub const SUBSCRIBE: Place = Place(32);
-    pub const UNSUBSCRIBE: Place = Place(64);
-    pub const DISCONNECT: Place = Place(128);
-    pub const AUTH: Place = Place(256);
+    pub const ACK: PropertyLocation = PropertyLocation(16);
+    pub const SUBSCRIBE: PropertyLocation = PropertyLocation(32);
+    pub const UNSUBSCRIBE: PropertyLocation = PropertyLocation(64);
+    pub const DISCONNECT: PropertyLocation = PropertyLocation(128);
+    pub const AUTH: PropertyLocation = PropertyLocation(256);
 }
 
 use Property as P;
@@ -93,20 +93,26 @@
         }
     }
 
-    /// The places of an identifier (table 2-4).
-    fn places(id: u8) -> Option<u16> {
-        let (connect, connack, publish, will) =
-            (Place::CONNECT.0, Place::CONNACK.0, Place::PUBLISH.0, Place::WILL.0);
+    /// The locations of an identifier (table 2-4).
+    fn locations(id: u8) -> Option<u16> {
+        let (connect, connack, publish, will) = (
+            PropertyLocation::CONNECT.0,
+            PropertyLocation::CONNACK.0,
+            PropertyLocation::PUBLISH.0,
+            PropertyLocation::WILL.0,
+        );
         Some(match id {
             0x01 | 0x02 | 0x03 | 0x08 | 0x09 => publish | will,
-            0x0b => publish | Place::SUBSCRIBE.0,
-            0x11 => connect | connack | Place::DISCONNECT.0,
+            0x0b => publish | PropertyLocation::SUBSCRIBE.0,
+            0x11 => connect | connack | PropertyLocation::DISCONNECT.0,
             0x12 | 0x13 | 0x1a | 0x24 | 0x25 | 0x28 | 0x29 | 0x2a => connack,
-            0x15 | 0x16 => connect | connack | Place::AUTH.0,
+            0x15 | 0x16 => connect | connack | PropertyLocation::AUTH.0,
             0x17 | 0x19 => connect,
             0x18 => will,
-            0x1c => connack | Place::DISCONNECT.0,
-            0x1f => connack | Place::ACK.0 | Place::DISCONNECT.0 | Place::AUTH.0,
+            0x1c => connack | PropertyLocation::DISCONNECT.0,
+            0x1f => {
+                connack | PropertyLocation::ACK.0 | PropertyLocation::DISCONNECT.0 | PropertyLocation::AUTH.0
+            }
             0x21 | 0x22 | 0x27 => connect | connack,
             0x23 => publish,
             0x26 => u16::MAX,
@@ -117,7 +123,7 @@
     fn read(reader: &mut Reader) -> Result<Property, Error> {
         // An identifier is a variable byte integer; all that there are fit one byte.
         let id = reader.variable_byte_integer()?;
-        let id = u8::try_from(id).ok().filter(|id| Property::places(*id).is_some());
+        let id = u8::try_from(id).ok().filter(|id| Property::locations(*id).is_some());
         let id = id.ok_or(Error::new(MALFORMED_PACKET, "a property that there is not"))?;
         let flag = |n: u8, what| match n {
             0 | 1 => Ok(n),
@@ -216,7 +222,7 @@
 const MAX_PROPERTIES: usize = 256;
 
 impl Properties {
-    pub(super) fn read(reader: &mut Reader, place: Place) -> Result<Properties, Error> {
+    pub(super) fn read(reader: &mut Reader, location: PropertyLocation) -> Result<Properties, Error> {
         let length = reader.variable_byte_integer()? as usize;
         let mut part = reader.sub_reader(length)?;
         let mut list = Vec::new();
@@ -224,11 +230,11 @@
         while !part.is_empty() {
             let p = Property::read(&mut part)?;
             let id = p.id();
-            if Property::places(id).is_none_or(|places| places & place.0 == 0) {
-                return Err(Error::new(PROTOCOL_ERROR, "a property that has no place in this packet"));
+            if Property::locations(id).is_none_or(|locations| locations & location.0 == 0) {
+                return Err(Error::new(PROTOCOL_ERROR, "a property that has no location in this packet"));
             }
             // Only user properties may be there more than once, and in a PUBLISH of a server subscription identifiers.
-            let many = matches!(p, P::User(..)) || (id == 0x0b && place == Place::PUBLISH);
+            let many = matches!(p, P::User(..)) || (id == 0x0b && location == PropertyLocation::PUBLISH);
             if seen >> id & 1 == 1 && !many {
                 return Err(Error::new(PROTOCOL_ERROR, "a property that is there twice"));
             }
--- a/crates/wire/src/mqtt/server.rs
+++ b/crates/wire/src/mqtt/server.rs
@@ -23,22 +23,22 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
     /// Bytes of a packet.
-    pub packet: usize,
+    pub packet_bytes: usize,
     /// Publishes of QoS 1 and 2 that may be unanswered.
-    pub receive: u16,
+    pub receive_maximum: u16,
     /// Topic aliases.
-    pub aliases: u16,
+    pub topic_alias_maximum: u16,
     /// Identifiers of QoS 2 that a session remembers.
-    pub remembered: usize,
+    pub remembered_identifiers: usize,
 }
 
 /// What became of a publish of QoS 2.
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum Inbound {
     /// Under way: no PUBREC so far.
-    Working,
+    InProgress,
     /// PUBREC was sent with this code and these properties.
-    Said(u8, Properties),
+    Responded(u8, Properties),
 }
 
 /// What of a session outlives its connections.
@@ -46,7 +46,7 @@
 pub struct Session {
     inbound: BTreeMap<u16, Inbound>,
     /// In the order in which they were said, for what is forgotten first.
-    said: VecDeque<u16>,
+    responded: VecDeque<u16>,
 }
 
 impl Session {
@@ -56,24 +56,24 @@
     }
 
     /// Identifiers of QoS 2 whose fate is known, with their codes: what is worth to be kept over a restart.
-    pub fn known(&self) -> impl Iterator<Item = (u16, u8)> + '_ {
+    pub fn responses(&self) -> impl Iterator<Item = (u16, u8)> + '_ {
         self.inbound.iter().filter_map(|(id, i)| match i {
-            Inbound::Said(code, _) => Some((*id, *code)),
-            Inbound::Working => None,
+            Inbound::Responded(code, _) => Some((*id, *code)),
+            Inbound::InProgress => None,
         })
     }
 
     /// Identifiers of QoS 2 that are under way.
-    pub fn working(&self) -> impl Iterator<Item = u16> + '_ {
-        self.inbound.iter().filter(|i| *i.1 == Inbound::Working).map(|i| *i.0)
+    pub fn in_progress(&self) -> impl Iterator<Item = u16> + '_ {
+        self.inbound.iter().filter(|i| *i.1 == Inbound::InProgress).map(|i| *i.0)
     }
 
     /// A session that was kept: what was under way is said to have failed, as it may have run.
     pub fn restored(list: impl IntoIterator<Item = (u16, u8)>) -> Session {
         let mut s = Session::default();
         for (id, code) in list {
-            s.inbound.insert(id, Inbound::Said(code, Properties::default()));
-            s.said.push_back(id);
+            s.inbound.insert(id, Inbound::Responded(code, Properties::default()));
+            s.responded.push_back(id);
         }
         s
     }
@@ -87,7 +87,7 @@
     /// A publish; its topic is whole. Of QoS 1 and 2: to be answered by [`Server::answer`].
     Publish(Publish),
     /// A publish of QoS 2 came with DUP, and the session knows nothing of it: it may have run elsewhere.
-    Repeated(Publish),
+    UnknownDuplicate(Publish),
     /// To be answered by [`Server::subscribed`].
     Subscribe(Subscribe),
     /// To be answered by [`Server::unsubscribed`].
@@ -105,7 +105,7 @@
 enum State {
     New,
     /// CONNECT has come, and is not answered.
-    Asked,
+    Connecting,
     Open,
     Closed,
 }
@@ -121,13 +121,13 @@
     session: Session,
     aliases: HashMap<u16, String>,
     /// QoS 1 identifiers that are unanswered.
-    open1: BTreeMap<u16, u32>,
+    unanswered_qos1: BTreeMap<u16, u32>,
     /// Publishes of QoS 1 and 2 that are unanswered, by the client's count.
     unanswered: usize,
     /// What the client takes.
-    most_packet: usize,
+    max_outgoing_packet_bytes: usize,
     /// It wants to hear more of an answer than the code.
-    problems: bool,
+    sends_problem_information: bool,
     keep_alive: u16,
     received: u64,
 }
@@ -144,10 +144,10 @@
             events: VecDeque::new(),
             session: Session::default(),
             aliases: HashMap::new(),
-            open1: BTreeMap::new(),
+            unanswered_qos1: BTreeMap::new(),
             unanswered: 0,
-            most_packet: usize::MAX,
-            problems: true,
+            max_outgoing_packet_bytes: usize::MAX,
+            sends_problem_information: true,
             keep_alive: 0,
             received: 0,
         }
@@ -164,21 +164,21 @@
         self.received += bytes.len() as u64;
         self.input.extend_from_slice(bytes);
         // Nothing after CONNECT is looked at before it is answered; it is bounded by what is read at once.
-        while self.state != State::Asked && self.state != State::Closed {
-            let packet = match decode(&mut self.input, self.version, self.limits.packet) {
+        while self.state != State::Connecting && self.state != State::Closed {
+            let packet = match decode(&mut self.input, self.version, self.limits.packet_bytes) {
                 Ok(Some(packet)) => packet,
                 Ok(None) => break,
-                Err(e) => return Err(self.broken(e)),
+                Err(e) => return Err(self.fail(e)),
             };
             if let Err(e) = self.packet(packet) {
-                return Err(self.broken(e));
+                return Err(self.fail(e));
             }
         }
         Ok(())
     }
 
     /// Says why, where the version has words for it, and closes.
-    fn broken(&mut self, error: Error) -> Error {
+    fn fail(&mut self, error: Error) -> Error {
         match self.state {
             State::Open => self.disconnect(error.code, None),
             // [MQTT-3.1.4-2]: a CONNECT that is none may be answered with a code.
@@ -198,19 +198,19 @@
                 let most =
                     c.properties
                         .find(|p| if let Property::MaximumPacketSize(n) = p { Some(*n) } else { None });
-                self.most_packet = most.map_or(usize::MAX, |n| n as usize);
+                self.max_outgoing_packet_bytes = most.map_or(usize::MAX, |n| n as usize);
                 let quiet = Property::RequestProblemInformation(0);
-                self.problems = !c.properties.0.contains(&quiet);
-                self.state = State::Asked;
+                self.sends_problem_information = !c.properties.0.contains(&quiet);
+                self.state = State::Connecting;
                 self.events.push_back(Event::Connect(c));
             }
             Packet::Publish(p) => self.publish(p)?,
             Packet::PubRel(a) => {
                 let known = self.session.inbound.get(&a.packet);
                 let code = match known {
-                    Some(Inbound::Said(code, _)) if *code < 0x80 => {
+                    Some(Inbound::Responded(code, _)) if *code < 0x80 => {
                         self.session.inbound.remove(&a.packet);
-                        self.session.said.retain(|id| *id != a.packet);
+                        self.session.responded.retain(|id| *id != a.packet);
                         SUCCESS
                     }
                     // Nothing was said under it that a release could follow.
@@ -245,7 +245,7 @@
         let alias = p.properties.find(|p| if let Property::TopicAlias(n) = p { Some(*n) } else { None });
         if let Some(n) = alias {
             // [MQTT-3.3.2-8], [MQTT-3.3.2-9]
-            if n == 0 || n > self.limits.aliases {
+            if n == 0 || n > self.limits.topic_alias_maximum {
                 return Err(Error::new(TOPIC_ALIAS_INVALID, "a topic alias beyond the maximum"));
             }
             if p.topic.is_empty() {
@@ -259,17 +259,17 @@
         if p.qos == QoS::ExactlyOnce {
             match self.session.inbound.get(&p.packet) {
                 // Under way: its PUBREC follows.
-                Some(Inbound::Working) => return Ok(()),
-                Some(Inbound::Said(code, properties)) if p.dup || *code < 0x80 => {
+                Some(Inbound::InProgress) => return Ok(()),
+                Some(Inbound::Responded(code, properties)) if p.dup || *code < 0x80 => {
                     // [MQTT-4.3.3-10]: the PUBREC was lost. One that was good holds its identifier until PUBREL.
                     let ack = Ack { packet: p.packet, code: *code, properties: properties.clone() };
                     self.send(&Packet::PubRec(ack));
                     return Ok(());
                 }
-                Some(Inbound::Said(..)) => self.session.said.retain(|id| *id != p.packet),
+                Some(Inbound::Responded(..)) => self.session.responded.retain(|id| *id != p.packet),
                 None if p.dup => {
                     self.begin(&p)?;
-                    self.events.push_back(Event::Repeated(p));
+                    self.events.push_back(Event::UnknownDuplicate(p));
                     return Ok(());
                 }
                 None => {}
@@ -283,14 +283,14 @@
     }
 
     fn begin(&mut self, p: &Publish) -> Result<(), Error> {
-        if self.unanswered >= usize::from(self.limits.receive) {
+        if self.unanswered >= usize::from(self.limits.receive_maximum) {
             return Err(Error::new(RECEIVE_MAXIMUM_EXCEEDED, "more publishes open than the receive maximum"));
         }
         self.unanswered += 1;
         if p.qos == QoS::AtLeastOnce {
-            *self.open1.entry(p.packet).or_default() += 1;
+            *self.unanswered_qos1.entry(p.packet).or_default() += 1;
         } else {
-            self.session.inbound.insert(p.packet, Inbound::Working);
+            self.session.inbound.insert(p.packet, Inbound::InProgress);
         }
         Ok(())
     }
@@ -298,28 +298,28 @@
     /// What came of a publish of QoS 1 or 2: its one answer.
     pub fn answer(&mut self, qos: QoS, packet: u16, code: u8, properties: Properties) {
         // [MQTT-3.1.2-29]
-        let properties = if self.problems { properties } else { Properties::default() };
+        let properties = if self.sends_problem_information { properties } else { Properties::default() };
         match qos {
             QoS::AtMostOnce => {}
             QoS::AtLeastOnce => {
-                let Some(n) = self.open1.get_mut(&packet) else { return };
+                let Some(n) = self.unanswered_qos1.get_mut(&packet) else { return };
                 *n -= 1;
                 if *n == 0 {
-                    self.open1.remove(&packet);
+                    self.unanswered_qos1.remove(&packet);
                 }
                 self.unanswered = self.unanswered.saturating_sub(1);
                 self.send(&Packet::PubAck(Ack { packet, code, properties }));
             }
             QoS::ExactlyOnce => {
-                if self.session.inbound.get(&packet) != Some(&Inbound::Working) {
+                if self.session.inbound.get(&packet) != Some(&Inbound::InProgress) {
                     return;
                 }
                 self.unanswered = self.unanswered.saturating_sub(1);
-                self.session.inbound.insert(packet, Inbound::Said(code, properties.clone()));
-                self.session.said.push_back(packet);
+                self.session.inbound.insert(packet, Inbound::Responded(code, properties.clone()));
+                self.session.responded.push_back(packet);
                 // Codes that end a flow are remembered for a repeat as long as there is room; good ones hold theirs.
-                while self.session.said.len() > self.limits.remembered {
-                    if let Some(old) = self.session.said.pop_front() {
+                while self.session.responded.len() > self.limits.remembered_identifiers {
+                    if let Some(old) = self.session.responded.pop_front() {
                         self.session.inbound.remove(&old);
                     }
                 }
@@ -332,28 +332,28 @@
     pub fn forget(&mut self, qos: QoS, packet: u16) {
         let known = match qos {
             QoS::AtMostOnce => false,
-            QoS::AtLeastOnce => self.open1.remove(&packet).is_some(),
-            QoS::ExactlyOnce => self.session.inbound.remove(&packet) == Some(Inbound::Working),
+            QoS::AtLeastOnce => self.unanswered_qos1.remove(&packet).is_some(),
+            QoS::ExactlyOnce => self.session.inbound.remove(&packet) == Some(Inbound::InProgress),
         };
         self.unanswered -= usize::from(known && self.unanswered > 0);
     }
 
     /// The client is let in, with its session if it has one here.
     pub fn accept(&mut self, session: Option<Session>, properties: Properties) {
-        if self.state != State::Asked {
+        if self.state != State::Connecting {
             return;
         }
         self.state = State::Open;
         let session_present = session.is_some();
         self.session = session.unwrap_or_default();
-        self.unanswered = self.session.working().count();
+        self.unanswered = self.session.in_progress().count();
         self.send(&Packet::ConnAck(ConnAck { session_present, code: SUCCESS, properties }));
     }
 
     /// The client is not let in: a reason code, put into what 3.1.1 has of them (3.2.2.3).
     pub fn refuse(&mut self, code: u8, properties: Properties) {
         use super::reason as r;
-        if !matches!(self.state, State::Asked | State::New) {
+        if !matches!(self.state, State::Connecting | State::New) {
             return;
         }
         let version = self.version.unwrap_or(Version::V5);
@@ -404,7 +404,7 @@
         let Some(version) = self.version else { return false };
         let at = self.output.len();
         encode(packet, version, &mut self.output);
-        let fits = self.output.len() - at <= self.most_packet; // [MQTT-3.1.2-24]
+        let fits = self.output.len() - at <= self.max_outgoing_packet_bytes; // [MQTT-3.1.2-24]
         if !fits {
             self.output.truncate(at);
         }
@@ -432,7 +432,7 @@
     }
 
     /// Whether a packet has begun and is not whole.
-    pub fn midway(&self) -> bool {
+    pub fn has_partial_input(&self) -> bool {
         !self.input.is_empty()
     }
 
@@ -447,7 +447,7 @@
     }
 
     /// Seconds without a packet after which the client is gone [MQTT-3.1.2-22]: one and a half times its keep alive.
-    pub fn patience(&self) -> Option<f64> {
+    pub fn keep_alive_timeout(&self) -> Option<f64> {
         (self.keep_alive > 0).then(|| f64::from(self.keep_alive) * 1.5)
     }
 
@@ -461,7 +461,7 @@
         self.unanswered
     }
 
-    /// The session, for the next connection. What is under way stays so: its answer goes to [`Session::said`].
+    /// The session, for the next connection. What is under way stays so: its answer goes to [`Session::record_response`].
     pub fn take_session(&mut self) -> Session {
         std::mem::take(&mut self.session)
     }
@@ -469,16 +469,16 @@
 
 impl Session {
     /// The answer of a publish of QoS 2 whose connection has gone.
-    pub fn said(&mut self, packet: u16, code: u8, properties: Properties) {
-        if self.inbound.get(&packet) == Some(&Inbound::Working) {
-            self.inbound.insert(packet, Inbound::Said(code, properties));
-            self.said.push_back(packet);
+    pub fn record_response(&mut self, packet: u16, code: u8, properties: Properties) {
+        if self.inbound.get(&packet) == Some(&Inbound::InProgress) {
+            self.inbound.insert(packet, Inbound::Responded(code, properties));
+            self.responded.push_back(packet);
         }
     }
 }
 
 /// The code of a CONNECT that could not be read, if the client is to hear one.
-pub fn connect_code(error: &Error) -> u8 {
+pub fn connack_code(error: &Error) -> u8 {
     match error.code {
         PACKET_TOO_LARGE => MALFORMED_PACKET,
         code => code,
--- a/crates/wire/src/truth.rs
+++ b/crates/wire/src/truth.rs
@@ -5,9 +5,9 @@
 /// `:path` of the call.
 pub const ASK: &str = "/chalkgap.intake.v1.Truth/Ask";
 /// The field of an attempt that says when its request was taken, in microseconds since 1970: what nodes count use by.
-pub const ENTERED: &str = "x-request-entered";
+pub const ACCEPTED_AT_HEADER: &str = "x-request-entered";
 /// Requests in one question.
-pub const MOST: usize = 4096;
+pub const MAX_REQUESTS: usize = 4096;
 
 /// The question.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
@@ -20,7 +20,7 @@
 /// What became of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, prost::Enumeration)]
 #[repr(i32)]
-pub enum Fate {
+pub enum ExecutionStatus {
     /// The node cannot say.
     Unknown = 0,
     /// It has not run, and will not.
@@ -34,6 +34,6 @@
 /// The answer: one for each request, in the question's order.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
 pub struct Answer {
-    #[prost(enumeration = "Fate", repeated, tag = "1")]
-    pub fates: Vec<i32>,
+    #[prost(enumeration = "ExecutionStatus", repeated, tag = "1")]
+    pub statuses: Vec<i32>,
 }
--- a/crates/wire/tests/hpack.rs
+++ b/crates/wire/tests/hpack.rs
@@ -91,7 +91,7 @@
     assert_eq!(fault("ff80 8080 8080 8080 8000"), HpackError::Integer, "noughts without end");
     assert_eq!(fault("3fe2 1f"), HpackError::TableSize(4097, 4096));
     assert_eq!(fault("8220"), HpackError::LateTableSize);
-    assert_eq!(fault("4005 6162"), HpackError::Short);
+    assert_eq!(fault("4005 6162"), HpackError::Truncated);
     assert_eq!(fault("4081 ff01 61"), HpackError::Huffman);
 }
 
--- a/crates/wire/tests/http2.rs
+++ b/crates/wire/tests/http2.rs
@@ -133,7 +133,7 @@
     let mut raw = RawServer::new();
     let ids: Vec<u32> = (0..3).map(|_| raw.client.open(&request(), true).unwrap()).collect();
     raw.send(7, 0, 0, &[&ids[0].to_be_bytes()[..], &[0; 4]].concat());
-    let refused = |stream| Event::Reset { stream, code: Code::REFUSED_STREAM, ours: false };
+    let refused = |stream| Event::Reset { stream, code: Code::REFUSED_STREAM, local: false };
     assert_eq!(raw.events(), [refused(ids[1]), refused(ids[2]), Event::GoAway(Code::NO_ERROR)]);
     assert_eq!(raw.client.open_streams(), 1);
 }
@@ -146,7 +146,7 @@
     s.headers(id, answer(), true).unwrap();
     exchange(&mut c, &mut s, 99);
     assert_eq!(c.event(), Some(Event::Headers { stream: id, fields: answer(), end: true }));
-    assert_eq!(c.event(), Some(Event::Reset { stream: id, code: Code::NO_ERROR, ours: false }));
+    assert_eq!(c.event(), Some(Event::Reset { stream: id, code: Code::NO_ERROR, local: false }));
 }
 
 /// A client of bytes, to break rules with.
@@ -419,7 +419,7 @@
     let mut raw = RawServer::new();
     let id = raw.client.open(&request(), true).unwrap();
     raw.send(1, 0x4, id, &[0x82]); // :method in an answer
-    assert_eq!(raw.events(), [Event::Reset { stream: id, code: Code::PROTOCOL_ERROR, ours: true }]);
+    assert_eq!(raw.events(), [Event::Reset { stream: id, code: Code::PROTOCOL_ERROR, local: true }]);
     let id = raw.client.open(&request(), true).unwrap();
     raw.send(1, 0x4, id, &[0x08, 0x03, b'1', b'0', b'3']);
     raw.send(1, 0x5, id, &[0x88]);
@@ -430,7 +430,7 @@
     let mut raw = RawServer::new();
     let id = raw.client.open(&request(), true).unwrap();
     assert_eq!(raw.send(6, 0, 1, &[0; 8]), Some(Code::PROTOCOL_ERROR));
-    assert_eq!(raw.events(), [Event::Reset { stream: id, code: Code::PROTOCOL_ERROR, ours: true }]);
+    assert_eq!(raw.events(), [Event::Reset { stream: id, code: Code::PROTOCOL_ERROR, local: true }]);
 }
 
 proptest! {
--- a/crates/wire/tests/mqtt_server.rs
+++ b/crates/wire/tests/mqtt_server.rs
@@ -7,7 +7,8 @@
 use chalkgap_wire::mqtt::{decode, encode, Packet, Properties, Property, QoS, Version};
 use proptest::prelude::*;
 
-const LIMITS: Limits = Limits { packet: 4096, receive: 3, aliases: 2, remembered: 4 };
+const LIMITS: Limits =
+    Limits { packet_bytes: 4096, receive_maximum: 3, topic_alias_maximum: 2, remembered_identifiers: 4 };
 
 fn send(s: &mut Server, version: Version, packet: &Packet) -> Result<(), u8> {
     let mut out = BytesMut::new();
@@ -87,8 +88,8 @@
     s.event().unwrap();
     // The connection goes before the answer: that reaches the session.
     let mut session = s.take_session();
-    assert_eq!(session.working().collect::<Vec<_>>(), [7]);
-    session.said(7, IMPLEMENTATION_SPECIFIC, Properties::default());
+    assert_eq!(session.in_progress().collect::<Vec<_>>(), [7]);
+    session.record_response(7, IMPLEMENTATION_SPECIFIC, Properties::default());
     let mut s = open(V5, Some(session));
     send(&mut s, V5, &publish(ONCE, 7, true)).unwrap();
     let told = Packet::PubRec(ack(7, IMPLEMENTATION_SPECIFIC));
@@ -99,9 +100,9 @@
     // Another ingress knows nothing of it: it may have run, and is not run again.
     let mut other = open(V5, None);
     send(&mut other, V5, &publish(ONCE, 9, true)).unwrap();
-    assert!(matches!(other.event(), Some(Event::Repeated(_))));
+    assert!(matches!(other.event(), Some(Event::UnknownDuplicate(_))));
     // And over a restart what is known is kept.
-    let kept: Vec<_> = Session::restored([(7, 0), (8, QUOTA_EXCEEDED)]).known().collect();
+    let kept: Vec<_> = Session::restored([(7, 0), (8, QUOTA_EXCEEDED)]).responses().collect();
     assert_eq!(kept, [(7, 0), (8, QUOTA_EXCEEDED)]);
 }
 
@@ -211,7 +212,7 @@
                 _ => send(&mut s, V5, &Packet::PingReq),
             };
             while let Some(e) = s.event() {
-                if matches!(e, Event::Publish(_) | Event::Repeated(_)) {
+                if matches!(e, Event::Publish(_) | Event::UnknownDuplicate(_)) {
                     handed += 1;
                 }
             }
--- a/crates/wire/tests/recorded_messages.rs
+++ b/crates/wire/tests/recorded_messages.rs
@@ -71,7 +71,7 @@
         body: Bytes::from_static(b"inner"),
         hash: Bytes::from_static(&[9; 32]),
     };
-    let hand = billing::Hand { stream: "0-3".into(), number: 12, batch: Bytes::from_static(b"batch") };
+    let hand = billing::HandRequest { stream: "0-3".into(), number: 12, batch: Bytes::from_static(b"batch") };
     let node = roster::Node {
         address: "127.0.0.1:7001".into(),
         zone: "bldg-a".into(),
@@ -81,7 +81,11 @@
         size: 2.5,
         started_ms: 1_800_000_000_000,
     };
-    let fates = vec![truth::Fate::Ran as i32, truth::Fate::Never as i32, truth::Fate::Running as i32];
+    let statuses = vec![
+        truth::ExecutionStatus::Ran as i32,
+        truth::ExecutionStatus::Never as i32,
+        truth::ExecutionStatus::Running as i32,
+    ];
     let messages = [
         ("intake work", protobuf(work)),
         ("intake done", protobuf(done)),
@@ -89,21 +93,21 @@
         ("ledger entries", protobuf(fleet::Entries { entries: vec![Bytes::from_static(b"e1")] })),
         ("sealed", protobuf(sealed)),
         ("billing hand", protobuf(hand)),
-        ("billing handed", protobuf(billing::Handed { last: 12, batch: Bytes::from_static(b"b") })),
+        ("billing handed", protobuf(billing::HandResponse { last: 12, batch: Bytes::from_static(b"b") })),
         ("roster request", protobuf(roster::WatchRequest { ingress: 3, revision: 77 })),
         ("roster list", protobuf(roster::List { revision: 78, nodes: vec![node] })),
         ("truth question", protobuf(truth::Question { requests: vec!["a-1".into(), "a-2".into()] })),
-        ("truth answer", protobuf(truth::Answer { fates })),
+        ("truth answer", protobuf(truth::Answer { statuses })),
     ];
     recorded::check_messages("nodes.txt", &messages);
     let paths = [
         ratelimit::SHOULD_RATE_LIMIT,
         ratelimit::HEALTH_CHECK,
-        intake::SERVICE,
-        intake::KEY,
-        intake::REQUEST,
+        intake::PATH_PREFIX,
+        intake::IDEMPOTENCY_KEY_HEADER,
+        intake::REQUEST_ID_HEADER,
         truth::ASK,
-        truth::ENTERED,
+        truth::ACCEPTED_AT_HEADER,
         roster::WATCH,
         billing::HAND,
         fleet::HAVE,
--- a/fuzz/fuzz_targets/mqtt.rs
+++ b/fuzz/fuzz_targets/mqtt.rs
@@ -22,7 +22,8 @@
         let again = decode(&mut out, (!first).then_some(version), 2 * MOST);
         assert_eq!(again, Ok(Some(packet)));
     }
-    let limits = Limits { packet: MOST, receive: 4, aliases: 4, remembered: 4 };
+    let limits =
+        Limits { packet_bytes: MOST, receive_maximum: 4, topic_alias_maximum: 4, remembered_identifiers: 4 };
     let mut server = Server::new(limits);
     let cut = usize::from(how / 3).min(rest.len());
     for part in [&rest[..cut], &rest[cut..]] {
