--- a/crates/wire/src/fleet.rs
+++ b/crates/wire/src/fleet.rs
@@ -1,22 +1,24 @@
-//! Calls between ingresses about what they have in their ledgers: `POST /chalkgap.fleet.v1.Ledger/Have` and `/Fetch`.
-//! Each message is a [`Sealed`] one; what is inside is the ledger's.
-#![allow(missing_docs)] // the fields' comments say it
+//! Messages between ingresses about their ledgers: `POST /chalkgap.fleet.v1.Ledger/Have` and `/Fetch`. Requests and
+//! answers are [`Sealed`] messages whose bodies are the messages named here.
+#![allow(missing_docs)] // only fields that need an explanation have one
 
 use bytes::Bytes;
 
-/// `:path` of the question what the other has: an empty body; the answer is [`Ranges`].
+/// `:path` of the call that lists the receiver's entries. The request's body is empty, the answer's is [`Ranges`].
 pub const HAVE: &str = "/chalkgap.fleet.v1.Ledger/Have";
-/// `:path` of the question for entries: [`Ranges`]; the answer is [`Entries`].
+/// `:path` of the call that fetches entries. The request's body is [`Ranges`], the answer's is [`Entries`].
 pub const FETCH: &str = "/chalkgap.fleet.v1.Ledger/Fetch";
 
-/// A message between ingresses with a keyed hash over all of it and the call's path.
+/// A message between two ingresses, authenticated by a keyed hash over its other fields, its direction and the `:path`.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
 pub struct Sealed {
+    /// Number of the sending ingress.
     #[prost(uint32, tag = "1")]
     pub from: u32,
+    /// Number of the receiving ingress.
     #[prost(uint32, tag = "2")]
     pub to: u32,
-    /// Drawn by who asks, the same in the answer: an answer is good for its own question alone.
+    /// Random number chosen by the caller and repeated in the answer, so that an answer is valid only for its request.
     #[prost(fixed64, tag = "3")]
     pub nonce: u64,
     #[prost(bytes = "bytes", tag = "4")]
@@ -25,7 +27,7 @@
     pub hash: Bytes,
 }
 
-/// Numbers of an incarnation.
+/// Entries of one incarnation of an ingress, by their numbers from `from` to `to`, both included.
 #[derive(Clone, Copy, PartialEq, Eq, prost::Message)]
 pub struct Range {
     #[prost(uint32, tag = "1")]
@@ -38,14 +40,14 @@
     pub to: u64,
 }
 
-/// A list of them.
+/// Ranges of entries.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
 pub struct Ranges {
     #[prost(message, repeated, tag = "1")]
     pub ranges: Vec<Range>,
 }
 
-/// Entries, each as it is in a ledger.
+/// Ledger entries in their stored encoding.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
 pub struct Entries {
     #[prost(bytes = "bytes", repeated, tag = "1")]
--- a/crates/wire/src/grpc.rs
+++ b/crates/wire/src/grpc.rs
@@ -1,10 +1,11 @@
-//! gRPC over HTTP/2 ("PROTOCOL-HTTP2" of the gRPC project): message framing, `grpc-timeout`, status and its trailers.
+//! gRPC over HTTP/2, as specified by "PROTOCOL-HTTP2" of the gRPC project: message framing, `grpc-timeout`, and the
+//! trailers with the status.
 
 use crate::http2::Field;
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 use std::borrow::Cow;
 
-/// A status code of gRPC.
+/// A gRPC status code.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 #[allow(missing_docs)] // the names are gRPC's
 pub enum Code {
@@ -48,29 +49,29 @@
         Code::Unauthenticated,
     ];
 
-    /// The code of a number; what is not known is [`Code::Unknown`].
-    pub fn from_number(n: u32) -> Code {
-        Code::ALL.get(n as usize).copied().unwrap_or(Code::Unknown)
+    /// Returns the code with this number, or [`Code::Unknown`] if there is none.
+    pub fn from_number(number: u32) -> Code {
+        Code::ALL.get(number as usize).copied().unwrap_or(Code::Unknown)
     }
 }
 
-/// How a call ended, with a text for people.
+/// Status of a call that has ended.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{code:?}: {message}")]
 pub struct Status {
-    /// The code.
+    /// The status code.
     pub code: Code,
-    /// What went wrong, where, and what was expected.
+    /// Description of the error for people: where it occurred, what was found and what was expected.
     pub message: Cow<'static, str>,
 }
 
 impl Status {
-    /// A status with a text.
+    /// Creates a status.
     pub fn new(code: Code, message: impl Into<Cow<'static, str>>) -> Self {
         Status { code, message: message.into() }
     }
 
-    /// Its trailers.
+    /// Returns the trailers that carry the status.
     pub fn fields(&self) -> Vec<Field> {
         const CODES: [&str; 17] =
             ["0", "1", "2", "3", "4", "5", "6", "7", "8", "9", "10", "11", "12", "13", "14", "15", "16"];
@@ -82,7 +83,7 @@
         fields
     }
 
-    /// Reads the status out of trailers; without one it is [`Code::Unknown`], as the protocol has it.
+    /// Reads the status from trailers. Without a valid `grpc-status` it is [`Code::Unknown`].
     pub fn from_fields(fields: &[Field]) -> Status {
         let text = |name: &str| fields.iter().find(|f| f.name == name).map(|f| &f.value);
         let number = text("grpc-status").and_then(|v| std::str::from_utf8(v).ok()?.parse().ok());
@@ -92,7 +93,7 @@
     }
 }
 
-/// Encodes a status text: printable ASCII but for `%` stays, all else becomes `%XX`.
+/// Percent-encodes a status message: all bytes but printable ASCII, and `%`, become `%XX`.
 pub fn percent_encode(text: &str) -> Bytes {
     let mut out = Vec::with_capacity(text.len());
     for b in text.bytes() {
@@ -106,7 +107,8 @@
     out.into()
 }
 
-/// Decodes a status text. Broken escapes stay as they are, broken UTF-8 is replaced: a text is never lost.
+/// Decodes a percent-encoded status message. Invalid escapes are kept unchanged and invalid UTF-8 is replaced: the
+/// protocol forbids discarding the message.
 pub fn percent_decode(value: &[u8]) -> String {
     let mut out = Vec::with_capacity(value.len());
     let mut rest = value;
@@ -126,77 +128,80 @@
     String::from_utf8_lossy(&out).into_owned()
 }
 
-/// Reads `grpc-timeout`: one to eight digits and a unit. In microseconds; what is shorter than one rounds down.
+/// Parses `grpc-timeout`, one to eight digits and a unit. Returns microseconds, rounded down; `None` if it is invalid.
 pub fn parse_timeout(value: &[u8]) -> Option<u64> {
     let (unit, digits) = value.split_last()?;
     if digits.is_empty() || digits.len() > 8 || !digits.iter().all(u8::is_ascii_digit) {
         return None;
     }
-    let n = digits.iter().fold(0u64, |n, d| n * 10 + u64::from(d - b'0'));
+    let amount = digits.iter().fold(0u64, |amount, digit| amount * 10 + u64::from(digit - b'0'));
     match unit {
-        b'H' => Some(n * 3_600_000_000),
-        b'M' => Some(n * 60_000_000),
-        b'S' => Some(n * 1_000_000),
-        b'm' => Some(n * 1000),
-        b'u' => Some(n),
-        b'n' => Some(n / 1000),
+        b'H' => Some(amount * 3_600_000_000),
+        b'M' => Some(amount * 60_000_000),
+        b'S' => Some(amount * 1_000_000),
+        b'm' => Some(amount * 1000),
+        b'u' => Some(amount),
+        b'n' => Some(amount / 1000),
         _ => None,
     }
 }
 
-/// Writes `grpc-timeout` for a span in microseconds, rounded down to what eight digits can say.
+/// Formats a duration in microseconds for `grpc-timeout`, in the smallest unit whose value has at most eight digits.
+/// The value is rounded down.
 pub fn format_timeout(micros: u64) -> String {
-    const MOST: u64 = 99_999_999;
+    const MAX_VALUE: u64 = 99_999_999;
     match micros {
-        m if m <= MOST => format!("{m}u"),
-        m if m / 1000 <= MOST => format!("{}m", m / 1000),
-        m => format!("{}S", (m / 1_000_000).min(MOST)),
+        m if m <= MAX_VALUE => format!("{m}u"),
+        m if m / 1000 <= MAX_VALUE => format!("{}m", m / 1000),
+        m => format!("{}S", (m / 1_000_000).min(MAX_VALUE)),
     }
 }
 
-/// Frames a message.
+/// Encodes a message as a length-prefixed message without compression.
 pub fn frame(message: &impl prost::Message) -> Bytes {
     let len = message.encoded_len();
     let mut out = BytesMut::with_capacity(5 + len);
     out.put_u8(0);
     out.put_u32(len as u32);
-    // A growing buffer takes any message: the error is for those of fixed size.
+    // Encoding fails only if the buffer cannot grow.
     let _ = message.encode(&mut out);
     out.freeze()
 }
 
-/// Gathers the messages of one direction of a call out of DATA.
+/// Splits the DATA of one direction of a call into messages.
 #[derive(Default)]
 pub struct Deframer {
     buffer: BytesMut,
-    most: usize,
+    max_message_bytes: usize,
 }
 
 impl Deframer {
-    /// Takes messages of at most `most` bytes.
-    pub fn new(most: usize) -> Self {
-        Deframer { buffer: BytesMut::new(), most }
+    /// Creates a deframer for messages of at most `max_message_bytes`.
+    pub fn new(max_message_bytes: usize) -> Self {
+        Deframer { buffer: BytesMut::new(), max_message_bytes }
     }
 
-    /// Takes a part of the body. What it holds is bounded by the caller: [`Deframer::message`] is asked after each.
+    /// Adds a part of the body. To bound the buffer, call [`Deframer::message`] after each part until it returns no
+    /// message.
     pub fn push(&mut self, data: &[u8]) {
         self.buffer.extend_from_slice(data);
     }
 
-    /// The next whole message.
+    /// Returns the next complete message.
     ///
     /// # Errors
-    /// UNIMPLEMENTED for a compressed one, RESOURCE_EXHAUSTED for one over the limit, known from its prefix.
+    /// UNIMPLEMENTED if the message is compressed, INTERNAL if its flag is invalid, and RESOURCE_EXHAUSTED if its prefix
+    /// announces a length over the limit.
     pub fn message(&mut self) -> Result<Option<Bytes>, Status> {
         let Some(prefix) = self.buffer.get(..5) else { return Ok(None) };
         match prefix[0] {
             0 => {}
             1 => return Err(Status::new(Code::Unimplemented, "compressed message: only identity is taken")),
-            n => return Err(Status::new(Code::Internal, format!("message flag {n}: expected 0"))),
+            flag => return Err(Status::new(Code::Internal, format!("message flag {flag}: expected 0"))),
         }
         let len = u32::from_be_bytes([prefix[1], prefix[2], prefix[3], prefix[4]]) as usize;
-        if len > self.most {
-            let text = format!("message of {len} bytes: at most {} are taken", self.most);
+        if len > self.max_message_bytes {
+            let text = format!("message of {len} bytes: at most {} are taken", self.max_message_bytes);
             return Err(Status::new(Code::ResourceExhausted, text));
         }
         if self.buffer.len() < 5 + len {
@@ -206,7 +211,7 @@
         Ok(Some(self.buffer.split_to(len).freeze()))
     }
 
-    /// Whether bytes of an unfinished message are held.
+    /// Returns whether the buffer contains part of a message.
     pub fn partial(&self) -> bool {
         !self.buffer.is_empty()
     }
--- a/crates/wire/src/http2/connection/allowance.rs
+++ b/crates/wire/src/http2/connection/allowance.rs
@@ -1,16 +1,16 @@
-//! An allowance for frames that cost the peer nothing and this side some work (RFC 9113, section 10.5).
+//! A rate limit on frames that are cheap to send and cause work for the receiver (RFC 9113, section 10.5).
 
 use super::super::frame::{Code, ConnError};
 use super::Config;
 
 const MICROS_PER_SECOND: f64 = 1e6;
 
-/// A token bucket for control frames, resets and empty frames.
+/// Token bucket for control frames, resets and empty frames of the peer.
 pub(super) struct ControlAllowance {
     tokens: f64,
     capacity: f64,
     per_second: f64,
-    /// In microseconds.
+    /// Time of the last refill, in microseconds.
     refilled_at: u64,
 }
 
@@ -21,10 +21,10 @@
         ControlAllowance { tokens: capacity, capacity, per_second, refilled_at: 0 }
     }
 
-    /// Takes `cost` at the time `now` (microseconds).
+    /// Takes `cost` tokens at the time `now`, in microseconds.
     ///
     /// # Errors
-    /// The allowance is used up: the connection ends with ENHANCE_YOUR_CALM, for the reason `what`.
+    /// ENHANCE_YOUR_CALM with `reason` if there are fewer than `cost` tokens.
     pub(super) fn spend(&mut self, now: u64, cost: f64, reason: &'static str) -> Result<(), ConnError> {
         let elapsed = now.saturating_sub(self.refilled_at) as f64 / MICROS_PER_SECOND;
         self.refilled_at = now;
@@ -35,7 +35,7 @@
         Ok(())
     }
 
-    /// A stream that came to its proper end earns the peer one reset.
+    /// Returns one token, after a stream was ended by both sides: it pays for one reset.
     pub(super) fn earn(&mut self) {
         self.tokens = (self.tokens + 1.0).min(self.capacity);
     }
--- a/crates/wire/src/http2/connection/config.rs
+++ b/crates/wire/src/http2/connection/config.rs
@@ -1,23 +1,25 @@
 //! Limits of a connection.
 
-/// Limits of a connection. All are this side's: what the peer allows comes with its SETTINGS.
+/// Limits that this side sets for a connection. Those of the peer arrive in its SETTINGS.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// Streams that the peer may have open (SETTINGS_MAX_CONCURRENT_STREAMS).
+    /// Maximum number of open streams of the peer (SETTINGS_MAX_CONCURRENT_STREAMS).
     pub max_streams: u32,
-    /// Bytes that the peer may send unread on a stream (SETTINGS_INITIAL_WINDOW_SIZE).
+    /// Receive window of a stream in bytes (SETTINGS_INITIAL_WINDOW_SIZE).
     pub stream_window: u32,
-    /// The same on the whole connection; 65,535 or more.
+    /// Receive window of the connection in bytes, at least 65,535.
     pub connection_window: u32,
-    /// Bytes of a message's fields, uncompressed (SETTINGS_MAX_HEADER_LIST_SIZE).
+    /// Maximum uncompressed size of a message's fields in bytes (SETTINGS_MAX_HEADER_LIST_SIZE).
     pub header_list: u32,
-    /// Bytes of the table that the peer may use to compress them (SETTINGS_HEADER_TABLE_SIZE).
+    /// Maximum size in bytes of the peer's HPACK dynamic table (SETTINGS_HEADER_TABLE_SIZE).
     pub header_table: u32,
-    /// Bytes that may wait on a stream for the peer's window.
+    /// Maximum number of bytes of a body that wait on a stream for the peer's window. A single larger part is accepted
+    /// if none is waiting.
     pub send_buffer: usize,
-    /// Control frames and resets that may come at once, besides two for each allowed stream.
+    /// Number of control frames and resets that the peer may send at once, in addition to two for each of
+    /// [`Config::max_streams`].
     pub control_burst: u32,
-    /// Control frames and resets that may come in a second, permanently.
+    /// Number of control frames and resets per second that the peer may send on average.
     pub control_per_s: u32,
 }
 
--- a/crates/wire/src/http2/connection/events.rs
+++ b/crates/wire/src/http2/connection/events.rs
@@ -1,65 +1,68 @@
-//! What a connection tells its owner, and why it cannot do what its owner wants.
+//! Events of a connection, and the errors of its operations.
 
 use super::super::frame::Code;
 use super::super::hpack::Field;
 use bytes::Bytes;
 
-/// What came from the peer.
+/// An event on a connection.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// The peer's first SETTINGS: it speaks HTTP/2.
+    /// The peer's first SETTINGS were received: it speaks HTTP/2.
     Ready,
-    /// Fields of a request or a response, or its trailers where some came before.
+    /// Fields of a request or response were received. A second event of this kind on a stream carries the trailers.
     Headers {
-        /// The stream.
+        /// Id of the stream.
         stream: u32,
-        /// The fields, checked (RFC 9113, section 8.2).
+        /// The fields, which are valid (RFC 9113, sections 8.2 and 8.3).
         fields: Vec<Field>,
-        /// Nothing follows from the peer.
+        /// The peer has ended its side of the stream.
         end: bool,
     },
-    /// A part of a body. It counts against the windows until [`Connection::consumed`](super::Connection::consumed).
+    /// A part of a body was received. It occupies the receive windows until
+    /// [`Connection::consumed`](super::Connection::consumed) is called.
     Data {
-        /// The stream.
+        /// Id of the stream.
         stream: u32,
         /// The bytes.
         data: Bytes,
-        /// Nothing follows from the peer.
+        /// The peer has ended its side of the stream.
         end: bool,
     },
-    /// The stream was closed before its end. With REFUSED_STREAM the peer states that it did not process it (section 8.7).
+    /// The stream was closed before both sides ended it. With REFUSED_STREAM from the peer, the request was not processed
+    /// (section 8.7).
     Reset {
-        /// The stream.
+        /// Id of the stream.
         stream: u32,
-        /// The code that was sent or received.
+        /// The error code that was sent or received.
         code: Code,
-        /// This side closed it, for an error of the peer.
+        /// Whether this side closed the stream, because of an error of the peer.
         local: bool,
     },
-    /// The peer accepts no new streams. Those above its last id came as `Reset` with REFUSED_STREAM before this.
+    /// The peer accepts no new streams. For streams above the last id of the GOAWAY, [`Event::Reset`] with REFUSED_STREAM
+    /// was returned before.
     GoAway(Code),
-    /// The response to [`Connection::ping`](super::Connection::ping).
+    /// The answer to [`Connection::ping`](super::Connection::ping).
     Pong,
 }
 
-/// Why no stream can be opened now.
+/// Why a stream cannot be opened.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[allow(missing_docs)]
 pub enum OpenError {
-    #[error("the peer's {0} streams are in use")]
+    #[error("all {0} streams that the peer allows are open")]
     Full(u32),
-    #[error("the peer takes no new streams")]
+    #[error("the connection accepts no new streams")]
     GoingAway,
-    #[error("the stream ids are used up")]
+    #[error("all stream ids have been used")]
     Exhausted,
 }
 
-/// Why nothing can be sent on a stream.
+/// Why data cannot be sent on a stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[allow(missing_docs)]
 pub enum SendError {
     #[error("the stream is closed")]
     Closed,
-    #[error("{0} bytes wait for the peer's window, and there is no room for more")]
+    #[error("send buffer full: {0} bytes wait for the peer's flow-control window")]
     Full(usize),
 }
--- a/crates/wire/src/http2/connection/messages.rs
+++ b/crates/wire/src/http2/connection/messages.rs
@@ -1,4 +1,5 @@
-//! Frames that make up requests and responses: HEADERS, CONTINUATION and DATA (RFC 9113, sections 6.1, 6.2, 6.10 and 8.1).
+//! Receives the frames of requests and responses: HEADERS, CONTINUATION and DATA (RFC 9113, sections 6.1, 6.2, 6.10 and
+//! 8.1).
 
 use super::super::frame::{unpad, Code, ConnError, FrameHeader, END_HEADERS, END_STREAM, PRIORITIZED};
 use super::super::hpack::{Field, HpackError};
@@ -7,11 +8,12 @@
 use super::{protocol_error, Connection, Event, HeaderBlock};
 use bytes::{Buf, Bytes, BytesMut};
 
-/// CONTINUATION frames of a header block: 16 KiB need one, and a block without end must not take memory.
+/// Maximum number of CONTINUATION frames of a header block. A block of 16 KiB needs at most one; the limit also ends a block of
+/// many small frames.
 const MAX_CONTINUATIONS: u32 = 16;
-/// What an empty DATA frame or an interim response takes from the allowance.
+/// Cost of an empty DATA frame or an interim response in the allowance.
 const EMPTY_FRAME_COST: f64 = 1.0;
-/// Priority in front of a header block (section 6.2).
+/// Size of the priority fields in front of a header block (section 6.2).
 const PRIORITY_BYTES: usize = 5;
 
 impl Connection {
@@ -45,14 +47,14 @@
         if !data.is_empty() || end {
             self.events.push_back(Event::Data { stream: id, data, end });
         }
-        self.forget_if_ended(id);
+        self.remove_if_ended(id);
         Ok(())
     }
 
-    /// DATA on a stream that is closed.
+    /// Handles DATA on a closed stream.
     fn on_late_data(&mut self, id: u32, end: bool) -> Result<(), ConnError> {
         match self.reset_streams.iter().position(|reset| *reset == id) {
-            // A client whose whole response was sent before its own end: that end costs it nothing, once.
+            // The response was sent before the client ended its request. The late END_STREAM is free once per stream.
             Some(position) if end => {
                 self.reset_streams.remove(position);
                 Ok(())
@@ -62,10 +64,11 @@
         }
     }
 
-    /// Counts DATA of an open stream; `size` includes padding.
+    /// Counts received DATA of a stream in its flow-control window and body length. `size` includes padding, `length`
+    /// does not.
     ///
     /// # Errors
-    /// The code that the stream ends with.
+    /// The error code with which to reset the stream.
     fn count_data(&mut self, id: u32, size: usize, length: usize, end: bool) -> Result<(), Code> {
         let Some(stream) = self.streams.get_mut(&id) else { return Err(Code::STREAM_CLOSED) };
         stream.receive_window -= size as i64;
@@ -86,8 +89,8 @@
         Ok(())
     }
 
-    /// Forgets a stream that both sides have ended.
-    fn forget_if_ended(&mut self, id: u32) {
+    /// Removes the stream if both sides have ended it.
+    fn remove_if_ended(&mut self, id: u32) {
         if self.streams.get(&id).is_some_and(|stream| stream.end_received && stream.end_sent) {
             self.streams.remove(&id);
             self.allowance.earn();
@@ -135,7 +138,8 @@
         }
     }
 
-    /// A whole header block. It is decoded in any case: the tables of both sides must stay alike.
+    /// Handles a complete header block. The block is always decoded, also if the stream is closed or refused, to keep the
+    /// HPACK dynamic tables of both sides equal (section 4.3).
     fn on_header_block(&mut self, header: FrameHeader, block: &[u8]) -> Result<(), ConnError> {
         let id = header.stream;
         let end = header.has(END_STREAM);
@@ -143,7 +147,7 @@
         if self.is_server && self.is_idle(id) {
             self.last_peer_stream = id;
             if self.is_draining || self.goaway_sent.is_some_and(|last| id > last) {
-                return Ok(()); // above the last id of the GOAWAY: the client knows that it is not processed
+                return Ok(()); // above the last id of the GOAWAY, which told the client that it is not processed
             }
             if self.streams.len() >= self.config.max_streams as usize {
                 return self.stream_error(id, Code::REFUSED_STREAM);
@@ -180,7 +184,7 @@
         })
     }
 
-    /// Fields that are well formed: a message begins or, with trailers, ends.
+    /// Handles valid fields, which begin a message or are its trailers.
     fn on_fields(
         &mut self,
         id: u32,
@@ -205,12 +209,12 @@
             stream.content_length = checked.content_length;
         }
         stream.end_received = end;
-        let is_short = stream.content_length.is_some_and(|length| length != stream.body_received);
-        if end && is_short && stream.body_received > 0 {
+        let length_differs = stream.content_length.is_some_and(|length| length != stream.body_received);
+        if end && length_differs && stream.body_received > 0 {
             return self.stream_error(id, Code::PROTOCOL_ERROR);
         }
         self.events.push_back(Event::Headers { stream: id, fields, end });
-        self.forget_if_ended(id);
+        self.remove_if_ended(id);
         Ok(())
     }
 }
--- a/crates/wire/src/http2/connection/mod.rs
+++ b/crates/wire/src/http2/connection/mod.rs
@@ -1,16 +1,16 @@
-//! The state of one connection (RFC 9113, sections 3 to 6 and 8), the same code for both sides.
+//! The state of one connection (RFC 9113, sections 3 to 6 and 8) of a client or a server.
 //!
-//! Memory is bounded by [`Config`]: what waits to be read is at most one frame, a header block has a limit in bytes
-//! and frames, streams have a limit in number, windows bound what a peer may send unread and [`Config::send_buffer`]
-//! what waits to be sent. Control frames that cost the peer nothing and this side a response draw on an allowance that
-//! refills with time; when it is empty the connection ends with ENHANCE_YOUR_CALM. Whoever writes the output must stop
-//! reading while much of it is unwritten.
+//! [`Config`] bounds the memory of a connection. The input buffer holds at most one incomplete frame. Header blocks are
+//! limited in bytes and frames, and streams in number. Flow-control windows limit received data that is not consumed,
+//! and [`Config::send_buffer`] limits data that waits to be sent. Control frames, which are cheap for the peer and may
+//! require an answer, are limited by a token bucket: when it is empty, the connection ends with ENHANCE_YOUR_CALM. The
+//! caller must not pass more input while a large part of the output is unwritten.
 //!
-//! - `receiving`: frames from the peer; `messages`: those that make up requests and responses
-//! - `sending`: streams that are opened, fields and bodies that are sent
+//! - `receiving`: handles frames from the peer; `messages`: those of requests and responses
+//! - `sending`: opens streams and sends fields and bodies
 //! - `stream`: the state of one stream
-//! - `allowance`: the allowance for control frames
-//! - `validation`: checks of a message's fields
+//! - `allowance`: the token bucket for control frames
+//! - `validation`: validates the fields of a message
 
 mod allowance;
 mod config;
@@ -34,15 +34,16 @@
 pub use config::Config;
 pub use events::{Event, OpenError, SendError};
 
-/// The largest frame that is accepted: the RFC's minimum, which all peers keep to unless told otherwise (section 4.2).
+/// Maximum payload of a frame in both directions: the initial SETTINGS_MAX_FRAME_SIZE, which this side does not raise
+/// (section 6.5.2).
 const MAX_FRAME_BYTES: usize = 16_384;
-/// The largest window (section 6.9.1), and the highest stream id.
+/// Maximum flow-control window (section 6.9.1), and the highest stream id.
 const MAX_WINDOW: i64 = 0x7fff_ffff;
-/// Both windows of a connection before any WINDOW_UPDATE (section 6.9.2).
+/// Initial flow-control window of a connection and of its streams (section 6.9.2).
 const INITIAL_WINDOW: u32 = 65_535;
-/// Streams that a server is taken to allow until its SETTINGS come.
+/// Maximum number of open streams until the server's SETTINGS arrive.
 const PRESUMED_MAX_STREAMS: u32 = 100;
-/// The payload of the PING that follows the first GOAWAY of a graceful shutdown.
+/// Payload of the PING that follows the first GOAWAY of a graceful shutdown.
 const DRAIN_PING: u64 = 0x6472_6169_6e00_0001;
 
 // Identifiers of settings (section 6.5.2).
@@ -53,52 +54,53 @@
 const SETTINGS_MAX_FRAME_SIZE: u16 = 5;
 const SETTINGS_MAX_HEADER_LIST_SIZE: u16 = 6;
 
-/// A header block whose CONTINUATION frames are still to come (section 6.10).
+/// A header block that is continued by CONTINUATION frames (section 6.10).
 struct HeaderBlock {
     header: FrameHeader,
     bytes: BytesMut,
+    /// Number of CONTINUATION frames received.
     frames: u32,
 }
 
-/// One side of a connection.
+/// A client's or server's side of a connection.
 pub struct Connection {
     config: Config,
     is_server: bool,
     input: BytesMut,
     output: BytesMut,
-    /// Bytes of the client's preface that have not come.
+    /// Bytes of the client's preface that have not been received.
     preface_left: usize,
-    /// The peer's SETTINGS have come.
+    /// The peer's SETTINGS have been received.
     is_ready: bool,
     decoder: Decoder,
     encoder: Encoder,
     scratch: Vec<u8>,
     header_block: Option<HeaderBlock>,
     streams: BTreeMap<u32, Stream>,
-    /// Streams with a body to write, in turn.
+    /// Streams with a body to write, in round-robin order.
     scheduled: VecDeque<u32>,
     events: VecDeque<Event>,
-    /// The highest stream that the peer opened.
+    /// Highest id of a stream that the peer opened.
     last_peer_stream: u32,
-    /// The next stream that this side opens.
+    /// Id of the next stream that this side opens.
     next_stream: u32,
     send_window: i64,
     receive_window: i64,
-    /// Bytes that were read and not given back to the connection's window yet.
+    /// Consumed bytes that have not been returned to the peer's window by WINDOW_UPDATE.
     unacknowledged: u32,
-    /// The window that the peer gives a new stream.
+    /// Initial send window of a stream, set by the peer.
     peer_initial_window: i64,
     peer_max_frame: usize,
     peer_max_streams: u32,
-    /// GOAWAY was sent with this last stream id.
+    /// Last stream id of the latest GOAWAY that was sent.
     goaway_sent: Option<u32>,
-    /// The last stream id of the GOAWAY that was sent is final.
+    /// The final GOAWAY has been sent: its last stream id does not change any more.
     is_draining: bool,
     goaway_received: bool,
-    /// Streams that were reset lately: late frames on them are passed over.
+    /// Ids of the most recently reset streams. Frames that still arrive on them are ignored.
     reset_streams: VecDeque<u32>,
     allowance: ControlAllowance,
-    /// The time of the latest bytes, in microseconds.
+    /// Time of the latest input, in microseconds.
     now: u64,
     bytes_received: u64,
     error: Option<ConnError>,
@@ -109,12 +111,12 @@
 }
 
 impl Connection {
-    /// The server's side. Its SETTINGS are in the output.
+    /// Creates a server's side of a connection. Its SETTINGS are in the output.
     pub fn server(config: Config) -> Self {
         Connection::new(config, true)
     }
 
-    /// The client's side. The preface and its SETTINGS are in the output.
+    /// Creates a client's side of a connection. The preface and the client's SETTINGS are in the output.
     pub fn client(config: Config) -> Self {
         Connection::new(config, false)
     }
@@ -124,14 +126,14 @@
         if !is_server {
             output.put_slice(PREFACE);
         }
-        let second = if is_server {
+        let role_setting = if is_server {
             (SETTINGS_MAX_CONCURRENT_STREAMS, config.max_streams)
         } else {
-            (SETTINGS_ENABLE_PUSH, 0) // and a server opens no streams
+            (SETTINGS_ENABLE_PUSH, 0) // so that the server opens no streams
         };
         let settings = [
             (SETTINGS_HEADER_TABLE_SIZE, config.header_table),
-            second,
+            role_setting,
             (SETTINGS_INITIAL_WINDOW_SIZE, config.stream_window.min(MAX_WINDOW as u32)),
             (SETTINGS_MAX_HEADER_LIST_SIZE, config.header_list),
         ];
@@ -173,39 +175,39 @@
         }
     }
 
-    /// The next thing that came.
+    /// Returns the next event.
     pub fn event(&mut self) -> Option<Event> {
         self.events.pop_front()
     }
 
-    /// What is to be written to the peer; the writer takes off what it wrote.
+    /// Returns the bytes to send. The caller removes those that it has written.
     pub fn output(&mut self) -> &mut BytesMut {
         self.write_bodies();
         &mut self.output
     }
 
-    /// Bytes that came so far.
+    /// Returns the number of received bytes.
     pub fn received(&self) -> u64 {
         self.bytes_received
     }
 
-    /// Whether the peer is in the middle of its preface, a frame or a header block.
+    /// Returns whether the received input ends within the preface, a frame or a header block.
     pub fn has_partial_input(&self) -> bool {
         let in_preface = self.preface_left > 0 && self.preface_left < PREFACE.len();
         !self.input.is_empty() || self.header_block.is_some() || in_preface
     }
 
-    /// Streams that are open, by either side.
+    /// Returns the number of open streams of both sides.
     pub fn open_streams(&self) -> usize {
         self.streams.len()
     }
 
-    /// Whether the peer's SETTINGS have come.
+    /// Returns whether the peer's SETTINGS have been received.
     pub fn settings_received(&self) -> bool {
         self.is_ready
     }
 
-    /// Whether a stream can be opened now.
+    /// Checks whether a stream can be opened.
     ///
     /// # Errors
     /// See [`OpenError`].
@@ -222,21 +224,23 @@
         Ok(())
     }
 
-    /// Whether the connection has drained: no stream is open and none will be.
+    /// Returns whether the connection has ended: no stream is open and none can be opened.
     pub fn finished(&mut self) -> bool {
-        // A body that only waits for this call must not keep the connection open: no other event would write it.
+        // Writes the bodies that can be sent now: their streams count as open until then, and there may be no later event
+        // that writes them.
         self.write_bodies();
         self.streams.is_empty() && (self.is_draining || self.goaway_received || self.error.is_some())
     }
 
-    /// Sends a PING; the response comes as [`Event::Pong`].
+    /// Sends a PING. Its answer is returned as [`Event::Pong`].
     pub fn ping(&mut self) {
         write_frame_header(&mut self.output, 8, PING, 0, 0);
         self.output.put_u64(0);
     }
 
-    /// Begins a graceful shutdown: the peer is told to open no more streams, and once it has surely heard so, which
-    /// ones were accepted (section 6.8). A client just opens no more.
+    /// Begins a graceful shutdown (section 6.8). A server sends a GOAWAY with the highest stream id and a PING. After the
+    /// PING's answer, it sends the final GOAWAY with the id of the last accepted stream. A client sends one GOAWAY and
+    /// opens no more streams.
     pub fn shutdown(&mut self) {
         if self.goaway_sent.is_some() || self.error.is_some() {
             return;
@@ -253,14 +257,15 @@
         }
     }
 
-    /// Rejects the connection with ENHANCE_YOUR_CALM and a text for people: no stream that the peer opens is processed.
-    /// For connections on which no request was accepted; the caller closes them afterwards.
+    /// Rejects the connection: sends a GOAWAY with ENHANCE_YOUR_CALM, last stream id 0 and `text` as debug data.
+    ///
+    /// For connections on which no request was accepted. The caller closes the connection afterwards.
     pub fn reject(&mut self, text: &str) {
         write_goaway(&mut self.output, 0, Code::ENHANCE_YOUR_CALM, text.as_bytes());
     }
 
-    /// Ends the connection for a reason of the caller's, such as a peer that is too slow. Each open stream comes as
-    /// [`Event::Reset`].
+    /// Ends the connection with an error of the caller, such as a peer that is too slow. Returns [`Event::Reset`] for each
+    /// open stream.
     pub fn abort(&mut self, error: ConnError) {
         if self.error.is_some() {
             return;
@@ -280,11 +285,11 @@
         Stream { send_window: self.peer_initial_window, receive_window, ..Stream::default() }
     }
 
-    /// Whether a stream has not been opened yet (section 5.1.1).
+    /// Returns whether a stream is idle, which means that it has not been opened (section 5.1.1).
     fn is_idle(&self, id: u32) -> bool {
-        let is_clients = id % 2 == 1;
-        let is_peers = is_clients == self.is_server;
-        if is_peers {
+        let opened_by_client = id % 2 == 1;
+        let opened_by_peer = opened_by_client == self.is_server;
+        if opened_by_peer {
             id > self.last_peer_stream
         } else {
             id >= self.next_stream
--- a/crates/wire/src/http2/connection/receiving.rs
+++ b/crates/wire/src/http2/connection/receiving.rs
@@ -1,4 +1,4 @@
-//! Frames from the peer: the preface, the dispatch by type, and the frames that manage the connection (RFC 9113,
+//! Receives the preface and frames: dispatches frames by type and handles those that control the connection (RFC 9113,
 //! sections 6.3 to 6.9).
 
 use super::super::frame::{
@@ -13,17 +13,17 @@
 };
 use bytes::{Buf, BufMut, Bytes};
 
-/// What a control frame takes from the allowance.
+/// Cost of a control frame in the allowance.
 const CONTROL_FRAME_COST: f64 = 1.0;
-/// What a late frame on a stream that was reset takes.
+/// Cost of a frame that arrives on a stream after its reset.
 pub(super) const LATE_FRAME_COST: f64 = 0.1;
-/// SETTINGS cost more the longer they are: another unit for a hundred settings.
+/// Payload bytes of SETTINGS that cost one more token, which are one hundred settings.
 const SETTINGS_BYTES_PER_COST: f64 = 600.0;
 const SETTING_BYTES: usize = 6;
 const PING_BYTES: usize = 8;
 const MIN_GOAWAY_BYTES: usize = 8;
 const PRIORITY_BYTES: usize = 5;
-/// Frame sizes that a peer may announce (section 4.2).
+/// Valid values of SETTINGS_MAX_FRAME_SIZE (section 6.5.2).
 const FRAME_SIZES: std::ops::RangeInclusive<u32> = 16_384..=16_777_215;
 
 fn u32_at(payload: &[u8], at: usize) -> u32 {
@@ -31,11 +31,11 @@
 }
 
 impl Connection {
-    /// Takes bytes of the peer at the time `now` (microseconds of any clock that does not go back).
+    /// Handles bytes received at the time `now`, in microseconds of a monotonic clock.
     ///
     /// # Errors
-    /// The peer broke a rule of the connection, or used up its allowance: the GOAWAY is in the output, the connection
-    /// is to be closed once that is written, and each open stream has come as [`Event::Reset`].
+    /// If the peer violated the protocol or exceeded the allowance for control frames. In this case, the output contains a
+    /// GOAWAY, after which the caller has to close the connection, and [`Event::Reset`] is returned for each open stream.
     pub fn receive(&mut self, now: u64, bytes: &[u8]) -> Result<(), ConnError> {
         if let Some(error) = self.error {
             return Err(error);
@@ -78,7 +78,7 @@
         Ok(())
     }
 
-    /// Draws on the allowance for frames that cost the peer nothing.
+    /// Takes `cost` from the allowance for control frames.
     pub(super) fn spend(&mut self, cost: f64, reason: &'static str) -> Result<(), ConnError> {
         self.allowance.spend(self.now, cost, reason)
     }
@@ -103,12 +103,12 @@
             GOAWAY => self.on_goaway(header, &payload),
             WINDOW_UPDATE => self.on_window_update(header, &payload),
             CONTINUATION => self.on_continuation(header, &payload),
-            // Passed over (section 5.5).
+            // Frames of unknown types are ignored (section 5.5).
             _ => self.spend(CONTROL_FRAME_COST, "too many frames of unknown types"),
         }
     }
 
-    /// Ends a stream for an error of the peer (section 5.4.2).
+    /// Resets a stream because of an error of the peer (section 5.4.2).
     pub(super) fn stream_error(&mut self, id: u32, code: Code) -> Result<(), ConnError> {
         self.spend(CONTROL_FRAME_COST, "too many broken streams")?;
         write_u32(&mut self.output, RST_STREAM, id, code.0);
@@ -138,7 +138,7 @@
             return Err(protocol_error("RST_STREAM on a stream that is not open"));
         }
         let code = Code(u32_at(payload, 0));
-        // Opening and resetting at once is work for this side and none for the peer.
+        // Streams that are opened and reset at once cause work for this side only (section 10.5).
         self.spend(CONTROL_FRAME_COST, "too many streams reset")?;
         if self.streams.remove(&header.stream).is_some() {
             self.remember_reset(header.stream);
@@ -193,7 +193,7 @@
         Ok(())
     }
 
-    /// Changes the windows of all streams by as much as the initial one changes (section 6.9.2).
+    /// Adjusts the send windows of all streams by the change of the initial window (section 6.9.2).
     fn apply_initial_window(&mut self, value: u32) -> Result<(), ConnError> {
         if i64::from(value) > MAX_WINDOW {
             return Err(ConnError::new(Code::FLOW_CONTROL_ERROR, "initial window over 2^31-1"));
@@ -225,7 +225,7 @@
             write_frame_header(&mut self.output, PING_BYTES, PING, ACK, 0);
             self.output.put_slice(payload);
         } else if *payload == DRAIN_PING.to_be_bytes() && self.goaway_sent.is_some() && !self.is_draining {
-            // The client read the first GOAWAY before this: streams that it opens from here on never run.
+            // The client has received the first GOAWAY: streams that it still opens are not processed.
             self.goaway_sent = Some(self.last_peer_stream);
             self.is_draining = true;
             write_goaway(&mut self.output, self.last_peer_stream, Code::NO_ERROR, b"drain");
--- a/crates/wire/src/http2/connection/sending.rs
+++ b/crates/wire/src/http2/connection/sending.rs
@@ -1,4 +1,4 @@
-//! The sending side: streams that are opened, fields and bodies, and the windows that are given back.
+//! Opens and resets streams, sends fields and bodies, and returns consumed bytes to the peer's windows.
 
 use super::super::frame::{
     write_frame_header, write_u32, Code, CONTINUATION, DATA, END_HEADERS, END_STREAM, HEADERS, RST_STREAM,
@@ -8,11 +8,11 @@
 use super::{Connection, OpenError, SendError};
 use bytes::{BufMut, Bytes};
 
-/// Streams that were reset and whose late frames are passed over.
+/// Maximum number of reset streams whose late frames are ignored.
 const MAX_RESET_STREAMS: usize = 256;
 
 impl Connection {
-    /// Opens a stream with a request's fields. `end`: no body follows.
+    /// Opens a stream with a request's fields and returns its id. `end`: no body or trailers follow.
     ///
     /// # Errors
     /// See [`OpenError`].
@@ -22,15 +22,14 @@
         self.next_stream += 2;
         self.streams.insert(id, self.new_stream());
         self.write_fields(id, fields, end);
-        self.note_sent(id, end);
+        self.on_frame_written(id, end);
         Ok(id)
     }
 
-    /// Sends fields: a response's, or trailers, which wait until the body before them is written. `end`: nothing
-    /// follows.
+    /// Sends the fields of a response, or trailers, which are sent after a queued body. `end`: nothing follows.
     ///
     /// # Errors
-    /// The stream is closed.
+    /// [`SendError::Closed`] if the stream is closed or its end is already queued.
     pub fn headers(&mut self, id: u32, fields: Vec<Field>, end: bool) -> Result<(), SendError> {
         let stream =
             self.streams.get_mut(&id).filter(|stream| !stream.end_queued).ok_or(SendError::Closed)?;
@@ -40,14 +39,15 @@
             return Ok(());
         }
         self.write_fields(id, &fields, end);
-        self.note_sent(id, end);
+        self.on_frame_written(id, end);
         Ok(())
     }
 
-    /// Sends a part of a body, as the peer's windows allow. `end`: nothing follows.
+    /// Queues a part of a body, which is sent as the peer's windows allow. `end`: nothing follows.
     ///
     /// # Errors
-    /// The stream is closed, or too much waits already.
+    /// [`SendError::Closed`] if the stream is closed or its end is already queued; [`SendError::Full`] if the queued bytes
+    /// would exceed the send buffer.
     pub fn data(&mut self, id: u32, data: Bytes, end: bool) -> Result<(), SendError> {
         let limit = self.config.send_buffer;
         let stream =
@@ -65,7 +65,7 @@
         Ok(())
     }
 
-    /// Ends a stream at once, whatever waits on it. Does nothing where it is closed.
+    /// Resets a stream and discards its queued data. Does nothing if the stream is closed.
     pub fn reset(&mut self, id: u32, code: Code) {
         if self.streams.remove(&id).is_some() {
             write_u32(&mut self.output, RST_STREAM, id, code.0);
@@ -73,8 +73,8 @@
         }
     }
 
-    /// The reader is done with `bytes` of the stream's body: the peer may send as many more. Windows are given back in
-    /// halves, to save frames.
+    /// Reports that `bytes` of the stream's body have been consumed, so that the peer may send as many more. WINDOW_UPDATE
+    /// is sent once half of a window has been consumed, to save frames.
     pub fn consumed(&mut self, id: u32, bytes: usize) {
         let bytes = bytes as u32;
         self.unacknowledged += bytes;
@@ -95,7 +95,7 @@
         }
     }
 
-    /// Writes fields as HEADERS, and CONTINUATION where they exceed a frame.
+    /// Writes fields as HEADERS, and as CONTINUATION where they exceed a frame.
     fn write_fields(&mut self, id: u32, fields: &[Field], end: bool) {
         self.scratch.clear();
         self.encoder.encode(fields, &mut self.scratch);
@@ -118,8 +118,8 @@
         }
     }
 
-    /// Notes that a frame was written; the last one ends this side of the stream.
-    fn note_sent(&mut self, id: u32, end: bool) {
+    /// Updates the stream after a HEADERS or DATA frame was written. `end`: the frame ended this side of the stream.
+    fn on_frame_written(&mut self, id: u32, end: bool) {
         if !end {
             return;
         }
@@ -130,12 +130,13 @@
             self.streams.remove(&id);
             self.allowance.earn();
         } else if self.is_server {
-            // The whole response was sent before the whole request came: the rest of it is not needed (section 8.1).
+            // The response is complete before the request: the client is told not to send the rest of the request
+            // (section 8.1).
             self.reset(id, Code::NO_ERROR);
         }
     }
 
-    /// Writes bodies as far as the windows allow, a frame for each stream in turn.
+    /// Writes queued bodies as far as the windows allow, one frame of each stream in turn.
     pub(super) fn write_bodies(&mut self) {
         while let Some(id) = self.scheduled.pop_front() {
             let Some(stream) = self.streams.get_mut(&id) else { continue };
@@ -147,7 +148,7 @@
             let limit = window.clamp(0, self.peer_max_frame as i64) as usize;
             if limit == 0 && !part.is_empty() {
                 if stream.send_window > 0 {
-                    // The connection's window is closed: the stream keeps its turn.
+                    // The connection's window is exhausted: the stream stays first in the order.
                     self.scheduled.push_front(id);
                     return;
                 }
@@ -158,7 +159,7 @@
         }
     }
 
-    /// Writes one DATA frame of at most `limit` bytes, and what follows the last one.
+    /// Writes one DATA frame of at most `limit` bytes, and the trailers after the last frame of the body.
     fn write_body_frame(&mut self, id: u32, limit: usize) {
         let Some(stream) = self.streams.get_mut(&id) else { return };
         let Some(piece) = stream.dequeue(limit) else { return };
@@ -175,9 +176,9 @@
         match trailers {
             Some(fields) => {
                 self.write_fields(id, &fields, true);
-                self.note_sent(id, true);
+                self.on_frame_written(id, true);
             }
-            None => self.note_sent(id, end),
+            None => self.on_frame_written(id, end),
         }
     }
 
--- a/crates/wire/src/http2/connection/stream.rs
+++ b/crates/wire/src/http2/connection/stream.rs
@@ -1,4 +1,4 @@
-//! The state of one stream (RFC 9113, section 5.1) and its flow control (section 5.2).
+//! The state of one stream (RFC 9113, section 5.1) and its flow-control windows (section 5.2).
 
 use super::super::hpack::Field;
 use bytes::Bytes;
@@ -7,39 +7,40 @@
 /// An open stream.
 #[derive(Default)]
 pub(super) struct Stream {
-    /// Bytes that the peer still allows.
+    /// Bytes that this side may still send. Negative if the peer has reduced the initial window (section 6.9.2).
     pub(super) send_window: i64,
-    /// Bytes that this side still allows.
+    /// Bytes that the peer may still send.
     pub(super) receive_window: i64,
-    /// Bytes that were read and not given back to the peer's window yet.
+    /// Consumed bytes that have not been returned to the peer's window by WINDOW_UPDATE.
     pub(super) unacknowledged: u32,
-    /// Parts of the body that wait to be written, and their bytes.
+    /// Parts of the body that wait to be written.
     pub(super) queue: VecDeque<Bytes>,
+    /// Size of the queued parts.
     pub(super) queued_bytes: usize,
-    /// Trailers that wait until the body is written.
+    /// Trailers to write after the body.
     pub(super) trailers: Option<Vec<Field>>,
-    /// This side's last frame is queued.
+    /// The end of this side's message is queued: nothing more can be sent.
     pub(super) end_queued: bool,
-    /// This side's last frame is written.
+    /// A frame with END_STREAM was written.
     pub(super) end_sent: bool,
-    /// The peer's last frame has come.
+    /// A frame with END_STREAM was received.
     pub(super) end_received: bool,
     pub(super) headers_received: bool,
-    /// It is among those that wait for their turn to write.
+    /// The stream is in `Connection::scheduled`.
     pub(super) is_scheduled: bool,
-    /// The content length that the peer stated.
+    /// Value of the peer's `content-length`.
     pub(super) content_length: Option<u64>,
-    /// Bytes of the body that have come.
+    /// Received bytes of the body.
     pub(super) body_received: u64,
 }
 
 impl Stream {
-    /// Whether the peer's window lets a waiting body go on.
+    /// Returns whether the stream has to be scheduled: a body is queued and the send window is open.
     pub(super) fn may_resume(&self) -> bool {
         !self.is_scheduled && self.send_window > 0 && !self.queue.is_empty()
     }
 
-    /// Takes a part of at most `limit` bytes off the queue; none if nothing waits.
+    /// Removes at most `limit` bytes from the queue. Returns `None` if the queue is empty.
     pub(super) fn dequeue(&mut self, limit: usize) -> Option<Bytes> {
         let part = self.queue.front_mut()?;
         let piece = part.split_to(part.len().min(limit));
@@ -51,7 +52,7 @@
         Some(piece)
     }
 
-    /// Whether what has come of the body contradicts the stated content length (section 8.1.1).
+    /// Returns whether the size of the received body contradicts `content-length` (section 8.1.1).
     pub(super) fn contradicts_length(&self) -> bool {
         let is_wrong =
             |length: u64| self.body_received > length || (self.end_received && self.body_received != length);
--- a/crates/wire/src/http2/frame.rs
+++ b/crates/wire/src/http2/frame.rs
@@ -1,11 +1,12 @@
-//! Frames as bytes (RFC 9113, section 4 and 6) and the errors that a connection ends with.
+//! Frame encoding (RFC 9113, sections 4 and 6), error codes and connection errors.
 
 use bytes::{BufMut, Bytes, BytesMut};
 use std::fmt;
 
-/// What a client sends first (RFC 9113, section 3.4).
+/// The connection preface of a client (RFC 9113, section 3.4).
 pub const PREFACE: &[u8; 24] = b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n";
 
+// Frame types (section 6).
 pub const DATA: u8 = 0;
 pub const HEADERS: u8 = 1;
 pub const PRIORITY: u8 = 2;
@@ -17,12 +18,14 @@
 pub const WINDOW_UPDATE: u8 = 8;
 pub const CONTINUATION: u8 = 9;
 
+// Frame flags (section 6).
 pub const END_STREAM: u8 = 0x1;
 pub const ACK: u8 = 0x1;
 pub const END_HEADERS: u8 = 0x4;
 pub const PADDED: u8 = 0x8;
 pub const PRIORITIZED: u8 = 0x20;
 
+/// Size of a frame header (section 4.1).
 pub const FRAME_HEADER_BYTES: usize = 9;
 
 /// An error code (RFC 9113, section 7).
@@ -78,13 +81,13 @@
     }
 }
 
-/// Why this side gives a connection up. The GOAWAY that says so is in the output already.
+/// An error that ends the connection. The GOAWAY that reports it has already been added to the output.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{code}: {reason}")]
 pub struct ConnError {
-    /// The code that the GOAWAY carries.
+    /// Error code of the GOAWAY.
     pub code: Code,
-    /// What was seen and what was expected.
+    /// Description of the error, which the GOAWAY carries as debug data.
     pub reason: &'static str,
 }
 
@@ -94,7 +97,7 @@
     }
 }
 
-/// The nine bytes before a payload.
+/// A frame header (section 4.1).
 #[derive(Clone, Copy, Debug)]
 pub struct FrameHeader {
     pub len: usize,
@@ -104,7 +107,10 @@
 }
 
 impl FrameHeader {
-    /// Reads a header; `bytes` holds nine or more.
+    /// Reads a header.
+    ///
+    /// # Panics
+    /// If `b` is shorter than [`FRAME_HEADER_BYTES`].
     pub fn read(b: &[u8]) -> FrameHeader {
         let len = usize::from(b[0]) << 16 | usize::from(b[1]) << 8 | usize::from(b[2]);
         let stream = u32::from_be_bytes([b[5], b[6], b[7], b[8]]) & 0x7fff_ffff;
@@ -144,14 +150,14 @@
     }
 }
 
-/// Takes padding off (sections 6.1, 6.2); none if it is longer than the payload.
+/// Removes the padding of a frame (sections 6.1 and 6.2). Returns `None` if it is longer than the payload.
 pub fn unpad(header: &FrameHeader, mut payload: Bytes) -> Option<Bytes> {
     if header.has(PADDED) {
-        let pad = usize::from(*payload.first()?);
-        if pad + 1 > payload.len() {
+        let padding_bytes = usize::from(*payload.first()?);
+        if padding_bytes + 1 > payload.len() {
             return None;
         }
-        payload = payload.slice(1..payload.len() - pad);
+        payload = payload.slice(1..payload.len() - padding_bytes);
     }
     Some(payload)
 }
--- a/crates/wire/src/http2/mod.rs
+++ b/crates/wire/src/http2/mod.rs
@@ -1,5 +1,5 @@
-//! HTTP/2 (RFC 9113) as a state machine: [`Connection`] takes the peer's bytes and the time, gives [`Event`]s, and
-//! keeps the bytes that are to be written in [`Connection::output`].
+//! HTTP/2 (RFC 9113) as a state machine. [`Connection`] takes received bytes and the current time, returns [`Event`]s,
+//! and keeps the bytes to send in [`Connection::output`].
 
 mod connection;
 mod frame;
--- a/crates/wire/src/intake.rs
+++ b/crates/wire/src/intake.rs
@@ -1,46 +1,48 @@
-//! The messages between an ingress and an intake node: one unary gRPC call an attempt, `POST
-//! /chalkgap.intake.v1.Intake/CLASS`. The request's key, where its class has one, is in `idempotency-key`, the time
-//! left in `grpc-timeout`; the node's load report comes as the trailer `endpoint-load-metrics`. A node that has not
-//! looked at a call says so with REFUSED_STREAM; any error status means that it may have run.
-#![allow(missing_docs)] // the fields' comments say it
+//! Messages between an ingress and a node. Each attempt is one unary gRPC call, `POST
+//! /chalkgap.intake.v1.Intake/CLASS`.
+//!
+//! The header `grpc-timeout` carries the remaining time, and `idempotency-key` the request's key if its class uses keys.
+//! The node sends its load report in the trailer `endpoint-load-metrics`. It resets a call that it has not processed
+//! with REFUSED_STREAM (RFC 9113, section 8.7). After any error status, the request may have run.
+#![allow(missing_docs)] // only fields that need an explanation have one
 
 use crate::ratelimit::Entry;
 
-/// What comes before the class in `:path`.
+/// Prefix of `:path`; the class follows.
 pub const PATH_PREFIX: &str = "/chalkgap.intake.v1.Intake/";
-/// The field that carries the key of a keyed class.
+/// Header with the idempotency key of a request whose class uses keys.
 pub const IDEMPOTENCY_KEY_HEADER: &str = "idempotency-key";
-/// The field that names the client's request, alike for all its attempts.
+/// Header with the id of the client's request, which is the same for all its attempts.
 pub const REQUEST_ID_HEADER: &str = "x-request-id";
 
-/// A request.
+/// The request message.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Work {
-    /// Whose it is.
+    /// The customer's account.
     #[prost(string, tag = "1")]
     pub account: String,
-    /// What it draws from the quota.
+    /// Units that the request takes from the account's quota.
     #[prost(uint32, tag = "2")]
     pub units: u32,
-    /// The client's descriptor entries that mean nothing to the ingress.
+    /// The client's descriptor entries that the ingress does not use itself.
     #[prost(message, repeated, tag = "3")]
     pub entries: Vec<Entry>,
-    /// The body, where the front's protocol has one.
+    /// The client's payload; empty if its protocol has none.
     #[prost(bytes = "bytes", tag = "4")]
     pub payload: bytes::Bytes,
 }
 
-/// An answer.
+/// The answer message.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
 pub struct Done {
-    /// For the client, as it is.
+    /// Body that is passed to the client unchanged.
     #[prost(bytes = "bytes", tag = "1")]
     pub body: bytes::Bytes,
-    /// What it used; absent: what was asked for.
+    /// Units that the request used; if absent, those of [`Work::units`].
     #[prost(uint32, optional, tag = "2")]
     pub units: Option<u32>,
-    /// The request's key had come before: this attempt ran nothing, and `units`, if it is there, is what the request
-    /// used. If it is not there, the node cannot say whether an earlier attempt of the same request ran.
+    /// The node has seen the idempotency key before and did not run this attempt. In this case, `units` is what the
+    /// request used; if `units` is absent, the node does not know whether an earlier attempt of the request ran.
     #[prost(bool, tag = "3")]
     pub repeat: bool,
 }
--- a/crates/wire/src/orca.rs
+++ b/crates/wire/src/orca.rs
@@ -1,35 +1,37 @@
-//! Load reports of nodes in the text form of ORCA's trailer `endpoint-load-metrics` (xds.data.orca.v3.OrcaLoadReport,
-//! gRFC A51): `TEXT cpu_utilization=0.3,named_metrics.queue=2`. The binary and JSON forms are passed over.
+//! ORCA load reports (`xds.data.orca.v3.OrcaLoadReport`, gRFC A51) in the text format of the trailer
+//! `endpoint-load-metrics`: `TEXT cpu_utilization=0.3,named_metrics.queue=2`. The binary and JSON formats are not
+//! supported.
 
-/// The trailer's name.
+/// Name of the trailer.
 pub const TRAILER: &str = "endpoint-load-metrics";
 
-/// The values of a report that have a use here. Absent ones are none.
+/// Values of a load report that the gateway uses. `None`: the report does not contain the value.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Load {
-    /// Share of the processors in use.
+    /// CPU utilization, 1.0 for all cores.
     pub cpu_utilization: Option<f64>,
-    /// Share of the application's own measure of full.
+    /// Utilization by the application's own measure, 1.0 at its capacity.
     pub application_utilization: Option<f64>,
-    /// Requests served a second.
+    /// Requests served per second.
     pub rps: Option<f64>,
-    /// Errors a second.
+    /// Errors per second.
     pub eps: Option<f64>,
-    /// `named_metrics.queue`: requests waiting.
+    /// `named_metrics.queue`: number of queued requests.
     pub queue: Option<f64>,
-    /// `named_metrics.in_flight`: requests in work.
+    /// `named_metrics.in_flight`: number of requests that the node is processing.
     pub in_flight: Option<f64>,
     /// `named_metrics.latency_ms`: recent service time in milliseconds.
     pub latency_ms: Option<f64>,
 }
 
-/// Bytes of a report that are looked at: those of nodes have one or two values.
-const MOST: usize = 1024;
+/// Maximum size of a report. Reports of nodes have one or two values.
+const MAX_REPORT_BYTES: usize = 1024;
 
-/// Reads a report. Unknown keys are passed over; none where the form is unknown, the report is too long, or a value
-/// is no finite number of nought or more.
+/// Parses a load report and ignores unknown keys.
+///
+/// Returns `None` if the report is not in the text format or too long, or if a value is negative or not a finite number.
 pub fn parse(value: &[u8]) -> Option<Load> {
-    let text = std::str::from_utf8(value).ok().filter(|t| t.len() <= MOST)?;
+    let text = std::str::from_utf8(value).ok().filter(|t| t.len() <= MAX_REPORT_BYTES)?;
     let list = text.strip_prefix("TEXT").map(|t| t.strip_prefix(':').unwrap_or(t))?;
     let mut load = Load::default();
     for pair in list.split(',').map(str::trim).filter(|p| !p.is_empty()) {
@@ -50,7 +52,7 @@
     Some(load)
 }
 
-/// Writes a report that [`parse`] reads.
+/// Formats a load report in the text format.
 pub fn format(load: &Load) -> String {
     let pairs = [
         ("cpu_utilization", load.cpu_utilization),
--- a/crates/wire/src/ratelimit.rs
+++ b/crates/wire/src/ratelimit.rs
@@ -1,13 +1,13 @@
-//! The messages of `envoy.service.ratelimit.v3.RateLimitService` and of `grpc.health.v1.Health`, with the public
-//! field numbers (envoy's `rls.proto`, `ratelimit.proto` and `base.proto`; gRPC's `health.proto`). Fields that have no
-//! use here are left out and skipped, as protobuf wants.
-#![allow(missing_docs)] // names and meanings are those of the public files
+//! Messages of `envoy.service.ratelimit.v3.RateLimitService` and of `grpc.health.v1.Health`, with the field numbers of
+//! the published definitions (Envoy's `rls.proto`, `ratelimit.proto` and `base.proto`; gRPC's `health.proto`). Fields
+//! that the gateway does not use are not declared; the decoder skips them as unknown fields.
+#![allow(missing_docs)] // names and meanings are those of the published definitions
 
 use std::time::Duration;
 
-/// `:path` of the call.
+/// `:path` of a rate limit request.
 pub const SHOULD_RATE_LIMIT: &str = "/envoy.service.ratelimit.v3.RateLimitService/ShouldRateLimit";
-/// `:path` of the health check.
+/// `:path` of a health check.
 pub const HEALTH_CHECK: &str = "/grpc.health.v1.Health/Check";
 
 /// `google.protobuf.Duration`.
@@ -41,7 +41,7 @@
     pub value: u64,
 }
 
-/// An entry of a descriptor.
+/// `envoy.extensions.common.ratelimit.v3.RateLimitDescriptor.Entry`.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
 pub struct Entry {
     #[prost(string, tag = "1")]
@@ -115,7 +115,7 @@
 /// `grpc.health.v1.HealthCheckResponse`.
 #[derive(Clone, Copy, PartialEq, Eq, prost::Message)]
 pub struct HealthCheckResponse {
-    /// 1: serving, 2: not serving, 3: service unknown.
+    /// `ServingStatus`: 1 for SERVING, 2 for NOT_SERVING, 3 for SERVICE_UNKNOWN.
     #[prost(int32, tag = "1")]
     pub status: i32,
 }
--- a/crates/wire/src/roster.rs
+++ b/crates/wire/src/roster.rs
@@ -1,36 +1,36 @@
-//! The messages of a roster, which pushes node lists: `POST /chalkgap.roster.v1.Roster/Watch`, one request, then a
-//! stream of whole lists for as long as the call lives, the first at once.
-#![allow(missing_docs)] // the fields' comments say it
+//! Messages of the registry that pushes node lists: `POST /chalkgap.roster.v1.Roster/Watch`. The call has one request
+//! and a stream of answers. Each answer is a complete list; the first is sent immediately.
+#![allow(missing_docs)] // only fields that need an explanation have one
 
 /// `:path` of the call.
 pub const WATCH: &str = "/chalkgap.roster.v1.Roster/Watch";
 
-/// Who asks.
+/// The request of an ingress.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
 pub struct WatchRequest {
-    /// The ingress's number.
+    /// Number of the ingress.
     #[prost(uint32, tag = "1")]
     pub ingress: u32,
-    /// The revision that it has; 0 for none.
+    /// Revision of the list that the ingress has; 0 if it has none.
     #[prost(uint64, tag = "2")]
     pub revision: u64,
 }
 
-/// A whole list.
+/// A complete list of nodes.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct List {
-    /// Grows with each change.
+    /// Revision of the list, which increases with each change.
     #[prost(uint64, tag = "1")]
     pub revision: u64,
-    /// What is not there is gone.
+    /// All nodes. A node that is not in the list has been removed.
     #[prost(message, repeated, tag = "2")]
     pub nodes: Vec<Node>,
 }
 
-/// A node.
+/// A node of the list.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Node {
-    /// Address and port as text.
+    /// Socket address as text.
     #[prost(string, tag = "1")]
     pub address: String,
     #[prost(string, tag = "2")]
@@ -39,12 +39,12 @@
     pub cell: String,
     #[prost(string, tag = "4")]
     pub kind: String,
-    /// 0: takes work, 1: draining, 2: gone.
+    /// 0: accepts requests, 1: draining, 2: removed.
     #[prost(uint32, tag = "5")]
     pub state: u32,
     #[prost(double, tag = "6")]
     pub size: f64,
-    /// Start of its process, in milliseconds since 1970.
+    /// Start of the node's process, in milliseconds since 1970.
     #[prost(uint64, tag = "7")]
     pub started_ms: u64,
 }
--- a/crates/wire/src/truth.rs
+++ b/crates/wire/src/truth.rs
@@ -1,37 +1,40 @@
-//! What a node says about requests that it was sent: `POST /chalkgap.intake.v1.Truth/Ask`. A node that says NEVER will
-//! not run that request later either: it bars the name. A node remembers requests for as long as its fleet agrees on.
-#![allow(missing_docs)] // the fields' comments say it
+//! Queries to nodes about the execution of requests that were sent to them: `POST /chalkgap.intake.v1.Truth/Ask`.
+//!
+//! A node that answers [`ExecutionStatus::Never`] blocks the request id, so that the request cannot run later either.
+//! Nodes remember requests for a time that is configured for the whole fleet.
+#![allow(missing_docs)] // only fields that need an explanation have one
 
 /// `:path` of the call.
 pub const ASK: &str = "/chalkgap.intake.v1.Truth/Ask";
-/// The field of an attempt that says when its request was taken, in microseconds since 1970: what nodes count use by.
+/// Header of an attempt with the time at which its request was accepted, in microseconds since 1970. Nodes assign the
+/// request's use to this time.
 pub const ACCEPTED_AT_HEADER: &str = "x-request-entered";
-/// Requests in one question.
+/// Maximum number of requests in a question.
 pub const MAX_REQUESTS: usize = 4096;
 
-/// The question.
+/// The request message.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
 pub struct Question {
-    /// Names of requests, as in `x-request-id`.
+    /// Request ids, as in the header `x-request-id`.
     #[prost(string, repeated, tag = "1")]
     pub requests: Vec<String>,
 }
 
-/// What became of a request.
+/// Whether a node has run a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, prost::Enumeration)]
 #[repr(i32)]
 pub enum ExecutionStatus {
-    /// The node cannot say.
+    /// The node does not know.
     Unknown = 0,
-    /// It has not run, and will not.
+    /// The request has not run on this node and will not run.
     Never = 1,
-    /// It is in work.
+    /// The request is running.
     Running = 2,
-    /// It ran.
+    /// The request has run.
     Ran = 3,
 }
 
-/// The answer: one for each request, in the question's order.
+/// The answer message: one status for each request, in the order of the question.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
 pub struct Answer {
     #[prost(enumeration = "ExecutionStatus", repeated, tag = "1")]
