--- a/crates/wire/src/billing.rs
+++ b/crates/wire/src/billing.rs
@@ -1,7 +1,8 @@
 //! Messages to the consumer of billing batches: `POST /chalkgap.billing.v1.Billing/Hand`.
 //!
 //! The consumer keeps streams of batches, numbered without gaps. If a batch has the next number of its stream, the
-//! consumer stores it durably before it answers. If the number is already stored, the consumer returns the stored batch.
+//! consumer stores it durably before it answers. If the number is already stored, the consumer returns the stored
+//! batch.
 #![allow(missing_docs)] // only fields that need an explanation have one
 
 /// `:path` of the call.
--- a/crates/wire/src/grpc.rs
+++ b/crates/wire/src/grpc.rs
@@ -190,8 +190,8 @@
     /// Returns the next complete message.
     ///
     /// # Errors
-    /// UNIMPLEMENTED if the message is compressed, INTERNAL if its flag is invalid, and RESOURCE_EXHAUSTED if its prefix
-    /// announces a length over the limit.
+    /// UNIMPLEMENTED if the message is compressed, INTERNAL if its flag is invalid, and RESOURCE_EXHAUSTED if its
+    /// prefix announces a length over the limit.
     pub fn message(&mut self) -> Result<Option<Bytes>, Status> {
         let Some(prefix) = self.buffer.get(..5) else { return Ok(None) };
         match prefix[0] {
--- a/crates/wire/src/http2/connection/events.rs
+++ b/crates/wire/src/http2/connection/events.rs
@@ -28,8 +28,8 @@
         /// The peer has ended its side of the stream.
         end: bool,
     },
-    /// The stream was closed before both sides ended it. With REFUSED_STREAM from the peer, the request was not processed
-    /// (section 8.7).
+    /// The stream was closed before both sides ended it. With REFUSED_STREAM from the peer, the request was not
+    /// processed (section 8.7).
     Reset {
         /// Id of the stream.
         stream: u32,
@@ -38,8 +38,8 @@
         /// Whether this side closed the stream, because of an error of the peer.
         local: bool,
     },
-    /// The peer accepts no new streams. For streams above the last id of the GOAWAY, [`Event::Reset`] with REFUSED_STREAM
-    /// was returned before.
+    /// The peer accepts no new streams. For streams above the last id of the GOAWAY, [`Event::Reset`] with
+    /// REFUSED_STREAM was returned before.
     GoAway(Code),
     /// The answer to [`Connection::ping`](super::Connection::ping).
     Pong,
--- a/crates/wire/src/http2/connection/messages.rs
+++ b/crates/wire/src/http2/connection/messages.rs
@@ -8,8 +8,8 @@
 use super::{protocol_error, Connection, Event, HeaderBlock};
 use bytes::{Buf, Bytes, BytesMut};
 
-/// Maximum number of CONTINUATION frames of a header block. A block of 16 KiB needs at most one; the limit also ends a block of
-/// many small frames.
+/// Maximum number of CONTINUATION frames of a header block. A block of 16 KiB needs at most one; the limit also ends a
+/// block of many small frames.
 const MAX_CONTINUATIONS: u32 = 16;
 /// Cost of an empty DATA frame or an interim response in the allowance.
 const EMPTY_FRAME_COST: f64 = 1.0;
@@ -138,8 +138,8 @@
         }
     }
 
-    /// Handles a complete header block. The block is always decoded, also if the stream is closed or refused, to keep the
-    /// HPACK dynamic tables of both sides equal (section 4.3).
+    /// Handles a complete header block. The block is always decoded, also if the stream is closed or refused, to keep
+    /// the HPACK dynamic tables of both sides equal (section 4.3).
     fn on_header_block(&mut self, header: FrameHeader, block: &[u8]) -> Result<(), ConnError> {
         let id = header.stream;
         let end = header.has(END_STREAM);
--- a/crates/wire/src/http2/connection/mod.rs
+++ b/crates/wire/src/http2/connection/mod.rs
@@ -226,8 +226,8 @@
 
     /// Returns whether the connection has ended: no stream is open and none can be opened.
     pub fn finished(&mut self) -> bool {
-        // Writes the bodies that can be sent now: their streams count as open until then, and there may be no later event
-        // that writes them.
+        // Writes the bodies that can be sent now: their streams count as open until then, and there may be no later
+        // event that writes them.
         self.write_bodies();
         self.streams.is_empty() && (self.is_draining || self.goaway_received || self.error.is_some())
     }
@@ -238,9 +238,9 @@
         self.output.put_u64(0);
     }
 
-    /// Begins a graceful shutdown (section 6.8). A server sends a GOAWAY with the highest stream id and a PING. After the
-    /// PING's answer, it sends the final GOAWAY with the id of the last accepted stream. A client sends one GOAWAY and
-    /// opens no more streams.
+    /// Begins a graceful shutdown (section 6.8). A server sends a GOAWAY with the highest stream id and a PING. After
+    /// the PING's answer, it sends the final GOAWAY with the id of the last accepted stream. A client sends one GOAWAY
+    /// and opens no more streams.
     pub fn shutdown(&mut self) {
         if self.goaway_sent.is_some() || self.error.is_some() {
             return;
@@ -264,8 +264,8 @@
         write_goaway(&mut self.output, 0, Code::ENHANCE_YOUR_CALM, text.as_bytes());
     }
 
-    /// Ends the connection with an error of the caller, such as a peer that is too slow. Returns [`Event::Reset`] for each
-    /// open stream.
+    /// Ends the connection with an error of the caller, such as a peer that is too slow. Returns [`Event::Reset`] for
+    /// each open stream.
     pub fn abort(&mut self, error: ConnError) {
         if self.error.is_some() {
             return;
--- a/crates/wire/src/http2/connection/receiving.rs
+++ b/crates/wire/src/http2/connection/receiving.rs
@@ -34,8 +34,9 @@
     /// Handles bytes received at the time `now`, in microseconds of a monotonic clock.
     ///
     /// # Errors
-    /// If the peer violated the protocol or exceeded the allowance for control frames. In this case, the output contains a
-    /// GOAWAY, after which the caller has to close the connection, and [`Event::Reset`] is returned for each open stream.
+    /// If the peer violated the protocol or exceeded the allowance for control frames. In this case, the output
+    /// contains a GOAWAY, after which the caller has to close the connection, and [`Event::Reset`] is returned for each
+    /// open stream.
     pub fn receive(&mut self, now: u64, bytes: &[u8]) -> Result<(), ConnError> {
         if let Some(error) = self.error {
             return Err(error);
--- a/crates/wire/src/http2/connection/sending.rs
+++ b/crates/wire/src/http2/connection/sending.rs
@@ -46,8 +46,8 @@
     /// Queues a part of a body, which is sent as the peer's windows allow. `end`: nothing follows.
     ///
     /// # Errors
-    /// [`SendError::Closed`] if the stream is closed or its end is already queued; [`SendError::Full`] if the queued bytes
-    /// would exceed the send buffer.
+    /// [`SendError::Closed`] if the stream is closed or its end is already queued; [`SendError::Full`] if the queued
+    /// bytes would exceed the send buffer.
     pub fn data(&mut self, id: u32, data: Bytes, end: bool) -> Result<(), SendError> {
         let limit = self.config.send_buffer;
         let stream =
@@ -73,8 +73,8 @@
         }
     }
 
-    /// Reports that `bytes` of the stream's body have been consumed, so that the peer may send as many more. WINDOW_UPDATE
-    /// is sent once half of a window has been consumed, to save frames.
+    /// Reports that `bytes` of the stream's body have been consumed, so that the peer may send as many more.
+    /// WINDOW_UPDATE is sent once half of a window has been consumed, to save frames.
     pub fn consumed(&mut self, id: u32, bytes: usize) {
         let bytes = bytes as u32;
         self.unacknowledged += bytes;
--- a/crates/wire/src/http2/hpack.rs
+++ b/crates/wire/src/http2/hpack.rs
@@ -31,8 +31,8 @@
     }
 }
 
-/// Why a header block cannot be decoded. Such an error ends the connection, because the dynamic tables of both sides may
-/// differ afterwards.
+/// Why a header block cannot be decoded. Such an error ends the connection, because the dynamic tables of both sides
+/// may differ afterwards.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[allow(missing_docs)]
 pub enum HpackError {
--- a/crates/wire/src/http2/huffman.rs
+++ b/crates/wire/src/http2/huffman.rs
@@ -1,5 +1,6 @@
-//! The Huffman code of HPACK (RFC 7541, appendix B). The code is canonical: in the order of length and then symbol, each
-//! code is the previous one plus one, extended with zeros to its length. The lengths alone therefore define the code.
+//! The Huffman code of HPACK (RFC 7541, appendix B). The code is canonical: in the order of length and then symbol,
+//! each code is the previous one plus one, extended with zeros to its length. The lengths alone therefore define the
+//! code.
 
 use std::sync::OnceLock;
 
--- a/crates/wire/src/intake.rs
+++ b/crates/wire/src/intake.rs
@@ -1,9 +1,9 @@
 //! Messages between an ingress and a node. Each attempt is one unary gRPC call, `POST
 //! /chalkgap.intake.v1.Intake/CLASS`.
 //!
-//! The header `grpc-timeout` carries the remaining time, and `idempotency-key` the request's key if its class uses keys.
-//! The node sends its load report in the trailer `endpoint-load-metrics`. It resets a call that it has not processed
-//! with REFUSED_STREAM (RFC 9113, section 8.7). After any error status, the request may have run.
+//! The header `grpc-timeout` carries the remaining time, and `idempotency-key` the request's key if its class uses
+//! keys. The node sends its load report in the trailer `endpoint-load-metrics`. It resets a call that it has not
+//! processed with REFUSED_STREAM (RFC 9113, section 8.7). After any error status, the request may have run.
 #![allow(missing_docs)] // only fields that need an explanation have one
 
 use crate::ratelimit::Entry;
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,5 +1,6 @@
 //! Sans-I/O codecs and protocol state machines: received bytes are turned into events, and messages into bytes to send.
-//! This crate uses neither sockets nor a clock. Functions with a limit that depends on time take the time as an argument.
+//! This crate uses neither sockets nor a clock. Functions with a limit that depends on time take the time as an
+//! argument.
 //!
 //! - [`http2`]: frames, HPACK, flow control and connection state of clients and servers (RFC 9113, RFC 7541)
 //! - [`grpc`]: gRPC over HTTP/2: message framing, timeouts, status codes and trailers
--- a/crates/wire/src/mqtt/decode.rs
+++ b/crates/wire/src/mqtt/decode.rs
@@ -1,5 +1,5 @@
-//! Packets from bytes (MQTT 5, chapters 2 and 3). A packet's length is known from its fixed header and judged before its
-//! body is waited for; what is in it is read only as far as that length goes.
+//! Decodes packets (MQTT 5.0, chapters 2 and 3). The length in a packet's fixed header is checked before the body is
+//! buffered, and the body is decoded within that length.
 
 use super::error::{malformed, Error};
 use super::packet::{
@@ -14,15 +14,16 @@
 use super::topic;
 use bytes::{Buf, BytesMut};
 
-/// Filters in a packet.
+/// Maximum number of filters in a packet.
 const MAX_FILTERS: usize = 256;
 
-/// Takes the next packet off a buffer; none: it is not complete.
+/// Removes the next packet from `buffer` and decodes it. Returns `None` if the packet is not complete.
 ///
-/// `version` is the connection's, none before CONNECT, which states it. `limit` is the most bytes that a packet may have.
+/// `version` is `None` until CONNECT, which contains the connection's version. `limit` is the maximum size of a packet
+/// in bytes.
 ///
 /// # Errors
-/// See [`Error`]: the connection cannot go on.
+/// If the packet is invalid or exceeds a limit. The connection has to be closed.
 pub fn decode(
     buffer: &mut BytesMut,
     version: Option<Version>,
@@ -35,7 +36,7 @@
     let header_bytes = 1 + length.bytes;
     let body_bytes = length.value as usize;
     if header_bytes + body_bytes > limit {
-        return Err(Error::new(PACKET_TOO_LARGE, "a packet over the limit"));
+        return Err(Error::new(PACKET_TOO_LARGE, "packet larger than the limit"));
     }
     if buffer.len() < header_bytes + body_bytes {
         return Ok(None);
@@ -47,7 +48,7 @@
     Ok(Some(packet))
 }
 
-/// The packet type of a fixed header's first byte (section 2.1.2), whose flags must fit (section 2.1.3).
+/// Returns the packet type of a fixed header's first byte (section 2.1.2) and checks its flags (section 2.1.3).
 fn packet_type(first: u8, version: Option<Version>) -> Result<PacketType, Error> {
     let packet_type = PacketType::from_number(first >> 4);
     if version.is_none() && packet_type != Some(PacketType::Connect) {
@@ -62,10 +63,10 @@
     };
     // [MQTT-2.1.3-1]
     if flags != expected_flags {
-        return Err(malformed("flags of the fixed header that are reserved"));
+        return Err(malformed("invalid flags in the fixed header"));
     }
     let is_known = |found: &PacketType| *found != PacketType::Auth || version == Some(Version::V5);
-    packet_type.filter(is_known).ok_or(malformed("a packet type that there is not"))
+    packet_type.filter(is_known).ok_or(malformed("unknown packet type"))
 }
 
 fn body(packet_type: PacketType, flags: u8, v5: bool, reader: &mut Reader) -> Result<Packet, Error> {
@@ -91,7 +92,7 @@
 fn connack(reader: &mut Reader, v5: bool) -> Result<ConnAck, Error> {
     let flags = reader.u8()?;
     if flags > 1 {
-        return Err(malformed("flags of CONNACK that are reserved"));
+        return Err(malformed("reserved flag set in CONNACK"));
     }
     let code = reader.u8()?;
     let properties = properties(reader, v5, PropertyLocation::CONNACK)?;
@@ -118,32 +119,37 @@
     let version = match (name.as_str(), reader.u8()?) {
         ("MQTT", 4) => Version::V311,
         ("MQTT", 5) => Version::V5,
-        _ => return Err(Error::new(UNSUPPORTED_PROTOCOL_VERSION, "expected MQTT of level 4 or 5")),
+        _ => {
+            return Err(Error::new(
+                UNSUPPORTED_PROTOCOL_VERSION,
+                "expected protocol name MQTT and version 4 or 5",
+            ))
+        }
     };
     let v5 = version == Version::V5;
     let flags = reader.u8()?;
     if flags & 1 != 0 {
-        return Err(malformed("the reserved flag of CONNECT is set")); // [MQTT-3.1.2-3]
+        return Err(malformed("reserved flag set in CONNECT")); // [MQTT-3.1.2-3]
     }
     let keep_alive = reader.u16()?;
     let connect_properties = properties(reader, v5, PropertyLocation::CONNECT)?;
     let client = reader.string()?;
-    let qos = QoS::from_bits(flags >> 3 & 3).ok_or(malformed("a will with QoS 3"))?; // [MQTT-3.1.2-12]
+    let qos = QoS::from_bits(flags >> 3 & 3).ok_or(malformed("will: expected QoS 0 to 2"))?; // [MQTT-3.1.2-12]
     let will = if flags & 4 != 0 {
         let properties = properties(reader, v5, PropertyLocation::WILL)?;
         let topic = reader.string()?;
         if !topic::is_name(&topic) {
-            return Err(Error::new(TOPIC_NAME_INVALID, "a will's topic that is empty or has wildcards"));
+            return Err(Error::new(TOPIC_NAME_INVALID, "will: topic empty or with wildcards"));
         }
         Some(Will { qos, retain: flags & 32 != 0, properties, topic, payload: reader.binary()? })
     } else if flags & 0b11_1000 != 0 {
-        return Err(malformed("flags of a will without a will")); // [MQTT-3.1.2-11], [MQTT-3.1.2-13]
+        return Err(malformed("will QoS or will retain without a will")); // [MQTT-3.1.2-11], [MQTT-3.1.2-13]
     } else {
         None
     };
     let user = if flags & 128 != 0 { Some(reader.string()?) } else { None };
     if flags & 64 != 0 && user.is_none() && !v5 {
-        return Err(malformed("a password without a user name")); // 3.1.1: [MQTT-3.1.2-22]
+        return Err(malformed("password without a user name")); // 3.1.1: [MQTT-3.1.2-22]
     }
     let password = if flags & 64 != 0 { Some(reader.binary()?) } else { None };
     let clean_start = flags & 2 != 0;
@@ -160,7 +166,7 @@
 }
 
 fn publish(reader: &mut Reader, flags: u8, v5: bool) -> Result<Publish, Error> {
-    let qos = QoS::from_bits(flags >> 1 & 3).ok_or(malformed("QoS 3"))?; // [MQTT-3.3.1-4]
+    let qos = QoS::from_bits(flags >> 1 & 3).ok_or(malformed("PUBLISH: expected QoS 0 to 2"))?; // [MQTT-3.3.1-4]
     let dup = flags & 8 != 0;
     let retain = flags & 1 != 0;
     if dup && qos == QoS::AtMostOnce {
@@ -171,14 +177,16 @@
     let properties = properties(reader, v5, PropertyLocation::PUBLISH)?;
     let alias = properties.find(|p| if let Property::TopicAlias(n) = p { Some(*n) } else { None });
     if topic.is_empty() && alias.is_none() {
-        return Err(Error::new(PROTOCOL_ERROR, "neither a topic nor an alias"));
+        return Err(Error::new(PROTOCOL_ERROR, "PUBLISH without a topic or topic alias"));
     }
     if !topic.is_empty() && !topic::is_name(&topic) {
-        return Err(Error::new(TOPIC_NAME_INVALID, "a topic with wildcards")); // [MQTT-3.3.2-2]
+        return Err(Error::new(TOPIC_NAME_INVALID, "PUBLISH: topic with wildcards"));
+        // [MQTT-3.3.2-2]
     }
-    let answer = properties.find(|p| if let Property::ResponseTopic(t) = p { Some(t.clone()) } else { None });
-    if answer.is_some_and(|t| !topic::is_name(&t)) {
-        return Err(Error::new(PROTOCOL_ERROR, "a response topic that is empty or has wildcards"));
+    let response_topic =
+        properties.find(|p| if let Property::ResponseTopic(t) = p { Some(t.clone()) } else { None });
+    if response_topic.is_some_and(|topic| !topic::is_name(&topic)) {
+        return Err(Error::new(PROTOCOL_ERROR, "response topic empty or with wildcards"));
         // [MQTT-3.3.2-14]
     }
     Ok(Publish { dup, qos, retain, topic, packet, properties, payload: reader.remaining() })
@@ -198,12 +206,13 @@
     while !reader.is_empty() {
         let filter = subscription(reader, v5)?;
         if filters.len() == MAX_FILTERS {
-            return Err(Error::new(PACKET_TOO_LARGE, "more than 256 filters"));
+            return Err(Error::new(PACKET_TOO_LARGE, "more than 256 topic filters"));
         }
         filters.push(filter);
     }
     if filters.is_empty() {
-        return Err(Error::new(PROTOCOL_ERROR, "SUBSCRIBE without a filter")); // [MQTT-3.8.3-2]
+        return Err(Error::new(PROTOCOL_ERROR, "SUBSCRIBE without a topic filter"));
+        // [MQTT-3.8.3-2]
     }
     Ok(Subscribe { packet, properties, filters })
 }
@@ -212,23 +221,24 @@
 fn subscription(reader: &mut Reader, v5: bool) -> Result<Filter, Error> {
     let filter = reader.string()?;
     if !topic::is_filter(&filter) {
-        return Err(Error::new(TOPIC_FILTER_INVALID, "a filter that is none"));
+        return Err(Error::new(TOPIC_FILTER_INVALID, "invalid topic filter"));
     }
     let options = reader.u8()?;
-    // [MQTT-3.8.3-5]; in 3.1.1 all but the QoS is reserved.
+    // [MQTT-3.8.3-5]; in MQTT 3.1.1, all bits but the QoS are reserved.
     let reserved = options >> 6;
     let retain_handling = options >> 4 & 3;
     if reserved != 0 || (!v5 && options > 2) {
-        return Err(malformed("subscription options that are reserved"));
+        return Err(malformed("reserved subscription options set"));
     }
-    let qos = QoS::from_bits(options & 3).ok_or(Error::new(PROTOCOL_ERROR, "a maximum QoS of 3"))?;
+    let qos =
+        QoS::from_bits(options & 3).ok_or(Error::new(PROTOCOL_ERROR, "subscription: expected QoS 0 to 2"))?;
     if retain_handling == 3 {
-        return Err(Error::new(PROTOCOL_ERROR, "retain handling 3"));
+        return Err(Error::new(PROTOCOL_ERROR, "retain handling: expected 0 to 2"));
     }
     let no_local = options & 4 != 0;
     let retain_as_published = options & 8 != 0;
     if no_local && filter.starts_with("$share/") {
-        return Err(Error::new(PROTOCOL_ERROR, "no local on a shared subscription"));
+        return Err(Error::new(PROTOCOL_ERROR, "no local set on a shared subscription"));
         // [MQTT-3.8.3-4]
     }
     Ok(Filter { filter, qos, no_local, retain_as_published, retain_handling })
@@ -241,15 +251,16 @@
     while !reader.is_empty() {
         let filter = reader.string()?;
         if !topic::is_filter(&filter) {
-            return Err(Error::new(TOPIC_FILTER_INVALID, "a filter that is none"));
+            return Err(Error::new(TOPIC_FILTER_INVALID, "invalid topic filter"));
         }
         if filters.len() == MAX_FILTERS {
-            return Err(Error::new(PACKET_TOO_LARGE, "more than 256 filters"));
+            return Err(Error::new(PACKET_TOO_LARGE, "more than 256 topic filters"));
         }
         filters.push(filter);
     }
     if filters.is_empty() {
-        return Err(Error::new(PROTOCOL_ERROR, "UNSUBSCRIBE without a filter")); // [MQTT-3.10.3-2]
+        return Err(Error::new(PROTOCOL_ERROR, "UNSUBSCRIBE without a topic filter"));
+        // [MQTT-3.10.3-2]
     }
     Ok(Unsubscribe { packet, properties, filters })
 }
--- a/crates/wire/src/mqtt/encode.rs
+++ b/crates/wire/src/mqtt/encode.rs
@@ -1,4 +1,4 @@
-//! Packets to bytes (MQTT 5, chapters 2 and 3).
+//! Encodes packets (MQTT 5.0, chapters 2 and 3).
 
 use super::packet::{
     Ack, Acks, ConnAck, Connect, Packet, Publish, QoS, Reason, Subscribe, Unsubscribe, Version,
@@ -22,28 +22,29 @@
     }
 }
 
-/// Appends binary data. More than two bytes can count is cut: this side's data is short, and that of others came with
-/// the same two bytes.
+/// Appends binary data. Data that is longer than the two byte length allows is truncated: this does not occur, because
+/// the server's own data is short and received data had the same two byte length.
 pub(super) fn put_binary(out: &mut BytesMut, bytes: &[u8]) {
     let bytes = &bytes[..bytes.len().min(usize::from(u16::MAX))];
     out.put_u16(bytes.len() as u16);
     out.extend_from_slice(bytes);
 }
 
-/// Appends a string, cut at the end of a character where it is too long.
+/// Appends a string. A string that is too long is truncated at the end of a character.
 pub(super) fn put_string(out: &mut BytesMut, text: &str) {
     let limit = text.len().min(usize::from(u16::MAX));
     let end = (0..=limit).rev().find(|end| text.is_char_boundary(*end)).unwrap_or(0);
     put_binary(out, &text.as_bytes()[..end]);
 }
 
-/// The body of a packet under construction, for a version of the protocol.
+/// Body of the packet that is being encoded.
 struct Body {
     bytes: BytesMut,
     v5: bool,
 }
 
-/// Appends a packet as a connection of this version has it. CONNECT states its own version.
+/// Appends a packet, encoded for the connection's protocol version. CONNECT is encoded for its own
+/// [`Connect::version`].
 pub fn encode(packet: &Packet, version: Version, out: &mut BytesMut) {
     let version = if let Packet::Connect(connect) = packet { connect.version } else { version };
     let mut body = Body { bytes: BytesMut::new(), v5: version == Version::V5 };
@@ -54,7 +55,7 @@
 }
 
 impl Body {
-    /// Puts a packet's body, and gives the first byte of its fixed header.
+    /// Appends the body of a packet and returns the first byte of its fixed header.
     fn put(&mut self, packet: &Packet) -> u8 {
         match packet {
             Packet::Connect(connect) => self.connect(connect),
@@ -75,7 +76,7 @@
         }
     }
 
-    /// Properties, which 3.1.1 has none of.
+    /// Appends properties in MQTT 5.0; MQTT 3.1.1 has none.
     fn properties(&mut self, properties: &Properties) {
         if self.v5 {
             properties.write(&mut self.bytes);
@@ -167,7 +168,8 @@
         packet_type.first_byte(0)
     }
 
-    /// Code and properties, left out where they are the default.
+    /// Appends a reason code and properties, unless they are the defaults, which may be omitted, or the version is
+    /// 3.1.1.
     fn code_and_properties(&mut self, code: u8, properties: &Properties) {
         if !self.v5 || (code == 0 && properties.0.is_empty()) {
             return;
--- a/crates/wire/src/mqtt/error.rs
+++ b/crates/wire/src/mqtt/error.rs
@@ -1,24 +1,25 @@
-//! The error that a connection is closed with.
+//! Errors of received packets.
 
 use super::reason::MALFORMED_PACKET;
 
-/// Why bytes are no packet: the connection is closed with this reason code.
+/// An invalid packet. The connection has to be closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{message} (reason code {code:#04x})")]
 pub struct Error {
-    /// The reason code.
+    /// The reason code to close the connection with.
     pub code: u8,
-    /// What was found, and what was expected.
+    /// What was received or expected.
     pub message: &'static str,
 }
 
 impl Error {
-    /// An error with this reason code.
+    /// Creates an error.
     pub const fn new(code: u8, message: &'static str) -> Self {
         Error { code, message }
     }
 }
 
+/// Creates an error with the reason code of a malformed packet.
 pub(super) const fn malformed(message: &'static str) -> Error {
     Error::new(MALFORMED_PACKET, message)
 }
--- a/crates/wire/src/mqtt/mod.rs
+++ b/crates/wire/src/mqtt/mod.rs
@@ -1,10 +1,11 @@
-//! MQTT 5.0 and 3.1.1 (OASIS Standards of 2019-03-07 and 2014-10-29), the parts that a server needs and a client uses.
+//! MQTT 5.0 and 3.1.1 (OASIS Standards of 2019-03-07 and 2014-10-29): packets of clients and servers, and a server's
+//! side of a connection. Sections and statements such as `MQTT-3.1.0-1` are those of MQTT 5.0 unless stated otherwise.
 //!
-//! - [`packet`]: the control packets as types
-//! - [`property`]: the properties of MQTT 5
-//! - [`decode`], [`encode`]: packets from bytes and to bytes, with limits on everything before memory is taken
-//! - [`server`]: a server's side of a connection, and the session that outlives it
-//! - [`topic`]: names and filters
+//! - [`packet`]: control packets
+//! - [`property`]: properties of MQTT 5.0
+//! - [`decode`], [`encode`]: conversion of packets from and to bytes; limits are checked before memory is allocated
+//! - [`server`]: a server's side of a connection, and its session
+//! - [`topic`]: topic names and filters
 //! - [`reason`]: reason codes
 
 mod decode;
--- a/crates/wire/src/mqtt/packet.rs
+++ b/crates/wire/src/mqtt/packet.rs
@@ -1,37 +1,37 @@
-//! Control packets (MQTT 5, chapter 3).
+//! Control packets (MQTT 5.0, chapter 3).
 
 use super::property::Properties;
 use bytes::Bytes;
 
-/// Which of the two protocols a connection speaks.
+/// Protocol version of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Version {
-    /// 3.1.1, level 4.
+    /// MQTT 3.1.1, protocol level 4.
     V311,
-    /// 5.0, level 5.
+    /// MQTT 5.0, protocol version 5.
     V5,
 }
 
-/// Quality of service.
+/// Quality of service of a PUBLISH (section 4.3).
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum QoS {
-    /// No answer.
+    /// Not acknowledged.
     #[default]
     AtMostOnce = 0,
-    /// PUBACK.
+    /// Acknowledged by PUBACK.
     AtLeastOnce = 1,
-    /// PUBREC, PUBREL, PUBCOMP.
+    /// Acknowledged by PUBREC, PUBREL and PUBCOMP.
     ExactlyOnce = 2,
 }
 
 impl QoS {
-    /// From its two bits; 3 is none.
-    pub fn from_bits(n: u8) -> Option<QoS> {
-        [QoS::AtMostOnce, QoS::AtLeastOnce, QoS::ExactlyOnce].get(usize::from(n)).copied()
+    /// Returns the QoS with these two bits, or `None` for the reserved value 3.
+    pub fn from_bits(bits: u8) -> Option<QoS> {
+        [QoS::AtMostOnce, QoS::AtLeastOnce, QoS::ExactlyOnce].get(usize::from(bits)).copied()
     }
 }
 
-/// What is published when a client is gone.
+/// Will message: published by the server after the connection ends without a normal DISCONNECT (section 3.1.2.5).
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 #[allow(missing_docs)]
 pub struct Will {
@@ -48,9 +48,10 @@
 pub struct Connect {
     pub version: Version,
     pub clean_start: bool,
-    /// Seconds; 0: none.
+    /// Keep alive in seconds; 0 turns it off.
     pub keep_alive: u16,
     pub properties: Properties,
+    /// Client identifier.
     pub client: String,
     pub will: Option<Will>,
     pub user: Option<String>,
@@ -62,7 +63,7 @@
 #[allow(missing_docs)]
 pub struct ConnAck {
     pub session_present: bool,
-    /// A reason code; a return code of 0 to 5 in 3.1.1.
+    /// Reason code, or the return code from 0 to 5 in MQTT 3.1.1.
     pub code: u8,
     pub properties: Properties,
 }
@@ -74,9 +75,9 @@
     pub dup: bool,
     pub qos: QoS,
     pub retain: bool,
-    /// Empty where a topic alias stands for it.
+    /// Empty if a topic alias replaces it.
     pub topic: String,
-    /// 0 for QoS 0.
+    /// Packet identifier; 0 for QoS 0.
     pub packet: u16,
     pub properties: Properties,
     pub payload: Bytes,
@@ -86,13 +87,14 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 #[allow(missing_docs)]
 pub struct Ack {
+    /// Packet identifier.
     pub packet: u16,
-    /// Always 0 in 3.1.1.
+    /// Reason code, which MQTT 3.1.1 does not have: always 0.
     pub code: u8,
     pub properties: Properties,
 }
 
-/// A filter of a SUBSCRIBE with its options.
+/// Topic filter of a SUBSCRIBE with its subscription options (section 3.8.3.1).
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 #[allow(missing_docs)]
 pub struct Filter {
@@ -100,7 +102,7 @@
     pub qos: QoS,
     pub no_local: bool,
     pub retain_as_published: bool,
-    /// 0 to 2.
+    /// Retain handling, from 0 to 2.
     pub retain_handling: u8,
 }
 
@@ -108,6 +110,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 #[allow(missing_docs)]
 pub struct Subscribe {
+    /// Packet identifier.
     pub packet: u16,
     pub properties: Properties,
     pub filters: Vec<Filter>,
@@ -117,17 +120,20 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 #[allow(missing_docs)]
 pub struct Unsubscribe {
+    /// Packet identifier.
     pub packet: u16,
     pub properties: Properties,
     pub filters: Vec<String>,
 }
 
-/// SUBACK, UNSUBACK: a code for each filter; none in an UNSUBACK of 3.1.1.
+/// SUBACK, UNSUBACK.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 #[allow(missing_docs)]
 pub struct Acks {
+    /// Packet identifier.
     pub packet: u16,
     pub properties: Properties,
+    /// One reason code for each filter; empty in an UNSUBACK of MQTT 3.1.1.
     pub codes: Vec<u8>,
 }
 
--- a/crates/wire/src/mqtt/packet_type.rs
+++ b/crates/wire/src/mqtt/packet_type.rs
@@ -1,6 +1,6 @@
-//! Control packet types (MQTT 5, table 2-1).
+//! Control packet types (MQTT 5.0, table 2-1).
 
-/// The type of a control packet. Its number is the high half of the first byte.
+/// Type of a control packet. Its number is in the upper four bits of the first byte.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum PacketType {
     Connect = 1,
@@ -39,12 +39,12 @@
         PacketType::Auth,
     ];
 
-    /// The type of a number from 0 to 15; there is none with 0.
+    /// Returns the type with this number, which is between 1 and 15.
     pub(super) fn from_number(number: u8) -> Option<PacketType> {
         PacketType::ALL.into_iter().find(|packet_type| *packet_type as u8 == number)
     }
 
-    /// The first byte of a packet of this type.
+    /// Returns the first byte of a packet of this type.
     pub(super) fn first_byte(self, flags: u8) -> u8 {
         (self as u8) << 4 | flags
     }
--- a/crates/wire/src/mqtt/property.rs
+++ b/crates/wire/src/mqtt/property.rs
@@ -1,4 +1,4 @@
-//! Properties (MQTT 5, section 2.2.2.2): which there are, what they hold, and where each may be.
+//! Properties (MQTT 5.0, section 2.2.2.2): their identifiers, types and the packets in which they are allowed.
 
 use super::encode::{put_binary, put_string, put_variable_byte_integer};
 use super::error::Error;
@@ -39,7 +39,7 @@
     SharedSubscriptionAvailable(u8),
 }
 
-/// Where properties may be: a bit each.
+/// Set of packets, one bit each, in which a property is allowed; the will properties count as a packet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PropertyLocation(pub u16);
 
@@ -60,7 +60,7 @@
 use Property as P;
 
 impl Property {
-    /// Its identifier.
+    /// Returns the identifier of the property.
     pub fn id(&self) -> u8 {
         match self {
             P::PayloadFormat(_) => 0x01,
@@ -93,14 +93,12 @@
         }
     }
 
-    /// The locations of an identifier (table 2-4).
+    /// Returns the set of packets in which the property with this identifier is allowed (table 2-4).
     fn locations(id: u8) -> Option<u16> {
-        let (connect, connack, publish, will) = (
-            PropertyLocation::CONNECT.0,
-            PropertyLocation::CONNACK.0,
-            PropertyLocation::PUBLISH.0,
-            PropertyLocation::WILL.0,
-        );
+        let connect = PropertyLocation::CONNECT.0;
+        let connack = PropertyLocation::CONNACK.0;
+        let publish = PropertyLocation::PUBLISH.0;
+        let will = PropertyLocation::WILL.0;
         Some(match id {
             0x01 | 0x02 | 0x03 | 0x08 | 0x09 => publish | will,
             0x0b => publish | PropertyLocation::SUBSCRIBE.0,
@@ -121,13 +119,13 @@
     }
 
     fn read(reader: &mut Reader) -> Result<Property, Error> {
-        // An identifier is a variable byte integer; all that there are fit one byte.
+        // Identifiers are variable byte integers. All defined ones fit into one byte.
         let id = reader.variable_byte_integer()?;
         let id = u8::try_from(id).ok().filter(|id| Property::locations(*id).is_some());
-        let id = id.ok_or(Error::new(MALFORMED_PACKET, "a property that there is not"))?;
-        let flag = |n: u8, what| match n {
-            0 | 1 => Ok(n),
-            _ => Err(Error::new(PROTOCOL_ERROR, what)),
+        let id = id.ok_or(Error::new(MALFORMED_PACKET, "unknown property"))?;
+        let flag = |value: u8, message| match value {
+            0 | 1 => Ok(value),
+            _ => Err(Error::new(PROTOCOL_ERROR, message)),
         };
         Ok(match id {
             0x01 => P::PayloadFormat(flag(reader.u8()?, "payload format indicator: expected 0 or 1")?),
@@ -136,7 +134,7 @@
             0x08 => P::ResponseTopic(reader.string()?),
             0x09 => P::CorrelationData(reader.binary()?),
             0x0b => match reader.variable_byte_integer()? {
-                0 => return Err(Error::new(PROTOCOL_ERROR, "subscription identifier 0")),
+                0 => return Err(Error::new(PROTOCOL_ERROR, "subscription identifier: expected 1 or more")),
                 n => P::SubscriptionIdentifier(n),
             },
             0x11 => P::SessionExpiry(reader.u32()?),
@@ -157,7 +155,7 @@
             0x1c => P::ServerReference(reader.string()?),
             0x1f => P::ReasonString(reader.string()?),
             0x21 => match reader.u16()? {
-                0 => return Err(Error::new(PROTOCOL_ERROR, "receive maximum 0")),
+                0 => return Err(Error::new(PROTOCOL_ERROR, "receive maximum: expected 1 or more")),
                 n => P::ReceiveMaximum(n),
             },
             0x22 => P::TopicAliasMaximum(reader.u16()?),
@@ -166,17 +164,21 @@
             0x25 => P::RetainAvailable(flag(reader.u8()?, "retain available: expected 0 or 1")?),
             0x26 => P::User(reader.string()?, reader.string()?),
             0x27 => match reader.u32()? {
-                0 => return Err(Error::new(PROTOCOL_ERROR, "maximum packet size 0")),
+                0 => return Err(Error::new(PROTOCOL_ERROR, "maximum packet size: expected 1 or more")),
                 n => P::MaximumPacketSize(n),
             },
-            0x28 => {
-                P::WildcardSubscriptionAvailable(flag(reader.u8()?, "wildcards available: expected 0 or 1")?)
-            }
+            0x28 => P::WildcardSubscriptionAvailable(flag(
+                reader.u8()?,
+                "wildcard subscription available: expected 0 or 1",
+            )?),
             0x29 => P::SubscriptionIdentifierAvailable(flag(
                 reader.u8()?,
-                "identifiers available: expected 0 or 1",
+                "subscription identifiers available: expected 0 or 1",
+            )?),
+            _ => P::SharedSubscriptionAvailable(flag(
+                reader.u8()?,
+                "shared subscription available: expected 0 or 1",
             )?),
-            _ => P::SharedSubscriptionAvailable(flag(reader.u8()?, "shared available: expected 0 or 1")?),
         })
     }
 
@@ -214,11 +216,11 @@
     }
 }
 
-/// The properties of a packet, in their order.
+/// Properties of a packet in their order.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Properties(pub Vec<Property>);
 
-/// Properties in one packet: a good client sends a handful.
+/// Maximum number of properties in a packet. Clients usually send only a few.
 const MAX_PROPERTIES: usize = 256;
 
 impl Properties {
@@ -228,21 +230,22 @@
         let mut list = Vec::new();
         let mut seen = 0u64;
         while !part.is_empty() {
-            let p = Property::read(&mut part)?;
-            let id = p.id();
+            let property = Property::read(&mut part)?;
+            let id = property.id();
             if Property::locations(id).is_none_or(|locations| locations & location.0 == 0) {
-                return Err(Error::new(PROTOCOL_ERROR, "a property that has no location in this packet"));
+                return Err(Error::new(PROTOCOL_ERROR, "property not allowed in this packet"));
             }
-            // Only user properties may be there more than once, and in a PUBLISH of a server subscription identifiers.
-            let many = matches!(p, P::User(..)) || (id == 0x0b && location == PropertyLocation::PUBLISH);
-            if seen >> id & 1 == 1 && !many {
-                return Err(Error::new(PROTOCOL_ERROR, "a property that is there twice"));
+            // Only user properties may be repeated, and subscription identifiers in a PUBLISH to a client.
+            let may_repeat =
+                matches!(property, P::User(..)) || (id == 0x0b && location == PropertyLocation::PUBLISH);
+            if seen >> id & 1 == 1 && !may_repeat {
+                return Err(Error::new(PROTOCOL_ERROR, "duplicate property"));
             }
             seen |= 1 << id;
             if list.len() == MAX_PROPERTIES {
                 return Err(Error::new(super::reason::PACKET_TOO_LARGE, "more than 256 properties"));
             }
-            list.push(p);
+            list.push(property);
         }
         Ok(Properties(list))
     }
@@ -254,8 +257,8 @@
         out.extend_from_slice(&part);
     }
 
-    /// The first that fits.
-    pub fn find<T>(&self, pick: impl Fn(&Property) -> Option<T>) -> Option<T> {
-        self.0.iter().find_map(pick)
+    /// Returns the first value that `select` returns for one of the properties.
+    pub fn find<T>(&self, select: impl Fn(&Property) -> Option<T>) -> Option<T> {
+        self.0.iter().find_map(select)
     }
 }
--- a/crates/wire/src/mqtt/reason.rs
+++ b/crates/wire/src/mqtt/reason.rs
@@ -1,4 +1,4 @@
-//! Reason codes (MQTT 5, section 2.4): below 0x80 all is well.
+//! Reason codes (MQTT 5.0, section 2.4). Codes below 0x80 report success.
 #![allow(missing_docs)] // the names are the specification's
 
 pub const SUCCESS: u8 = 0x00;
--- a/crates/wire/src/mqtt/server.rs
+++ b/crates/wire/src/mqtt/server.rs
@@ -1,9 +1,9 @@
-//! A server's side of a connection, free of I/O and clock, and the [`Session`] that outlives it.
+//! A server's side of a connection, without I/O and clock, and the [`Session`], which continues after the connection.
 //!
-//! A PUBLISH is something to be answered once it is known what became of it: by PUBACK for QoS 1, by PUBREC for QoS 2.
-//! A PUBREC with a reason code of 0x80 and more ends its flow (4.3.3); the client that did not hear it sends the PUBLISH
-//! again with DUP, and must not be taken to mean a new one: the session remembers what was said under that identifier
-//! until a PUBLISH without DUP takes it.
+//! The caller answers a PUBLISH when its result is known; the client then receives PUBACK for QoS 1 or PUBREC for QoS
+//! 2. A PUBREC with a reason code of 0x80 or more ends the exchange (section 4.3.3). If the client does not receive it,
+//! it sends the PUBLISH again with DUP, which is not a new message. The session therefore remembers the PUBREC of a
+//! packet identifier until the client uses the identifier in a PUBLISH without DUP.
 
 use super::decode::decode;
 use super::encode::encode;
@@ -13,90 +13,97 @@
 };
 use super::property::{Properties, Property};
 use super::reason::{
-    MALFORMED_PACKET, PACKET_IDENTIFIER_NOT_FOUND, PACKET_TOO_LARGE, PROTOCOL_ERROR,
+    DISCONNECT_WITH_WILL, MALFORMED_PACKET, PACKET_IDENTIFIER_NOT_FOUND, PACKET_TOO_LARGE, PROTOCOL_ERROR,
     RECEIVE_MAXIMUM_EXCEEDED, SUCCESS, TOPIC_ALIAS_INVALID,
 };
 use bytes::{Bytes, BytesMut};
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
-/// What a server allows.
+/// Limits that a server sets for a connection.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// Bytes of a packet.
+    /// Maximum size of a received packet in bytes.
     pub packet_bytes: usize,
-    /// Publishes of QoS 1 and 2 that may be unanswered.
+    /// Maximum number of unanswered publishes of QoS 1 and 2 (Receive Maximum).
     pub receive_maximum: u16,
-    /// Topic aliases.
+    /// Highest topic alias.
     pub topic_alias_maximum: u16,
-    /// Identifiers of QoS 2 that a session remembers.
+    /// Maximum number of packet identifiers of QoS 2 whose PUBREC a session remembers.
     pub remembered_identifiers: usize,
 }
 
-/// What became of a publish of QoS 2.
+/// State of a received publish of QoS 2.
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum Inbound {
-    /// Under way: no PUBREC so far.
+    /// No PUBREC has been sent.
     InProgress,
-    /// PUBREC was sent with this code and these properties.
+    /// The publish was answered by a PUBREC with this reason code and these properties.
     Responded(u8, Properties),
 }
 
-/// What of a session outlives its connections.
+/// Session state of a client, which continues between its connections (section 4.1).
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Session {
+    /// Received publishes of QoS 2 by their packet identifiers.
     inbound: BTreeMap<u16, Inbound>,
-    /// In the order in which they were said, for what is forgotten first.
+    /// Identifiers of answered publishes in the order of their answers. The oldest is removed first.
     responded: VecDeque<u16>,
 }
 
 impl Session {
-    /// Whether there is anything in it.
+    /// Returns whether the session has no publishes.
     pub fn is_empty(&self) -> bool {
         self.inbound.is_empty()
     }
 
-    /// Identifiers of QoS 2 whose fate is known, with their codes: what is worth to be kept over a restart.
+    /// Returns the packet identifiers of answered publishes of QoS 2 with their reason codes, which the caller stores
+    /// to restore the session after a restart.
     pub fn responses(&self) -> impl Iterator<Item = (u16, u8)> + '_ {
-        self.inbound.iter().filter_map(|(id, i)| match i {
-            Inbound::Responded(code, _) => Some((*id, *code)),
+        self.inbound.iter().filter_map(|(identifier, inbound)| match inbound {
+            Inbound::Responded(code, _) => Some((*identifier, *code)),
             Inbound::InProgress => None,
         })
     }
 
-    /// Identifiers of QoS 2 that are under way.
+    /// Returns the packet identifiers of unanswered publishes of QoS 2.
     pub fn in_progress(&self) -> impl Iterator<Item = u16> + '_ {
-        self.inbound.iter().filter(|i| *i.1 == Inbound::InProgress).map(|i| *i.0)
+        let unanswered = self.inbound.iter().filter(|(_, inbound)| **inbound == Inbound::InProgress);
+        unanswered.map(|(identifier, _)| *identifier)
     }
 
-    /// A session that was kept: what was under way is said to have failed, as it may have run.
-    pub fn restored(list: impl IntoIterator<Item = (u16, u8)>) -> Session {
-        let mut s = Session::default();
-        for (id, code) in list {
-            s.inbound.insert(id, Inbound::Responded(code, Properties::default()));
-            s.responded.push_back(id);
+    /// Restores a session from the items of [`Session::responses`].
+    ///
+    /// Publishes that were unanswered when these were stored are not among them. If the client repeats such a publish,
+    /// it is returned as [`Event::UnknownDuplicate`], as it may have run.
+    pub fn restored(responses: impl IntoIterator<Item = (u16, u8)>) -> Session {
+        let mut session = Session::default();
+        for (identifier, code) in responses {
+            session.inbound.insert(identifier, Inbound::Responded(code, Properties::default()));
+            session.responded.push_back(identifier);
         }
-        s
+        session
     }
 }
 
-/// What a client did.
+/// A packet of the client that the caller has to handle.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// To be answered by [`Server::accept`] or [`Server::refuse`].
+    /// CONNECT, to be answered by [`Server::accept`] or [`Server::refuse`].
     Connect(Box<Connect>),
-    /// A publish; its topic is whole. Of QoS 1 and 2: to be answered by [`Server::answer`].
+    /// PUBLISH, with its topic alias resolved. With QoS 1 and 2, to be answered by [`Server::answer`].
     Publish(Publish),
-    /// A publish of QoS 2 came with DUP, and the session knows nothing of it: it may have run elsewhere.
+    /// PUBLISH of QoS 2 with DUP whose packet identifier the session does not know: the request may have run, on
+    /// another server or before a restart. To be answered by [`Server::answer`].
     UnknownDuplicate(Publish),
-    /// To be answered by [`Server::subscribed`].
+    /// SUBSCRIBE, to be answered by [`Server::subscribed`].
     Subscribe(Subscribe),
-    /// To be answered by [`Server::unsubscribed`].
+    /// UNSUBSCRIBE, to be answered by [`Server::unsubscribed`].
     Unsubscribe(Unsubscribe),
-    /// The client goes; whether its will is to be published all the same.
+    /// DISCONNECT.
     Disconnect {
-        /// DISCONNECT with reason code 0x04.
+        /// Whether to publish the will (reason code 0x04).
         will: bool,
-        /// A session expiry that it states anew.
+        /// New session expiry interval in seconds.
         expiry: Option<u32>,
     },
 }
@@ -104,13 +111,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
     New,
-    /// CONNECT has come, and is not answered.
+    /// CONNECT has been received and not answered.
     Connecting,
     Open,
     Closed,
 }
 
-/// A connection as its server sees it.
+/// A server's side of a connection.
 pub struct Server {
     limits: Limits,
     state: State,
@@ -119,21 +126,24 @@
     output: BytesMut,
     events: VecDeque<Event>,
     session: Session,
+    /// Topics by their aliases.
     aliases: HashMap<u16, String>,
-    /// QoS 1 identifiers that are unanswered.
+    /// Number of unanswered publishes of QoS 1 by packet identifier.
     unanswered_qos1: BTreeMap<u16, u32>,
-    /// Publishes of QoS 1 and 2 that are unanswered, by the client's count.
+    /// Number of unanswered publishes of QoS 1 and 2, compared with the Receive Maximum.
     unanswered: usize,
-    /// What the client takes.
+    /// Maximum packet size that the client accepts, in bytes.
     max_outgoing_packet_bytes: usize,
-    /// It wants to hear more of an answer than the code.
+    /// Whether the client accepts properties in acknowledgements (Request Problem Information).
     sends_problem_information: bool,
+    /// Keep alive in seconds; 0 turns it off.
     keep_alive: u16,
+    /// Number of received bytes.
     received: u64,
 }
 
 impl Server {
-    /// A new connection.
+    /// Creates the server's side of a new connection.
     pub fn new(limits: Limits) -> Self {
         Server {
             limits,
@@ -153,35 +163,36 @@
         }
     }
 
-    /// Bytes came.
+    /// Handles received bytes.
     ///
     /// # Errors
-    /// The connection is to be closed; what is to be said of it is in the output.
+    /// If the client violated the protocol or a limit. The caller closes the connection after writing the output, which
+    /// contains a DISCONNECT if the version has one for servers.
     pub fn receive(&mut self, bytes: &[u8]) -> Result<(), Error> {
         if self.state == State::Closed {
             return Ok(());
         }
         self.received += bytes.len() as u64;
         self.input.extend_from_slice(bytes);
-        // Nothing after CONNECT is looked at before it is answered; it is bounded by what is read at once.
+        // Packets after CONNECT are not decoded until it is answered. The caller's read size bounds their bytes.
         while self.state != State::Connecting && self.state != State::Closed {
             let packet = match decode(&mut self.input, self.version, self.limits.packet_bytes) {
                 Ok(Some(packet)) => packet,
                 Ok(None) => break,
-                Err(e) => return Err(self.fail(e)),
+                Err(error) => return Err(self.fail(error)),
             };
-            if let Err(e) = self.packet(packet) {
-                return Err(self.fail(e));
+            if let Err(error) = self.packet(packet) {
+                return Err(self.fail(error));
             }
         }
         Ok(())
     }
 
-    /// Says why, where the version has words for it, and closes.
+    /// Closes the connection because of an error of the client, with DISCONNECT if the version has one for servers.
     fn fail(&mut self, error: Error) -> Error {
         match self.state {
             State::Open => self.disconnect(error.code, None),
-            // [MQTT-3.1.4-2]: a CONNECT that is none may be answered with a code.
+            // An answer with a reason code to an invalid CONNECT is optional [MQTT-3.1.4-2].
             _ => self.state = State::Closed,
         }
         error
@@ -189,122 +200,143 @@
 
     fn packet(&mut self, packet: Packet) -> Result<(), Error> {
         match packet {
-            Packet::Connect(c) => {
+            Packet::Connect(connect) => {
                 if self.state != State::New {
-                    return Err(Error::new(PROTOCOL_ERROR, "a second CONNECT")); // [MQTT-3.1.0-2]
+                    return Err(Error::new(PROTOCOL_ERROR, "second CONNECT")); // [MQTT-3.1.0-2]
                 }
-                self.version = Some(c.version);
-                self.keep_alive = c.keep_alive;
-                let most =
-                    c.properties
-                        .find(|p| if let Property::MaximumPacketSize(n) = p { Some(*n) } else { None });
-                self.max_outgoing_packet_bytes = most.map_or(usize::MAX, |n| n as usize);
-                let quiet = Property::RequestProblemInformation(0);
-                self.sends_problem_information = !c.properties.0.contains(&quiet);
+                self.version = Some(connect.version);
+                self.keep_alive = connect.keep_alive;
+                let max_packet_bytes = connect.properties.find(|p| {
+                    if let Property::MaximumPacketSize(n) = p {
+                        Some(*n)
+                    } else {
+                        None
+                    }
+                });
+                self.max_outgoing_packet_bytes = max_packet_bytes.map_or(usize::MAX, |n| n as usize);
+                let no_problem_information = Property::RequestProblemInformation(0);
+                self.sends_problem_information = !connect.properties.0.contains(&no_problem_information);
                 self.state = State::Connecting;
-                self.events.push_back(Event::Connect(c));
+                self.events.push_back(Event::Connect(connect));
             }
-            Packet::Publish(p) => self.publish(p)?,
-            Packet::PubRel(a) => {
-                let known = self.session.inbound.get(&a.packet);
-                let code = match known {
+            Packet::Publish(publish) => self.publish(publish)?,
+            Packet::PubRel(pubrel) => {
+                let inbound = self.session.inbound.get(&pubrel.packet);
+                let code = match inbound {
                     Some(Inbound::Responded(code, _)) if *code < 0x80 => {
-                        self.session.inbound.remove(&a.packet);
-                        self.session.responded.retain(|id| *id != a.packet);
+                        self.session.inbound.remove(&pubrel.packet);
+                        self.session.responded.retain(|identifier| *identifier != pubrel.packet);
                         SUCCESS
                     }
-                    // Nothing was said under it that a release could follow.
+                    // No PUBREC with a code below 0x80 was sent, which PUBREL would have to follow.
                     _ => PACKET_IDENTIFIER_NOT_FOUND,
                 };
-                self.send(&Packet::PubComp(Ack { packet: a.packet, code, ..Ack::default() }));
+                self.send(&Packet::PubComp(Ack { packet: pubrel.packet, code, ..Ack::default() }));
             }
-            Packet::Subscribe(s) => self.events.push_back(Event::Subscribe(s)),
-            Packet::Unsubscribe(u) => self.events.push_back(Event::Unsubscribe(u)),
+            Packet::Subscribe(subscribe) => self.events.push_back(Event::Subscribe(subscribe)),
+            Packet::Unsubscribe(unsubscribe) => self.events.push_back(Event::Unsubscribe(unsubscribe)),
             Packet::PingReq => {
                 self.send(&Packet::PingResp); // [MQTT-3.12.4-1]
             }
-            Packet::Disconnect(r) => {
-                let expiry =
-                    r.properties.find(|p| if let Property::SessionExpiry(n) = p { Some(*n) } else { None });
-                self.events.push_back(Event::Disconnect { will: r.code == 0x04, expiry });
+            Packet::Disconnect(disconnect) => {
+                let expiry = disconnect.properties.find(|p| {
+                    if let Property::SessionExpiry(n) = p {
+                        Some(*n)
+                    } else {
+                        None
+                    }
+                });
+                let will = disconnect.code == DISCONNECT_WITH_WILL;
+                self.events.push_back(Event::Disconnect { will, expiry });
                 self.state = State::Closed;
             }
-            // Answers are published with QoS 0: nothing is to be acknowledged.
+            // The server publishes with QoS 0, which is not acknowledged: these packets are ignored.
             Packet::PubAck(_) | Packet::PubRec(_) | Packet::PubComp(_) => {}
             Packet::Auth(_) => {
-                return Err(Error::new(PROTOCOL_ERROR, "AUTH without an authentication method"));
+                return Err(Error::new(PROTOCOL_ERROR, "AUTH without an authentication method in CONNECT"));
             }
             Packet::ConnAck(_) | Packet::SubAck(_) | Packet::UnsubAck(_) | Packet::PingResp => {
-                return Err(Error::new(PROTOCOL_ERROR, "a packet that only servers send"));
+                return Err(Error::new(PROTOCOL_ERROR, "received a packet that only servers send"));
             }
         }
         Ok(())
     }
 
-    fn publish(&mut self, mut p: Publish) -> Result<(), Error> {
-        let alias = p.properties.find(|p| if let Property::TopicAlias(n) = p { Some(*n) } else { None });
-        if let Some(n) = alias {
+    fn publish(&mut self, mut publish: Publish) -> Result<(), Error> {
+        let alias =
+            publish.properties.find(|p| if let Property::TopicAlias(n) = p { Some(*n) } else { None });
+        if let Some(alias) = alias {
             // [MQTT-3.3.2-8], [MQTT-3.3.2-9]
-            if n == 0 || n > self.limits.topic_alias_maximum {
-                return Err(Error::new(TOPIC_ALIAS_INVALID, "a topic alias beyond the maximum"));
+            if alias == 0 || alias > self.limits.topic_alias_maximum {
+                return Err(Error::new(TOPIC_ALIAS_INVALID, "topic alias 0 or above the maximum"));
             }
-            if p.topic.is_empty() {
-                let known = self.aliases.get(&n);
-                let unknown = Error::new(PROTOCOL_ERROR, "a topic alias that stands for nothing");
-                p.topic.clone_from(known.ok_or(unknown)?);
+            if publish.topic.is_empty() {
+                let topic = self.aliases.get(&alias);
+                let unknown = Error::new(PROTOCOL_ERROR, "topic alias without a topic");
+                publish.topic.clone_from(topic.ok_or(unknown)?);
             } else {
-                self.aliases.insert(n, p.topic.clone());
+                self.aliases.insert(alias, publish.topic.clone());
             }
         }
-        if p.qos == QoS::ExactlyOnce {
-            match self.session.inbound.get(&p.packet) {
-                // Under way: its PUBREC follows.
+        if publish.qos == QoS::ExactlyOnce {
+            match self.session.inbound.get(&publish.packet) {
+                // The publish is in progress: its PUBREC follows.
                 Some(Inbound::InProgress) => return Ok(()),
-                Some(Inbound::Responded(code, properties)) if p.dup || *code < 0x80 => {
-                    // [MQTT-4.3.3-10]: the PUBREC was lost. One that was good holds its identifier until PUBREL.
-                    let ack = Ack { packet: p.packet, code: *code, properties: properties.clone() };
+                Some(Inbound::Responded(code, properties)) if publish.dup || *code < 0x80 => {
+                    // The client did not receive the PUBREC, which is sent again [MQTT-4.3.3-10]. A code below 0x80
+                    // keeps the identifier in use until PUBREL.
+                    let ack = Ack { packet: publish.packet, code: *code, properties: properties.clone() };
                     self.send(&Packet::PubRec(ack));
                     return Ok(());
                 }
-                Some(Inbound::Responded(..)) => self.session.responded.retain(|id| *id != p.packet),
-                None if p.dup => {
-                    self.begin(&p)?;
-                    self.events.push_back(Event::UnknownDuplicate(p));
+                Some(Inbound::Responded(..)) => {
+                    self.session.responded.retain(|identifier| *identifier != publish.packet);
+                }
+                None if publish.dup => {
+                    self.begin(&publish)?;
+                    self.events.push_back(Event::UnknownDuplicate(publish));
                     return Ok(());
                 }
                 None => {}
             }
         }
-        if p.qos != QoS::AtMostOnce {
-            self.begin(&p)?;
+        if publish.qos != QoS::AtMostOnce {
+            self.begin(&publish)?;
         }
-        self.events.push_back(Event::Publish(p));
+        self.events.push_back(Event::Publish(publish));
         Ok(())
     }
 
-    fn begin(&mut self, p: &Publish) -> Result<(), Error> {
+    /// Adds a publish of QoS 1 or 2 to the unanswered ones.
+    ///
+    /// # Errors
+    /// If there are as many unanswered publishes as the Receive Maximum allows.
+    fn begin(&mut self, publish: &Publish) -> Result<(), Error> {
         if self.unanswered >= usize::from(self.limits.receive_maximum) {
-            return Err(Error::new(RECEIVE_MAXIMUM_EXCEEDED, "more publishes open than the receive maximum"));
+            return Err(Error::new(
+                RECEIVE_MAXIMUM_EXCEEDED,
+                "more unanswered publishes than the receive maximum",
+            ));
         }
         self.unanswered += 1;
-        if p.qos == QoS::AtLeastOnce {
-            *self.unanswered_qos1.entry(p.packet).or_default() += 1;
+        if publish.qos == QoS::AtLeastOnce {
+            *self.unanswered_qos1.entry(publish.packet).or_default() += 1;
         } else {
-            self.session.inbound.insert(p.packet, Inbound::InProgress);
+            self.session.inbound.insert(publish.packet, Inbound::InProgress);
         }
         Ok(())
     }
 
-    /// What came of a publish of QoS 1 or 2: its one answer.
+    /// Answers a publish: sends PUBACK for QoS 1 or PUBREC for QoS 2. Does nothing if the publish is already answered.
     pub fn answer(&mut self, qos: QoS, packet: u16, code: u8, properties: Properties) {
         // [MQTT-3.1.2-29]
         let properties = if self.sends_problem_information { properties } else { Properties::default() };
         match qos {
             QoS::AtMostOnce => {}
             QoS::AtLeastOnce => {
-                let Some(n) = self.unanswered_qos1.get_mut(&packet) else { return };
-                *n -= 1;
-                if *n == 0 {
+                let Some(count) = self.unanswered_qos1.get_mut(&packet) else { return };
+                *count -= 1;
+                if *count == 0 {
                     self.unanswered_qos1.remove(&packet);
                 }
                 self.unanswered = self.unanswered.saturating_sub(1);
@@ -317,10 +349,11 @@
                 self.unanswered = self.unanswered.saturating_sub(1);
                 self.session.inbound.insert(packet, Inbound::Responded(code, properties.clone()));
                 self.session.responded.push_back(packet);
-                // Codes that end a flow are remembered for a repeat as long as there is room; good ones hold theirs.
+                // Beyond the limit, the oldest PUBRECs are forgotten, also those that wait for PUBREL. If the client repeats
+                // such a publish with DUP, it is an unknown duplicate.
                 while self.session.responded.len() > self.limits.remembered_identifiers {
-                    if let Some(old) = self.session.responded.pop_front() {
-                        self.session.inbound.remove(&old);
+                    if let Some(oldest) = self.session.responded.pop_front() {
+                        self.session.inbound.remove(&oldest);
                     }
                 }
                 self.send(&Packet::PubRec(Ack { packet, code, properties }));
@@ -328,17 +361,18 @@
         }
     }
 
-    /// A publish is as if it had never come: nothing is said of it, and it may come again as a new one.
+    /// Discards an unanswered publish as if it had not been received: it is not answered, and a repeated PUBLISH is
+    /// handled as a new one.
     pub fn forget(&mut self, qos: QoS, packet: u16) {
-        let known = match qos {
+        let was_unanswered = match qos {
             QoS::AtMostOnce => false,
             QoS::AtLeastOnce => self.unanswered_qos1.remove(&packet).is_some(),
             QoS::ExactlyOnce => self.session.inbound.remove(&packet) == Some(Inbound::InProgress),
         };
-        self.unanswered -= usize::from(known && self.unanswered > 0);
+        self.unanswered -= usize::from(was_unanswered && self.unanswered > 0);
     }
 
-    /// The client is let in, with its session if it has one here.
+    /// Accepts the client with CONNACK and resumes its session, if there is one.
     pub fn accept(&mut self, session: Option<Session>, properties: Properties) {
         if self.state != State::Connecting {
             return;
@@ -350,7 +384,8 @@
         self.send(&Packet::ConnAck(ConnAck { session_present, code: SUCCESS, properties }));
     }
 
-    /// The client is not let in: a reason code, put into what 3.1.1 has of them (3.2.2.3).
+    /// Refuses the client with CONNACK and closes the connection. For MQTT 3.1.1, the reason code is mapped to a return
+    /// code (MQTT 3.1.1, section 3.2.2.3).
     pub fn refuse(&mut self, code: u8, properties: Properties) {
         use super::reason as r;
         if !matches!(self.state, State::Connecting | State::New) {
@@ -370,105 +405,110 @@
         self.state = State::Closed;
     }
 
-    /// The answer to a SUBSCRIBE.
+    /// Answers a SUBSCRIBE with one reason code for each filter.
     pub fn subscribed(&mut self, packet: u16, codes: Vec<u8>) {
-        // 3.1.1 knows one code for no.
-        let plain = self.version == Some(Version::V311);
-        let codes = codes.into_iter().map(|c| if plain && c >= 0x80 { 0x80 } else { c }).collect();
+        // MQTT 3.1.1 has only the failure code 0x80.
+        let is_v311 = self.version == Some(Version::V311);
+        let codes = codes.into_iter().map(|code| if is_v311 && code >= 0x80 { 0x80 } else { code }).collect();
         self.send(&Packet::SubAck(Acks { packet, codes, ..Acks::default() }));
     }
 
-    /// The answer to an UNSUBSCRIBE.
+    /// Answers an UNSUBSCRIBE with one reason code for each filter, which MQTT 3.1.1 omits.
     pub fn unsubscribed(&mut self, packet: u16, codes: Vec<u8>) {
         let codes = if self.version == Some(Version::V311) { Vec::new() } else { codes };
         self.send(&Packet::UnsubAck(Acks { packet, codes, ..Acks::default() }));
     }
 
-    /// Publishes to the client with QoS 0; false if it takes no packet so large.
+    /// Publishes to the client with QoS 0. Returns `false` and sends nothing if the packet exceeds the client's maximum
+    /// packet size.
     pub fn publish_to(&mut self, topic: &str, payload: Bytes, properties: Properties) -> bool {
         let publish = Publish { topic: topic.to_owned(), payload, properties, ..Publish::default() };
         self.send(&Packet::Publish(publish))
     }
 
-    /// Closes, with a reason code where the version has them [MQTT-3.14.0-1].
-    pub fn disconnect(&mut self, code: u8, why: Option<&str>) {
+    /// Closes the connection. In MQTT 5.0, DISCONNECT with the reason code is sent if the client was accepted
+    /// [MQTT-3.14.0-1].
+    pub fn disconnect(&mut self, code: u8, reason: Option<&str>) {
         if self.state == State::Open && self.version == Some(Version::V5) {
-            let why = why.map(|w| Property::ReasonString(w.to_owned()));
-            let properties = Properties(why.into_iter().collect());
+            let reason = reason.map(|text| Property::ReasonString(text.to_owned()));
+            let properties = Properties(reason.into_iter().collect());
             self.send(&Packet::Disconnect(Reason { code, properties }));
         }
         self.state = State::Closed;
     }
 
+    /// Adds a packet to the output. Returns `false` and sends nothing if it exceeds the client's maximum packet size.
     fn send(&mut self, packet: &Packet) -> bool {
         let Some(version) = self.version else { return false };
-        let at = self.output.len();
+        let start = self.output.len();
         encode(packet, version, &mut self.output);
-        let fits = self.output.len() - at <= self.max_outgoing_packet_bytes; // [MQTT-3.1.2-24]
+        let fits = self.output.len() - start <= self.max_outgoing_packet_bytes; // [MQTT-3.1.2-24]
         if !fits {
-            self.output.truncate(at);
+            self.output.truncate(start);
         }
         fits
     }
 
-    /// What happened, in order.
+    /// Returns the next event.
     pub fn event(&mut self) -> Option<Event> {
         self.events.pop_front()
     }
 
-    /// Bytes to be written.
+    /// Returns the bytes to send. The caller removes those that it has written.
     pub fn output(&mut self) -> &mut BytesMut {
         &mut self.output
     }
 
-    /// Whether nothing more is read: what is in the output is written, then the connection is closed.
+    /// Returns whether the connection is to be closed after the output is written. Input is ignored.
     pub fn closed(&self) -> bool {
         self.state == State::Closed
     }
 
-    /// Whether the client has been let in.
+    /// Returns whether the client was accepted and the connection is not closed.
     pub fn open(&self) -> bool {
         self.state == State::Open
     }
 
-    /// Whether a packet has begun and is not whole.
+    /// Returns whether there is input that has not been decoded, such as an incomplete packet.
     pub fn has_partial_input(&self) -> bool {
         !self.input.is_empty()
     }
 
-    /// Bytes that came so far.
+    /// Returns the number of received bytes.
     pub fn received(&self) -> u64 {
         self.received
     }
 
-    /// The version, when CONNECT has come.
+    /// Returns the protocol version; `None` before CONNECT.
     pub fn version(&self) -> Option<Version> {
         self.version
     }
 
-    /// Seconds without a packet after which the client is gone [MQTT-3.1.2-22]: one and a half times its keep alive.
+    /// Returns the time in seconds without a packet after which to close the connection, one and a half times the keep
+    /// alive [MQTT-3.1.2-22]. `None` if the keep alive is turned off.
     pub fn keep_alive_timeout(&self) -> Option<f64> {
         (self.keep_alive > 0).then(|| f64::from(self.keep_alive) * 1.5)
     }
 
-    /// Another keep alive than the client's, in seconds; it is told by CONNACK.
+    /// Sets another keep alive than the client's, in seconds. The caller announces it in CONNACK.
     pub fn keep_alive(&mut self, seconds: u16) {
         self.keep_alive = seconds;
     }
 
-    /// Publishes of QoS 1 and 2 without an answer.
+    /// Returns the number of unanswered publishes of QoS 1 and 2.
     pub fn unanswered(&self) -> usize {
         self.unanswered
     }
 
-    /// The session, for the next connection. What is under way stays so: its answer goes to [`Session::record_response`].
+    /// Removes the session, for the client's next connection. Its unanswered publishes are to be answered by
+    /// [`Session::record_response`].
     pub fn take_session(&mut self) -> Session {
         std::mem::take(&mut self.session)
     }
 }
 
 impl Session {
-    /// The answer of a publish of QoS 2 whose connection has gone.
+    /// Records the answer to a publish of QoS 2 whose connection is closed.
     pub fn record_response(&mut self, packet: u16, code: u8, properties: Properties) {
         if self.inbound.get(&packet) == Some(&Inbound::InProgress) {
             self.inbound.insert(packet, Inbound::Responded(code, properties));
@@ -477,7 +517,7 @@
     }
 }
 
-/// The code of a CONNECT that could not be read, if the client is to hear one.
+/// Returns the reason code for the CONNACK that refuses an invalid CONNECT.
 pub fn connack_code(error: &Error) -> u8 {
     match error.code {
         PACKET_TOO_LARGE => MALFORMED_PACKET,
--- a/crates/wire/src/mqtt/topic.rs
+++ b/crates/wire/src/mqtt/topic.rs
@@ -1,11 +1,12 @@
-//! Topic names and filters (MQTT 5, section 4.7).
+//! Topic names and filters (MQTT 5.0, section 4.7).
 
-/// Whether a text can be a topic name: not empty, without wildcards [MQTT-4.7.0-1, MQTT-3.3.2-2].
+/// Returns whether `text` is a valid topic name: not empty and without wildcards [MQTT-4.7.0-1, MQTT-4.7.3-1,
+/// MQTT-3.3.2-2].
 pub fn is_name(text: &str) -> bool {
     !text.is_empty() && !text.contains(['+', '#'])
 }
 
-/// Whether a text can be a topic filter [MQTT-4.7.0-1, MQTT-4.7.1-1, MQTT-4.7.1-2].
+/// Returns whether `text` is a valid topic filter [MQTT-4.7.0-1, MQTT-4.7.1-1, MQTT-4.7.1-2, MQTT-4.7.3-1].
 pub fn is_filter(text: &str) -> bool {
     let mut levels = text.split('/').peekable();
     let mut valid = !text.is_empty();
@@ -20,8 +21,8 @@
     valid
 }
 
-/// Whether a name is covered by a filter. Names that begin with `$` are not covered by a wildcard at the beginning
-/// [MQTT-4.7.2-1].
+/// Returns whether a filter matches a topic name. A wildcard at the beginning of a filter does not match names that
+/// begin with `$` [MQTT-4.7.2-1].
 pub fn covers(filter: &str, name: &str) -> bool {
     if name.starts_with('$') && filter.starts_with(['+', '#']) {
         return false;
--- a/crates/wire/src/mqtt/topic/tests.rs
+++ b/crates/wire/src/mqtt/topic/tests.rs
@@ -1,17 +1,17 @@
-//! Topic names and filters by the specification's examples.
+//! Topic names and filters, with the examples of MQTT 5.0, section 4.7.
 
 use super::*;
 
 #[test]
-fn as_the_specification_has_it() {
-    for good in ["#", "a/#", "+", "+/a/#", "/a", "a/+/b", "/", "a//b", "+/+"] {
-        assert!(is_filter(good), "{good}");
+fn names_and_filters_follow_the_specification() {
+    for valid in ["#", "a/#", "+", "+/a/#", "/a", "a/+/b", "/", "a//b", "+/+"] {
+        assert!(is_filter(valid), "{valid}");
     }
-    for bad in ["", "a#", "a/#/b", "a+", "a/+b", "##", "#/a"] {
-        assert!(!is_filter(bad), "{bad}");
+    for invalid in ["", "a#", "a/#/b", "a+", "a/+b", "##", "#/a"] {
+        assert!(!is_filter(invalid), "{invalid}");
     }
     assert!(is_name("a/b") && is_name("/") && !is_name("") && !is_name("a/+") && !is_name("#"));
-    let covered = [
+    let matching = [
         ("a/#", "a"),
         ("a/#", "a/b/c"),
         ("#", "a"),
@@ -20,13 +20,13 @@
         ("+/+", "/a"),
         ("a/+", "a/"),
     ];
-    for (f, n) in covered {
-        assert!(covers(f, n), "{f} {n}");
+    for (filter, name) in matching {
+        assert!(covers(filter, name), "{filter} {name}");
     }
-    for (f, n) in
+    for (filter, name) in
         [("+", "/a"), ("a/+", "a"), ("a/b", "a/b/c"), ("#", "$SYS/a"), ("+/a", "$SYS/a"), ("a", "A")]
     {
-        assert!(!covers(f, n), "{f} {n}");
+        assert!(!covers(filter, name), "{filter} {name}");
     }
     assert!(covers("$SYS/#", "$SYS/a"));
 }
--- a/crates/wire/src/orca.rs
+++ b/crates/wire/src/orca.rs
@@ -29,7 +29,8 @@
 
 /// Parses a load report and ignores unknown keys.
 ///
-/// Returns `None` if the report is not in the text format or too long, or if a value is negative or not a finite number.
+/// Returns `None` if the report is not in the text format or too long, or if a value is negative or not a finite
+/// number.
 pub fn parse(value: &[u8]) -> Option<Load> {
     let text = std::str::from_utf8(value).ok().filter(|t| t.len() <= MAX_REPORT_BYTES)?;
     let list = text.strip_prefix("TEXT").map(|t| t.strip_prefix(':').unwrap_or(t))?;
