--- a/crates/wire/src/grpc.rs
+++ b/crates/wire/src/grpc.rs
@@ -61,7 +61,7 @@
 pub struct Status {
     /// The status code.
     pub code: Code,
-    /// Description of the error for people: where it occurred, what was found and what was expected.
+    /// Human-readable description: the place of the error, the value found and the value expected.
     pub message: Cow<'static, str>,
 }
 
--- a/crates/wire/src/http2/connection/messages.rs
+++ b/crates/wire/src/http2/connection/messages.rs
@@ -147,7 +147,7 @@
         if self.is_server && self.is_idle(id) {
             self.last_peer_stream = id;
             if self.is_draining || self.goaway_sent.is_some_and(|last| id > last) {
-                return Ok(()); // above the last id of the GOAWAY, which told the client that it is not processed
+                return Ok(()); // above the last id of the GOAWAY: the client treats it as not processed
             }
             if self.streams.len() >= self.config.max_streams as usize {
                 return self.stream_error(id, Code::REFUSED_STREAM);
--- a/crates/wire/src/http2/connection/sending.rs
+++ b/crates/wire/src/http2/connection/sending.rs
@@ -130,8 +130,8 @@
             self.streams.remove(&id);
             self.allowance.earn();
         } else if self.is_server {
-            // The response is complete before the request: the client is told not to send the rest of the request
-            // (section 8.1).
+            // The response is complete before the request: RST_STREAM with NO_ERROR asks the client not to send the
+            // rest of the request (section 8.1).
             self.reset(id, Code::NO_ERROR);
         }
     }
--- a/crates/wire/src/mqtt/error.rs
+++ b/crates/wire/src/mqtt/error.rs
@@ -8,7 +8,7 @@
 pub struct Error {
     /// The reason code to close the connection with.
     pub code: u8,
-    /// What was received or expected.
+    /// Description of the violated rule.
     pub message: &'static str,
 }
 
--- a/crates/wire/src/mqtt/server.rs
+++ b/crates/wire/src/mqtt/server.rs
@@ -349,8 +349,8 @@
                 self.unanswered = self.unanswered.saturating_sub(1);
                 self.session.inbound.insert(packet, Inbound::Responded(code, properties.clone()));
                 self.session.responded.push_back(packet);
-                // Beyond the limit, the oldest PUBRECs are forgotten, also those that wait for PUBREL. If the client repeats
-                // such a publish with DUP, it is an unknown duplicate.
+                // Beyond the limit, the oldest PUBRECs are forgotten, also those that wait for PUBREL. If the client
+                // repeats such a publish with DUP, it is an unknown duplicate.
                 while self.session.responded.len() > self.limits.remembered_identifiers {
                     if let Some(oldest) = self.session.responded.pop_front() {
                         self.session.inbound.remove(&oldest);
--- a/crates/wire/tests/grpc.rs
+++ b/crates/wire/tests/grpc.rs
@@ -1,4 +1,4 @@
-//! gRPC's small parts, the messages, and load reports.
+//! gRPC timeouts, statuses and message framing, rate limit messages, and load reports.
 
 use chalkgap_wire::grpc::{self, Code, Deframer, Status};
 use chalkgap_wire::orca::{self, Load};
@@ -7,9 +7,10 @@
 use prost::Message;
 
 #[test]
-fn timeouts() {
-    let good = [("1H", 3_600_000_000), ("2M", 120_000_000), ("3S", 3_000_000), ("99999999m", 99_999_999_000)];
-    for (text, micros) in good.into_iter().chain([("0u", 0), ("7u", 7), ("1999n", 1)]) {
+fn valid_timeouts_are_parsed_and_others_rejected() {
+    let valid =
+        [("1H", 3_600_000_000), ("2M", 120_000_000), ("3S", 3_000_000), ("99999999m", 99_999_999_000)];
+    for (text, micros) in valid.into_iter().chain([("0u", 0), ("7u", 7), ("1999n", 1)]) {
         assert_eq!(grpc::parse_timeout(text.as_bytes()), Some(micros), "{text}");
     }
     for text in ["", "S", "5", "123456789m", "-1S", "+1S", "1.5S", "1s", " 1S", "1S "] {
@@ -18,22 +19,22 @@
 }
 
 #[test]
-fn messages_over_the_limit_are_known_from_their_prefix() {
-    let mut d = Deframer::new(100);
-    d.push(&[0, 0, 0, 0, 101]);
-    assert_eq!(d.message().unwrap_err().code, Code::ResourceExhausted);
-    let mut d = Deframer::new(100);
-    d.push(&[1, 0, 0, 0, 1, 0]);
-    assert_eq!(d.message().unwrap_err().code, Code::Unimplemented);
-    let mut d = Deframer::new(100);
-    d.push(&[7, 0, 0, 0, 1, 0]);
-    assert_eq!(d.message().unwrap_err().code, Code::Internal);
+fn deframer_rejects_a_message_by_its_prefix() {
+    let mut deframer = Deframer::new(100);
+    deframer.push(&[0, 0, 0, 0, 101]);
+    assert_eq!(deframer.message().unwrap_err().code, Code::ResourceExhausted);
+    let mut deframer = Deframer::new(100);
+    deframer.push(&[1, 0, 0, 0, 1, 0]);
+    assert_eq!(deframer.message().unwrap_err().code, Code::Unimplemented);
+    let mut deframer = Deframer::new(100);
+    deframer.push(&[7, 0, 0, 0, 1, 0]);
+    assert_eq!(deframer.message().unwrap_err().code, Code::Internal);
 }
 
-/// Bytes of the public definition, written by hand: field 1 "d", field 2 { field 1 { "k", "v" } }, field 3 of 5, and
-/// a field 99 that is not known.
+/// Encoding by the published definition, written by hand: field 1 "d", field 2 { field 1 { "k", "v" } }, field 3 with
+/// value 5, and an unknown field 99.
 #[test]
-fn request_has_the_public_field_numbers() {
+fn rate_limit_request_has_the_published_field_numbers() {
     let bytes = b"\x0a\x01d\x12\x08\x0a\x06\x0a\x01k\x12\x01v\x18\x05\x9a\x06\x01x";
     let entries = vec![Entry { key: "k".into(), value: "v".into() }];
     let descriptors = vec![Descriptor { entries, hits_addend: None }];
@@ -43,24 +44,26 @@
 }
 
 #[test]
-fn load_reports() {
+fn valid_load_reports_are_parsed_and_others_rejected() {
     let load = Load { queue: Some(3.0), cpu_utilization: Some(0.25), ..Load::default() };
     assert_eq!(
         orca::parse(b"TEXT cpu_utilization=0.25, named_metrics.queue=3, named_metrics.x=1"),
         Some(load)
     );
-    for bad in ["", "BIN abc", "TEXT named_metrics.queue=-1", "TEXT named_metrics.queue=NaN", "TEXT queue"] {
-        assert_eq!(orca::parse(bad.as_bytes()), None, "{bad}");
+    for invalid in
+        ["", "BIN abc", "TEXT named_metrics.queue=-1", "TEXT named_metrics.queue=NaN", "TEXT queue"]
+    {
+        assert_eq!(orca::parse(invalid.as_bytes()), None, "{invalid}");
     }
     assert_eq!(orca::parse(&[b'T'; 2000]), None);
 }
 
 proptest! {
     #[test]
-    fn texts_survive(text in any::<String>()) {
-        let coded = grpc::percent_encode(&text);
-        prop_assert!(coded.iter().all(|b| (0x20..=0x7e).contains(b)));
-        prop_assert_eq!(grpc::percent_decode(&coded), text);
+    fn percent_encoding_round_trip(text in any::<String>()) {
+        let encoded = grpc::percent_encode(&text);
+        prop_assert!(encoded.iter().all(|byte| (0x20..=0x7e).contains(byte)));
+        prop_assert_eq!(grpc::percent_decode(&encoded), text);
     }
 
     #[test]
@@ -69,35 +72,38 @@
         prop_assert_eq!(Status::from_fields(&status.fields()), status);
     }
 
-    /// Written times are never longer than the true ones, and at most a second shorter.
+    /// A formatted timeout is never longer than the original, and less than a second shorter.
     #[test]
     fn timeout_round_trip(micros in 0u64..90_000_000_000_000) {
-        let read = grpc::parse_timeout(grpc::format_timeout(micros).as_bytes()).unwrap();
-        prop_assert!(read <= micros && micros - read < 1_000_000);
+        let parsed = grpc::parse_timeout(grpc::format_timeout(micros).as_bytes()).unwrap();
+        prop_assert!(parsed <= micros && micros - parsed < 1_000_000);
     }
 
+    /// The deframer returns the same messages however the bytes are split.
     #[test]
-    fn deframed_in_any_cut(sizes in proptest::collection::vec(0usize..90, 0..6), step in 1usize..9) {
+    fn deframer_accepts_any_split(sizes in proptest::collection::vec(0usize..90, 0..6), step in 1usize..9) {
         let mut bytes = Vec::new();
-        for n in &sizes {
-            bytes.extend([0, 0, 0, 0, *n as u8]);
-            bytes.extend(vec![7u8; *n]);
+        for size in &sizes {
+            bytes.extend([0, 0, 0, 0, *size as u8]);
+            bytes.extend(vec![7u8; *size]);
         }
-        let (mut d, mut got) = (Deframer::new(100), Vec::new());
+        let mut deframer = Deframer::new(100);
+        let mut received = Vec::new();
         for part in bytes.chunks(step) {
-            d.push(part);
-            while let Some(m) = d.message().unwrap() {
-                got.push(m.len());
+            deframer.push(part);
+            while let Some(message) = deframer.message().unwrap() {
+                received.push(message.len());
             }
         }
-        prop_assert_eq!(got, sizes);
-        prop_assert!(!d.partial());
+        prop_assert_eq!(received, sizes);
+        prop_assert!(!deframer.partial());
     }
 
+    /// A parsed report is the same after formatting and parsing it again.
     #[test]
     fn any_load_report(bytes in proptest::collection::vec(any::<u8>(), 0..100)) {
-        if let Some(l) = orca::parse(&bytes) {
-            prop_assert_eq!(orca::parse(orca::format(&l).as_bytes()), Some(l));
+        if let Some(load) = orca::parse(&bytes) {
+            prop_assert_eq!(orca::parse(orca::format(&load).as_bytes()), Some(load));
         }
     }
 }
--- a/crates/wire/tests/mqtt.rs
+++ b/crates/wire/tests/mqtt.rs
@@ -1,4 +1,5 @@
-//! MQTT packets: round trips, bad ones by the specification's statements, any bytes in any parts.
+//! MQTT packets: round trips, invalid packets with the statements of the specification that they violate, and arbitrary
+//! bytes.
 
 use bytes::{Bytes, BytesMut};
 use chalkgap_wire::mqtt::packet::*;
@@ -7,7 +8,7 @@
 use proptest::collection::vec;
 use proptest::prelude::*;
 
-const MOST: usize = 1 << 20;
+const MAX_PACKET_BYTES: usize = 1 << 20;
 
 fn bytes(packet: &Packet, version: Version) -> BytesMut {
     let mut out = BytesMut::new();
@@ -15,8 +16,9 @@
     out
 }
 
-fn code(bytes: &[u8], version: Option<Version>) -> Result<Option<Packet>, u8> {
-    decode(&mut BytesMut::from(bytes), version, MOST).map_err(|e| e.code)
+/// Decodes a packet, or returns the reason code of the error.
+fn decode_or_code(bytes: &[u8], version: Option<Version>) -> Result<Option<Packet>, u8> {
+    decode(&mut BytesMut::from(bytes), version, MAX_PACKET_BYTES).map_err(|error| error.code)
 }
 
 fn text() -> impl Strategy<Value = String> {
@@ -35,16 +37,17 @@
     (text(), text()).prop_map(|(k, v)| Property::User(k, v))
 }
 
+/// Generates up to two user properties and, optionally, one other property.
 fn with(other: impl Strategy<Value = Property>) -> impl Strategy<Value = Properties> {
     (proptest::option::of(other), vec(user(), 0..3))
-        .prop_map(|(one, many)| Properties(one.into_iter().chain(many).collect()))
+        .prop_map(|(other, user)| Properties(other.into_iter().chain(user).collect()))
 }
 
 fn qos() -> impl Strategy<Value = QoS> {
     prop_oneof![Just(QoS::AtMostOnce), Just(QoS::AtLeastOnce), Just(QoS::ExactlyOnce)]
 }
 
-fn of_publish() -> impl Strategy<Value = Properties> {
+fn publish_properties() -> impl Strategy<Value = Properties> {
     with(prop_oneof![
         (0u8..2).prop_map(Property::PayloadFormat),
         any::<u32>().prop_map(Property::MessageExpiry),
@@ -56,7 +59,7 @@
     ])
 }
 
-fn of_connect() -> impl Strategy<Value = Properties> {
+fn connect_properties() -> impl Strategy<Value = Properties> {
     with(prop_oneof![
         any::<u32>().prop_map(Property::SessionExpiry),
         (1u16..).prop_map(Property::ReceiveMaximum),
@@ -69,7 +72,7 @@
     ])
 }
 
-fn of_connack() -> impl Strategy<Value = Properties> {
+fn connack_properties() -> impl Strategy<Value = Properties> {
     with(prop_oneof![
         text().prop_map(Property::AssignedClientIdentifier),
         any::<u16>().prop_map(Property::ServerKeepAlive),
@@ -102,9 +105,9 @@
 
 fn connect(version: Version) -> impl Strategy<Value = Packet> {
     let user = proptest::option::of((text(), proptest::option::of(blob())));
-    (any::<bool>(), any::<u16>(), of_connect(), text(), proptest::option::of(will()), user).prop_map(
+    (any::<bool>(), any::<u16>(), connect_properties(), text(), proptest::option::of(will()), user).prop_map(
         move |(clean_start, keep_alive, properties, client, will, user)| {
-            let (user, password) = user.map_or((None, None), |(u, p)| (Some(u), p));
+            let (user, password) = user.map_or((None, None), |(user, password)| (Some(user), password));
             let connect =
                 Connect { version, clean_start, keep_alive, properties, client, will, user, password };
             Packet::Connect(Box::new(connect))
@@ -113,7 +116,7 @@
 }
 
 fn publish() -> impl Strategy<Value = Packet> {
-    (qos(), any::<bool>(), any::<bool>(), name(), 1u16.., of_publish(), blob()).prop_map(
+    (qos(), any::<bool>(), any::<bool>(), name(), 1u16.., publish_properties(), blob()).prop_map(
         |(qos, dup, retain, topic, packet, properties, payload)| {
             let packet = if qos == QoS::AtMostOnce { 0 } else { packet };
             let dup = dup && qos != QoS::AtMostOnce;
@@ -137,7 +140,7 @@
 fn packet(version: Version) -> impl Strategy<Value = Packet> {
     prop_oneof![
         connect(version),
-        (any::<bool>(), any::<u8>(), of_connack()).prop_map(|(session_present, code, properties)| {
+        (any::<bool>(), any::<u8>(), connack_properties()).prop_map(|(session_present, code, properties)| {
             Packet::ConnAck(ConnAck { session_present, code, properties })
         }),
         publish(),
@@ -153,8 +156,8 @@
             })),
         acks().prop_map(Packet::SubAck),
         acks().prop_map(Packet::UnsubAck),
-        (1u16.., vec(user(), 0..3), vec(name(), 1..5)).prop_map(|(packet, p, filters)| {
-            Packet::Unsubscribe(Unsubscribe { packet, properties: Properties(p), filters })
+        (1u16.., vec(user(), 0..3), vec(name(), 1..5)).prop_map(|(packet, properties, filters)| {
+            Packet::Unsubscribe(Unsubscribe { packet, properties: Properties(properties), filters })
         }),
         Just(Packet::PingReq),
         Just(Packet::PingResp),
@@ -165,8 +168,8 @@
     ]
 }
 
-/// What 3.1.1 has no place for.
-fn plain(packet: Packet) -> Option<Packet> {
+/// Removes what MQTT 3.1.1 does not have. Returns `None` if it does not have the packet.
+fn without_v5_parts(packet: Packet) -> Option<Packet> {
     let none = Properties::default;
     Some(match packet {
         Packet::Connect(c) => {
@@ -195,52 +198,54 @@
 
 proptest! {
     #[test]
-    fn packets_survive(packet in packet(Version::V5), parts in vec(1usize..20, 0..6)) {
+    fn packets_round_trip(packet in packet(Version::V5), parts in vec(1usize..20, 0..6)) {
         let whole = bytes(&packet, Version::V5);
-        // In any parts: nothing before the last byte, then all of it.
-        let (mut buffer, mut at) = (BytesMut::new(), 0);
+        // However the bytes are split, the packet is returned only after its last byte.
+        let mut buffer = BytesMut::new();
+        let mut at = 0;
         for part in parts {
             let to = (at + part).min(whole.len() - 1);
             buffer.extend_from_slice(&whole[at..to]);
             at = to;
-            prop_assert_eq!(decode(&mut buffer, Some(Version::V5), MOST), Ok(None));
+            prop_assert_eq!(decode(&mut buffer, Some(Version::V5), MAX_PACKET_BYTES), Ok(None));
         }
         buffer.extend_from_slice(&whole[at..]);
         buffer.extend_from_slice(&[0xc0]);
-        prop_assert_eq!(decode(&mut buffer, Some(Version::V5), MOST), Ok(Some(packet)));
-        prop_assert_eq!(&buffer[..], [0xc0], "what follows is left");
+        prop_assert_eq!(decode(&mut buffer, Some(Version::V5), MAX_PACKET_BYTES), Ok(Some(packet)));
+        prop_assert_eq!(&buffer[..], [0xc0], "bytes after the packet stay in the buffer");
     }
 
     #[test]
-    fn packets_of_311_survive(packet in packet(Version::V311)) {
-        if let Some(packet) = plain(packet) {
+    fn packets_of_v311_round_trip(packet in packet(Version::V311)) {
+        if let Some(packet) = without_v5_parts(packet) {
             let whole = bytes(&packet, Version::V311);
-            prop_assert_eq!(code(&whole, Some(Version::V311)), Ok(Some(packet)));
+            prop_assert_eq!(decode_or_code(&whole, Some(Version::V311)), Ok(Some(packet)));
         }
     }
 
-    /// Any bytes: a packet, a wait or an error, and never more memory than there are bytes.
+    /// Arbitrary bytes decode to packets that are not much larger than the bytes, or to an error.
     #[test]
     fn any_bytes(list in vec(any::<u8>(), 0..200), version in 0..3) {
         let version = [None, Some(Version::V311), Some(Version::V5)][version as usize];
         let mut buffer = BytesMut::from(&list[..]);
-        while let Ok(Some(packet)) = decode(&mut buffer, version, MOST) {
-            let again = bytes(&packet, version.unwrap_or(Version::V5));
-            prop_assert!(again.len() <= 2 * list.len() + 16);
+        while let Ok(Some(packet)) = decode(&mut buffer, version, MAX_PACKET_BYTES) {
+            let encoded = bytes(&packet, version.unwrap_or(Version::V5));
+            prop_assert!(encoded.len() <= 2 * list.len() + 16);
         }
     }
 
-    /// A good packet with one changed byte.
+    /// A valid packet with one changed byte causes no panic.
     #[test]
-    fn nearly_good_packets(packet in packet(Version::V5), at in any::<prop::sample::Index>(), by in 1u8..) {
+    fn packets_with_one_changed_byte(
+        packet in packet(Version::V5), at in any::<prop::sample::Index>(), change in 1u8..) {
         let mut whole = bytes(&packet, Version::V5);
         let at = at.index(whole.len());
-        whole[at] ^= by;
-        let _ = decode(&mut whole, Some(Version::V5), MOST);
+        whole[at] ^= change;
+        let _ = decode(&mut whole, Some(Version::V5), MAX_PACKET_BYTES);
     }
 }
 
-/// A packet of these parts: first byte, then the body after its length.
+/// Returns a packet with this first byte and body.
 fn raw(first: u8, body: &[u8]) -> Vec<u8> {
     let mut out = vec![first, body.len() as u8];
     out.extend_from_slice(body);
@@ -248,9 +253,10 @@
 }
 
 #[test]
-#[expect(clippy::too_many_lines, reason = "one scenario in its order")]
+#[expect(clippy::too_many_lines, reason = "a table of cases")]
 fn malformed_packets_have_their_reason_codes() {
-    let (v4, v5) = (Some(Version::V311), Some(Version::V5));
+    let v311 = Some(Version::V311);
+    let v5 = Some(Version::V5);
     let connect = |level: u8, flags: u8, rest: &[u8]| {
         let mut body = vec![0, 4, b'M', b'Q', b'T', b'T', level, flags, 0, 9];
         if level == 5 {
@@ -260,69 +266,80 @@
         raw(0x10, &body)
     };
     let cases: Vec<(&str, Vec<u8>, Option<Version>, u8)> = vec![
-        ("[MQTT-1.5.4-1] no UTF-8", raw(0x30, &[0, 1, 0xff, 0]), v5, MALFORMED_PACKET),
+        ("[MQTT-1.5.4-1] invalid UTF-8", raw(0x30, &[0, 1, 0xff, 0]), v5, MALFORMED_PACKET),
         ("[MQTT-1.5.4-1] a surrogate", raw(0x30, &[0, 3, 0xed, 0xa0, 0x80, 0]), v5, MALFORMED_PACKET),
         ("[MQTT-1.5.4-2] U+0000", raw(0x30, &[0, 1, 0, 0]), v5, MALFORMED_PACKET),
-        ("[MQTT-1.5.5-1] a long way to say 0", vec![0xc0, 0x80, 0x00], v5, MALFORMED_PACKET),
-        ("1.5.5 five bytes", vec![0x30, 0x80, 0x80, 0x80, 0x80, 0x01], v5, MALFORMED_PACKET),
+        ("[MQTT-1.5.5-1] 0 encoded in two bytes", vec![0xc0, 0x80, 0x00], v5, MALFORMED_PACKET),
+        ("1.5.5 integer of five bytes", vec![0x30, 0x80, 0x80, 0x80, 0x80, 0x01], v5, MALFORMED_PACKET),
         ("[MQTT-2.1.3-1] reserved flags", raw(0x41, &[0, 1]), v5, MALFORMED_PACKET),
         ("[MQTT-3.6.1-1] PUBREL with flags 0", raw(0x60, &[0, 1]), v5, MALFORMED_PACKET),
         ("[MQTT-3.8.1-1] SUBSCRIBE with flags 0", raw(0x80, &[0, 1, 0, 0, 1, b'a', 0]), v5, MALFORMED_PACKET),
         ("[MQTT-3.10.1-1] UNSUBSCRIBE with flags 0", raw(0xa0, &[0, 1, 0, 0, 1, b'a']), v5, MALFORMED_PACKET),
         ("2.1.2 type 0", raw(0x00, &[]), v5, MALFORMED_PACKET),
-        ("AUTH in 3.1.1", raw(0xf0, &[]), v4, MALFORMED_PACKET),
-        ("[MQTT-2.2.1-3] identifier 0", raw(0x32, &[0, 1, b'a', 0, 0, 0]), v5, PROTOCOL_ERROR),
-        ("[MQTT-3.1.0-1] not CONNECT first", raw(0xc0, &[]), None, PROTOCOL_ERROR),
+        ("AUTH in 3.1.1", raw(0xf0, &[]), v311, MALFORMED_PACKET),
+        ("[MQTT-2.2.1-3] packet identifier 0", raw(0x32, &[0, 1, b'a', 0, 0, 0]), v5, PROTOCOL_ERROR),
+        ("[MQTT-3.1.0-1] first packet is not CONNECT", raw(0xc0, &[]), None, PROTOCOL_ERROR),
         (
-            "[MQTT-3.1.2-1] another name",
+            "[MQTT-3.1.2-1] another protocol name",
             raw(0x10, &[0, 4, b'M', b'Q', b'T', b'X', 5, 0, 0, 0, 0, 0, 0]),
             None,
             UNSUPPORTED_PROTOCOL_VERSION,
         ),
         ("[MQTT-3.1.2-2] level 3", connect(3, 2, &[0, 0]), None, UNSUPPORTED_PROTOCOL_VERSION),
         ("[MQTT-3.1.2-3] reserved flag", connect(5, 3, &[0, 0]), None, MALFORMED_PACKET),
-        ("[MQTT-3.1.2-11] QoS of no will", connect(5, 2 | 8, &[0, 0]), None, MALFORMED_PACKET),
+        ("[MQTT-3.1.2-11] will QoS without a will", connect(5, 2 | 8, &[0, 0]), None, MALFORMED_PACKET),
         (
-            "[MQTT-3.1.2-12] will of QoS 3",
+            "[MQTT-3.1.2-12] will QoS 3",
             connect(5, 4 | 24, &[0, 0, 0, 0, 1, b'a', 0, 0]),
             None,
             MALFORMED_PACKET,
         ),
-        ("[MQTT-3.1.2-13] retain of no will", connect(5, 2 | 32, &[0, 0]), None, MALFORMED_PACKET),
+        ("[MQTT-3.1.2-13] will retain without a will", connect(5, 2 | 32, &[0, 0]), None, MALFORMED_PACKET),
         (
-            "3.1.1 [MQTT-3.1.2-22] password alone",
+            "3.1.1 [MQTT-3.1.2-22] password without a user name",
             connect(4, 2 | 64, &[0, 0, 0, 1, b'p']),
             None,
             MALFORMED_PACKET,
         ),
-        ("[MQTT-3.1.3-1] a field is missing", connect(5, 2 | 128, &[0, 0]), None, MALFORMED_PACKET),
-        (
-            "a will's topic with wildcards",
-            connect(5, 4, &[0, 0, 0, 0, 1, b'#', 0, 0]),
-            None,
-            TOPIC_NAME_INVALID,
-        ),
-        ("bytes after the end", connect(5, 2, &[0, 0, 7]), None, MALFORMED_PACKET),
+        ("[MQTT-3.1.3-1] missing user name", connect(5, 2 | 128, &[0, 0]), None, MALFORMED_PACKET),
+        ("will topic with wildcards", connect(5, 4, &[0, 0, 0, 0, 1, b'#', 0, 0]), None, TOPIC_NAME_INVALID),
+        ("CONNECT with bytes after its end", connect(5, 2, &[0, 0, 7]), None, MALFORMED_PACKET),
         ("[MQTT-3.3.1-2] DUP with QoS 0", raw(0x38, &[0, 1, b'a', 0]), v5, MALFORMED_PACKET),
         ("[MQTT-3.3.1-4] QoS 3", raw(0x36, &[0, 1, b'a', 0, 1, 0]), v5, MALFORMED_PACKET),
-        ("[MQTT-3.3.2-2] wildcards", raw(0x30, &[0, 1, b'#', 0]), v5, TOPIC_NAME_INVALID),
+        ("[MQTT-3.3.2-2] topic with wildcards", raw(0x30, &[0, 1, b'#', 0]), v5, TOPIC_NAME_INVALID),
         ("3.3.2.1 neither topic nor alias", raw(0x30, &[0, 0, 0]), v5, PROTOCOL_ERROR),
-        ("[MQTT-4.7.3-1] an empty topic in 3.1.1", raw(0x30, &[0, 0]), v4, PROTOCOL_ERROR),
-        ("[MQTT-3.3.2-14] response topic", raw(0x30, &[0, 1, b'a', 4, 8, 0, 1, b'+']), v5, PROTOCOL_ERROR),
+        ("[MQTT-4.7.3-1] empty topic in 3.1.1", raw(0x30, &[0, 0]), v311, PROTOCOL_ERROR),
         (
-            "2.2.2 a property twice",
+            "[MQTT-3.3.2-14] response topic with wildcards",
+            raw(0x30, &[0, 1, b'a', 4, 8, 0, 1, b'+']),
+            v5,
+            PROTOCOL_ERROR,
+        ),
+        (
+            "2.2.2 duplicate property",
             raw(0x30, &[0, 1, b'a', 10, 2, 0, 0, 0, 1, 2, 0, 0, 0, 1]),
             v5,
             PROTOCOL_ERROR,
         ),
-        ("2.2.2 a property out of place", raw(0x30, &[0, 1, b'a', 3, 0x21, 0, 1]), v5, PROTOCOL_ERROR),
-        ("2.2.2 no such property", raw(0x30, &[0, 1, b'a', 2, 0x7f, 0]), v5, MALFORMED_PACKET),
-        ("2.2.2 properties past the end", raw(0x30, &[0, 1, b'a', 9, 1]), v5, MALFORMED_PACKET),
+        (
+            "2.2.2 property not allowed in PUBLISH",
+            raw(0x30, &[0, 1, b'a', 3, 0x21, 0, 1]),
+            v5,
+            PROTOCOL_ERROR,
+        ),
+        ("2.2.2 unknown property", raw(0x30, &[0, 1, b'a', 2, 0x7f, 0]), v5, MALFORMED_PACKET),
+        ("2.2.2 properties longer than the packet", raw(0x30, &[0, 1, b'a', 9, 1]), v5, MALFORMED_PACKET),
         ("3.3.2.3.2 payload format 2", raw(0x30, &[0, 1, b'a', 2, 1, 2]), v5, PROTOCOL_ERROR),
-        ("3.1.2.11.3 receive maximum 0", connect(5, 2, &[]), None, MALFORMED_PACKET),
-        ("[MQTT-3.8.3-2] no filter", raw(0x82, &[0, 1, 0]), v5, PROTOCOL_ERROR),
+        ("[MQTT-3.1.3-3] CONNECT without a client identifier", connect(5, 2, &[]), None, MALFORMED_PACKET),
         (
-            "[MQTT-3.8.3-4] no local, shared",
+            "3.1.2.11.3 receive maximum 0",
+            raw(0x10, &[0, 4, b'M', b'Q', b'T', b'T', 5, 2, 0, 9, 3, 0x21, 0, 0, 0, 0]),
+            None,
+            PROTOCOL_ERROR,
+        ),
+        ("[MQTT-3.8.3-2] SUBSCRIBE without a filter", raw(0x82, &[0, 1, 0]), v5, PROTOCOL_ERROR),
+        (
+            "[MQTT-3.8.3-4] no local on a shared subscription",
             raw(0x82, &[0, 1, 0, 0, 10, b'$', b's', b'h', b'a', b'r', b'e', b'/', b'g', b'/', b'a', 4]),
             v5,
             PROTOCOL_ERROR,
@@ -330,7 +347,12 @@
         ("[MQTT-3.8.3-5] reserved options", raw(0x82, &[0, 1, 0, 0, 1, b'a', 0x40]), v5, MALFORMED_PACKET),
         ("3.8.3.1 QoS 3", raw(0x82, &[0, 1, 0, 0, 1, b'a', 3]), v5, PROTOCOL_ERROR),
         ("3.8.3.1 retain handling 3", raw(0x82, &[0, 1, 0, 0, 1, b'a', 0x30]), v5, PROTOCOL_ERROR),
-        ("3.1.1 options past the QoS", raw(0x82, &[0, 1, 0, 1, b'a', 4]), v4, MALFORMED_PACKET),
+        (
+            "3.1.1 subscription options other than the QoS",
+            raw(0x82, &[0, 1, 0, 1, b'a', 4]),
+            v311,
+            MALFORMED_PACKET,
+        ),
         (
             "[MQTT-4.7.1-1] # in the middle",
             raw(0x82, &[0, 1, 0, 0, 3, b'#', b'/', b'a', 0]),
@@ -343,25 +365,32 @@
             v5,
             TOPIC_FILTER_INVALID,
         ),
-        ("[MQTT-3.10.3-2] no filter", raw(0xa2, &[0, 1, 0]), v5, PROTOCOL_ERROR),
+        ("[MQTT-3.10.3-2] UNSUBSCRIBE without a filter", raw(0xa2, &[0, 1, 0]), v5, PROTOCOL_ERROR),
         ("PINGREQ with a body", raw(0xc0, &[1]), v5, MALFORMED_PACKET),
     ];
-    for (what, bytes, version, expected) in cases {
-        assert_eq!(code(&bytes, version), Err(expected), "{what}");
+    for (case, bytes, version, expected) in cases {
+        assert_eq!(decode_or_code(&bytes, version), Err(expected), "{case}");
     }
 }
 
 #[test]
-fn a_length_over_the_limit_is_told_before_the_body_comes() {
+fn packets_over_the_limits_are_rejected_and_their_length_is_checked_before_the_body() {
     let mut buffer = BytesMut::from(&[0x30, 0xff, 0xff, 0xff, 0x7f][..]);
-    assert_eq!(decode(&mut buffer, Some(Version::V5), MOST).map_err(|e| e.code), Err(PACKET_TOO_LARGE));
+    assert_eq!(
+        decode(&mut buffer, Some(Version::V5), MAX_PACKET_BYTES).map_err(|error| error.code),
+        Err(PACKET_TOO_LARGE)
+    );
     let mut buffer = BytesMut::from(&[0x30, 0x80, 0x80][..]);
-    assert_eq!(decode(&mut buffer, Some(Version::V5), MOST), Ok(None), "the length is not there yet");
-    // Many small properties, many filters: bounded as well.
+    assert_eq!(
+        decode(&mut buffer, Some(Version::V5), MAX_PACKET_BYTES),
+        Ok(None),
+        "the length is incomplete"
+    );
+    // The numbers of properties and of filters are limited.
     let many = Properties((0..300).map(|_| Property::User(String::new(), String::new())).collect());
     let publish = Packet::Publish(Publish { topic: "a".into(), properties: many, ..Publish::default() });
-    assert_eq!(code(&bytes(&publish, Version::V5), Some(Version::V5)), Err(PACKET_TOO_LARGE));
+    assert_eq!(decode_or_code(&bytes(&publish, Version::V5), Some(Version::V5)), Err(PACKET_TOO_LARGE));
     let filters = vec!["a".to_owned(); 300];
     let list = Packet::Unsubscribe(Unsubscribe { packet: 1, filters, ..Unsubscribe::default() });
-    assert_eq!(code(&bytes(&list, Version::V5), Some(Version::V5)), Err(PACKET_TOO_LARGE));
+    assert_eq!(decode_or_code(&bytes(&list, Version::V5), Some(Version::V5)), Err(PACKET_TOO_LARGE));
 }
--- a/crates/wire/tests/mqtt_server.rs
+++ b/crates/wire/tests/mqtt_server.rs
@@ -1,4 +1,4 @@
-//! Whole conversations with the server's state machine, in memory.
+//! A server's side of MQTT connections, in memory.
 
 use bytes::{Bytes, BytesMut};
 use chalkgap_wire::mqtt::packet::*;
@@ -10,18 +10,21 @@
 const LIMITS: Limits =
     Limits { packet_bytes: 4096, receive_maximum: 3, topic_alias_maximum: 2, remembered_identifiers: 4 };
 
-fn send(s: &mut Server, version: Version, packet: &Packet) -> Result<(), u8> {
-    let mut out = BytesMut::new();
-    encode(packet, version, &mut out);
-    s.receive(&out).map_err(|e| e.code)
+/// Sends a packet to the server. Returns the reason code of the error that it causes.
+fn send(server: &mut Server, version: Version, packet: &Packet) -> Result<(), u8> {
+    let mut bytes = BytesMut::new();
+    encode(packet, version, &mut bytes);
+    server.receive(&bytes).map_err(|error| error.code)
 }
 
-fn said(s: &mut Server, version: Version) -> Vec<Packet> {
-    let (mut list, out) = (Vec::new(), s.output());
-    while let Some(p) = decode(out, Some(version), 1 << 20).expect("good packets") {
-        list.push(p);
+/// Takes the packets that the server has sent.
+fn sent(server: &mut Server, version: Version) -> Vec<Packet> {
+    let mut packets = Vec::new();
+    let output = server.output();
+    while let Some(packet) = decode(output, Some(version), 1 << 20).expect("valid packets") {
+        packets.push(packet);
     }
-    list
+    packets
 }
 
 fn connect(version: Version) -> Packet {
@@ -37,13 +40,14 @@
     }))
 }
 
+/// Returns a server whose client has been accepted.
 fn open(version: Version, session: Option<Session>) -> Server {
-    let mut s = Server::new(LIMITS);
-    send(&mut s, version, &connect(version)).unwrap();
-    assert!(matches!(s.event(), Some(Event::Connect(_))));
-    s.accept(session, Properties::default());
-    assert!(matches!(said(&mut s, version)[..], [Packet::ConnAck(ConnAck { code: 0, .. })]));
-    s
+    let mut server = Server::new(LIMITS);
+    send(&mut server, version, &connect(version)).unwrap();
+    assert!(matches!(server.event(), Some(Event::Connect(_))));
+    server.accept(session, Properties::default());
+    assert!(matches!(sent(&mut server, version)[..], [Packet::ConnAck(ConnAck { code: 0, .. })]));
+    server
 }
 
 fn publish(qos: QoS, packet: u16, dup: bool) -> Packet {
@@ -55,183 +59,204 @@
 }
 
 const V5: Version = Version::V5;
-const ONCE: QoS = QoS::ExactlyOnce;
+const EXACTLY_ONCE: QoS = QoS::ExactlyOnce;
 
 #[test]
-fn qos_2_is_handed_over_once_whatever_is_lost() {
-    let mut s = open(V5, None);
-    send(&mut s, V5, &publish(ONCE, 7, false)).unwrap();
-    assert!(matches!(s.event(), Some(Event::Publish(_))));
-    // Again before the answer, and after it: not handed over again.
-    send(&mut s, V5, &publish(ONCE, 7, true)).unwrap();
-    assert_eq!((s.event(), said(&mut s, V5)), (None, vec![]));
-    s.answer(ONCE, 7, SUCCESS, Properties::default());
-    assert_eq!(said(&mut s, V5), [Packet::PubRec(ack(7, 0))]);
-    s.answer(ONCE, 7, QUOTA_EXCEEDED, Properties::default());
-    assert_eq!(said(&mut s, V5), [], "one answer");
-    // The PUBREC was lost with the connection: the next one has the session.
-    let mut s = open(V5, Some(s.take_session()));
-    send(&mut s, V5, &publish(ONCE, 7, true)).unwrap();
-    assert_eq!((s.event(), said(&mut s, V5)), (None, vec![Packet::PubRec(ack(7, 0))]));
-    send(&mut s, V5, &Packet::PubRel(ack(7, 0))).unwrap();
-    send(&mut s, V5, &Packet::PubRel(ack(7, 0))).unwrap();
-    let told = [Packet::PubComp(ack(7, 0)), Packet::PubComp(ack(7, PACKET_IDENTIFIER_NOT_FOUND))];
-    assert_eq!(said(&mut s, V5), told);
-    send(&mut s, V5, &publish(ONCE, 7, false)).unwrap();
-    assert!(matches!(s.event(), Some(Event::Publish(_))), "the identifier is free");
+fn a_repeated_publish_of_qos_2_is_returned_once() {
+    let mut server = open(V5, None);
+    send(&mut server, V5, &publish(EXACTLY_ONCE, 7, false)).unwrap();
+    assert!(matches!(server.event(), Some(Event::Publish(_))));
+    // A repetition before or after the answer is not returned as an event.
+    send(&mut server, V5, &publish(EXACTLY_ONCE, 7, true)).unwrap();
+    assert_eq!((server.event(), sent(&mut server, V5)), (None, vec![]));
+    server.answer(EXACTLY_ONCE, 7, SUCCESS, Properties::default());
+    assert_eq!(sent(&mut server, V5), [Packet::PubRec(ack(7, 0))]);
+    server.answer(EXACTLY_ONCE, 7, QUOTA_EXCEEDED, Properties::default());
+    assert_eq!(sent(&mut server, V5), [], "a second answer is not sent");
+    // The PUBREC was lost with the connection. The next connection resumes the session.
+    let mut server = open(V5, Some(server.take_session()));
+    send(&mut server, V5, &publish(EXACTLY_ONCE, 7, true)).unwrap();
+    assert_eq!((server.event(), sent(&mut server, V5)), (None, vec![Packet::PubRec(ack(7, 0))]));
+    send(&mut server, V5, &Packet::PubRel(ack(7, 0))).unwrap();
+    send(&mut server, V5, &Packet::PubRel(ack(7, 0))).unwrap();
+    let expected = [Packet::PubComp(ack(7, 0)), Packet::PubComp(ack(7, PACKET_IDENTIFIER_NOT_FOUND))];
+    assert_eq!(sent(&mut server, V5), expected);
+    send(&mut server, V5, &publish(EXACTLY_ONCE, 7, false)).unwrap();
+    assert!(matches!(server.event(), Some(Event::Publish(_))), "the identifier can be used again");
 }
 
 #[test]
-fn a_refusal_that_was_lost_is_said_again_and_not_run() {
-    let mut s = open(V5, None);
-    send(&mut s, V5, &publish(ONCE, 7, false)).unwrap();
-    s.event().unwrap();
-    // The connection goes before the answer: that reaches the session.
-    let mut session = s.take_session();
+fn a_lost_rejection_is_sent_again_and_the_publish_is_not_returned_again() {
+    let mut server = open(V5, None);
+    send(&mut server, V5, &publish(EXACTLY_ONCE, 7, false)).unwrap();
+    server.event().unwrap();
+    // The connection closes before the answer, which is recorded in the session.
+    let mut session = server.take_session();
     assert_eq!(session.in_progress().collect::<Vec<_>>(), [7]);
     session.record_response(7, IMPLEMENTATION_SPECIFIC, Properties::default());
-    let mut s = open(V5, Some(session));
-    send(&mut s, V5, &publish(ONCE, 7, true)).unwrap();
-    let told = Packet::PubRec(ack(7, IMPLEMENTATION_SPECIFIC));
-    assert_eq!((s.event(), said(&mut s, V5)), (None, vec![told]));
-    // Without DUP it is another message.
-    send(&mut s, V5, &publish(ONCE, 7, false)).unwrap();
-    assert!(matches!(s.event(), Some(Event::Publish(_))));
-    // Another ingress knows nothing of it: it may have run, and is not run again.
+    let mut server = open(V5, Some(session));
+    send(&mut server, V5, &publish(EXACTLY_ONCE, 7, true)).unwrap();
+    let expected = Packet::PubRec(ack(7, IMPLEMENTATION_SPECIFIC));
+    assert_eq!((server.event(), sent(&mut server, V5)), (None, vec![expected]));
+    // A PUBLISH without DUP is a new message.
+    send(&mut server, V5, &publish(EXACTLY_ONCE, 7, false)).unwrap();
+    assert!(matches!(server.event(), Some(Event::Publish(_))));
+    // A session that does not know the identifier, such as on another ingress, reports a duplicate that may have run.
     let mut other = open(V5, None);
-    send(&mut other, V5, &publish(ONCE, 9, true)).unwrap();
+    send(&mut other, V5, &publish(EXACTLY_ONCE, 9, true)).unwrap();
     assert!(matches!(other.event(), Some(Event::UnknownDuplicate(_))));
-    // And over a restart what is known is kept.
-    let kept: Vec<_> = Session::restored([(7, 0), (8, QUOTA_EXCEEDED)]).responses().collect();
-    assert_eq!(kept, [(7, 0), (8, QUOTA_EXCEEDED)]);
+    // The answers are restored after a restart.
+    let restored: Vec<_> = Session::restored([(7, 0), (8, QUOTA_EXCEEDED)]).responses().collect();
+    assert_eq!(restored, [(7, 0), (8, QUOTA_EXCEEDED)]);
 }
 
 #[test]
-fn the_receive_maximum_is_kept_and_answers_make_room() {
-    let mut s = open(V5, None);
+fn the_receive_maximum_limits_unanswered_publishes() {
+    let mut server = open(V5, None);
     for n in 1..=3 {
-        send(&mut s, V5, &publish(QoS::AtLeastOnce, n, false)).unwrap();
+        send(&mut server, V5, &publish(QoS::AtLeastOnce, n, false)).unwrap();
     }
-    s.answer(QoS::AtLeastOnce, 2, SUCCESS, Properties::default());
-    assert_eq!(said(&mut s, V5), [Packet::PubAck(ack(2, 0))]);
-    send(&mut s, V5, &publish(ONCE, 4, false)).unwrap();
-    assert_eq!(s.unanswered(), 3);
-    assert_eq!(send(&mut s, V5, &publish(ONCE, 5, false)), Err(RECEIVE_MAXIMUM_EXCEEDED));
+    server.answer(QoS::AtLeastOnce, 2, SUCCESS, Properties::default());
+    assert_eq!(sent(&mut server, V5), [Packet::PubAck(ack(2, 0))]);
+    send(&mut server, V5, &publish(EXACTLY_ONCE, 4, false)).unwrap();
+    assert_eq!(server.unanswered(), 3);
+    assert_eq!(send(&mut server, V5, &publish(EXACTLY_ONCE, 5, false)), Err(RECEIVE_MAXIMUM_EXCEEDED));
     assert!(matches!(
-        said(&mut s, V5)[..],
+        sent(&mut server, V5)[..],
         [Packet::Disconnect(Reason { code: RECEIVE_MAXIMUM_EXCEEDED, .. })]
     ));
-    assert!(s.closed());
+    assert!(server.closed());
 }
 
 #[test]
-fn aliases_stand_for_topics_within_the_limit() {
-    let mut s = open(V5, None);
+fn topic_aliases_replace_topics_up_to_the_maximum() {
+    let mut server = open(V5, None);
     let with = |topic: &str, alias: u16| {
         let properties = Properties(vec![Property::TopicAlias(alias)]);
         Packet::Publish(Publish { topic: topic.into(), properties, ..Publish::default() })
     };
-    send(&mut s, V5, &with("a/b", 2)).unwrap();
-    send(&mut s, V5, &with("", 2)).unwrap();
+    send(&mut server, V5, &with("a/b", 2)).unwrap();
+    send(&mut server, V5, &with("", 2)).unwrap();
     for _ in 0..2 {
-        assert!(matches!(s.event(), Some(Event::Publish(p)) if p.topic == "a/b"));
+        assert!(matches!(server.event(), Some(Event::Publish(p)) if p.topic == "a/b"));
     }
-    assert_eq!(send(&mut s, V5, &with("", 1)), Err(PROTOCOL_ERROR));
-    for bad in [0, 3] {
-        assert_eq!(send(&mut open(V5, None), V5, &with("a", bad)), Err(TOPIC_ALIAS_INVALID));
+    assert_eq!(send(&mut server, V5, &with("", 1)), Err(PROTOCOL_ERROR));
+    for invalid in [0, 3] {
+        assert_eq!(send(&mut open(V5, None), V5, &with("a", invalid)), Err(TOPIC_ALIAS_INVALID));
     }
 }
 
 #[test]
-fn what_only_servers_send_and_second_connects_close() {
+fn packets_of_servers_and_a_second_connect_close_the_connection() {
     for (packet, code) in [
         (connect(V5), PROTOCOL_ERROR),
         (Packet::PingResp, PROTOCOL_ERROR),
         (Packet::ConnAck(ConnAck::default()), PROTOCOL_ERROR),
         (Packet::Auth(Reason::default()), PROTOCOL_ERROR),
     ] {
-        let mut s = open(V5, None);
-        assert_eq!(send(&mut s, V5, &packet), Err(code));
-        assert!(matches!(said(&mut s, V5)[..], [Packet::Disconnect(Reason { code: c, .. })] if c == code));
+        let mut server = open(V5, None);
+        assert_eq!(send(&mut server, V5, &packet), Err(code));
+        assert!(
+            matches!(sent(&mut server, V5)[..], [Packet::Disconnect(Reason { code: sent, .. })] if sent == code)
+        );
     }
 }
 
 #[test]
-fn the_older_version_hears_what_it_has_words_for() {
-    let v4 = Version::V311;
+fn reason_codes_are_mapped_for_v311() {
+    let v311 = Version::V311;
     for (code, expected) in [
         (BAD_USER_NAME_OR_PASSWORD, 4),
         (NOT_AUTHORIZED, 5),
         (SERVER_BUSY, 3),
         (CLIENT_IDENTIFIER_NOT_VALID, 2),
     ] {
-        let mut s = Server::new(LIMITS);
-        send(&mut s, v4, &connect(v4)).unwrap();
-        s.refuse(code, Properties::default());
-        assert_eq!(said(&mut s, v4), [Packet::ConnAck(ConnAck { code: expected, ..ConnAck::default() })]);
-        assert!(s.closed());
+        let mut server = Server::new(LIMITS);
+        send(&mut server, v311, &connect(v311)).unwrap();
+        server.refuse(code, Properties::default());
+        assert_eq!(
+            sent(&mut server, v311),
+            [Packet::ConnAck(ConnAck { code: expected, ..ConnAck::default() })]
+        );
+        assert!(server.closed());
     }
-    let mut s = open(v4, None);
-    s.subscribed(1, vec![0, TOPIC_FILTER_INVALID]);
-    s.disconnect(SERVER_UNAVAILABLE, Some("drain"));
+    let mut server = open(v311, None);
+    server.subscribed(1, vec![0, TOPIC_FILTER_INVALID]);
+    server.disconnect(SERVER_UNAVAILABLE, Some("drain"));
     assert!(
-        matches!(&said(&mut s, v4)[..], [Packet::SubAck(a)] if a.codes == [0, 0x80]),
-        "no DISCONNECT of a server"
+        matches!(&sent(&mut server, v311)[..], [Packet::SubAck(a)] if a.codes == [0, 0x80]),
+        "servers send no DISCONNECT in MQTT 3.1.1"
     );
 }
 
 #[test]
-fn a_client_is_not_sent_what_it_does_not_take() {
-    let mut s = Server::new(LIMITS);
-    let Packet::Connect(mut c) = connect(V5) else { unreachable!() };
-    c.properties.0.extend([Property::MaximumPacketSize(50), Property::RequestProblemInformation(0)]);
-    send(&mut s, V5, &Packet::Connect(c)).unwrap();
-    s.accept(None, Properties::default());
-    send(&mut s, V5, &publish(QoS::AtLeastOnce, 1, false)).unwrap();
-    s.answer(QoS::AtLeastOnce, 1, QUOTA_EXCEEDED, Properties(vec![Property::ReasonString("why".into())]));
-    assert_eq!(said(&mut s, V5)[1..], [Packet::PubAck(ack(1, QUOTA_EXCEEDED))], "no more than the code");
-    assert!(!s.publish_to("t", Bytes::from(vec![0; 60]), Properties::default()));
-    assert!(s.publish_to("t", Bytes::from(vec![0; 10]), Properties::default()));
-    assert_eq!(said(&mut s, V5).len(), 1);
+fn maximum_packet_size_and_request_problem_information_are_respected() {
+    let mut server = Server::new(LIMITS);
+    let Packet::Connect(mut packet) = connect(V5) else { unreachable!() };
+    packet.properties.0.extend([Property::MaximumPacketSize(50), Property::RequestProblemInformation(0)]);
+    send(&mut server, V5, &Packet::Connect(packet)).unwrap();
+    server.accept(None, Properties::default());
+    send(&mut server, V5, &publish(QoS::AtLeastOnce, 1, false)).unwrap();
+    server.answer(
+        QoS::AtLeastOnce,
+        1,
+        QUOTA_EXCEEDED,
+        Properties(vec![Property::ReasonString("why".into())]),
+    );
+    assert_eq!(
+        sent(&mut server, V5)[1..],
+        [Packet::PubAck(ack(1, QUOTA_EXCEEDED))],
+        "PUBACK without a reason string"
+    );
+    assert!(!server.publish_to("t", Bytes::from(vec![0; 60]), Properties::default()));
+    assert!(server.publish_to("t", Bytes::from(vec![0; 10]), Properties::default()));
+    assert_eq!(sent(&mut server, V5).len(), 1);
 }
 
 proptest! {
-    /// Any packets after CONNECT: at most one answer for each publish, and never more unanswered than allowed.
+    /// With arbitrary packets after CONNECT, each publish is answered at most once, and the number of unanswered
+    /// publishes stays within the receive maximum.
     #[test]
-    fn any_conversation(steps in proptest::collection::vec((0u8..6, 1u16..4, any::<bool>()), 0..60)) {
-        let mut s = open(V5, None);
-        let (mut handed, mut answers) = (0, 0);
-        for (what, id, dup) in steps {
-            said(&mut s, V5); // what was said again, or completes
-            let done = match what {
-                0 => send(&mut s, V5, &publish(ONCE, id, dup)),
-                1 => send(&mut s, V5, &publish(QoS::AtLeastOnce, id, dup)),
-                2 => send(&mut s, V5, &Packet::PubRel(ack(id, 0))),
-                3 => { s.answer(ONCE, id, if dup { SUCCESS } else { QUOTA_EXCEEDED }, Properties::default()); Ok(()) }
-                4 => { s.answer(QoS::AtLeastOnce, id, SUCCESS, Properties::default()); Ok(()) }
-                _ => send(&mut s, V5, &Packet::PingReq),
+    fn any_packets_after_connect(steps in proptest::collection::vec((0u8..6, 1u16..4, any::<bool>()), 0..60)) {
+        let mut server = open(V5, None);
+        let mut publishes = 0;
+        let mut answers = 0;
+        for (action, id, dup) in steps {
+            sent(&mut server, V5); // repeated PUBRECs and PUBCOMPs are not counted
+            let result = match action {
+                0 => send(&mut server, V5, &publish(EXACTLY_ONCE, id, dup)),
+                1 => send(&mut server, V5, &publish(QoS::AtLeastOnce, id, dup)),
+                2 => send(&mut server, V5, &Packet::PubRel(ack(id, 0))),
+                3 => {
+                    let code = if dup { SUCCESS } else { QUOTA_EXCEEDED };
+                    server.answer(EXACTLY_ONCE, id, code, Properties::default());
+                    Ok(())
+                }
+                4 => { server.answer(QoS::AtLeastOnce, id, SUCCESS, Properties::default()); Ok(()) }
+                _ => send(&mut server, V5, &Packet::PingReq),
             };
-            while let Some(e) = s.event() {
-                if matches!(e, Event::Publish(_) | Event::UnknownDuplicate(_)) {
-                    handed += 1;
+            while let Some(event) = server.event() {
+                if matches!(event, Event::Publish(_) | Event::UnknownDuplicate(_)) {
+                    publishes += 1;
                 }
             }
-            if matches!(what, 3 | 4) {
-                answers += said(&mut s, V5).len();
+            if matches!(action, 3 | 4) {
+                answers += sent(&mut server, V5).len();
             }
-            prop_assert!(s.unanswered() <= 3 && answers + s.unanswered() == handed);
-            if done.is_err() {
-                prop_assert!(s.closed());
+            prop_assert!(server.unanswered() <= 3 && answers + server.unanswered() == publishes);
+            if result.is_err() {
+                prop_assert!(server.closed());
                 break;
             }
         }
     }
 
+    /// Arbitrary bytes cause no panic, and an error closes the connection.
     #[test]
-    fn any_bytes(list in proptest::collection::vec(any::<u8>(), 0..300), opened in any::<bool>()) {
-        let mut s = if opened { open(V5, None) } else { Server::new(LIMITS) };
-        if s.receive(&list).is_err() {
-            prop_assert!(s.closed());
+    fn any_bytes(bytes in proptest::collection::vec(any::<u8>(), 0..300), accepted in any::<bool>()) {
+        let mut server = if accepted { open(V5, None) } else { Server::new(LIMITS) };
+        if server.receive(&bytes).is_err() {
+            prop_assert!(server.closed());
         }
     }
 }
--- a/crates/wire/tests/recorded_messages.rs
+++ b/crates/wire/tests/recorded_messages.rs
@@ -1,4 +1,4 @@
-//! Messages of every protocol are the bytes that earlier versions wrote, and are read back from them.
+//! Messages of every protocol are encoded to the recorded bytes of earlier versions, and decoded from them.
 
 use bytes::{Bytes, BytesMut};
 use chalkgap_wire::mqtt::packet::{
@@ -11,10 +11,10 @@
 #[path = "../../../tests/support/recorded.rs"]
 mod recorded;
 
-/// The bytes of a protobuf message, which must be read back from them.
+/// Encodes a protobuf message and checks that it is decoded unchanged.
 fn protobuf<M: Message + Default + PartialEq>(message: M) -> Vec<u8> {
     let bytes = message.encode_to_vec();
-    assert!(M::decode(&bytes[..]).expect("it is read") == message, "not read back as it was");
+    assert!(M::decode(&bytes[..]).expect("the message is decoded") == message, "the decoded message differs");
     bytes
 }
 
@@ -138,7 +138,7 @@
     recorded::check_text("load_reports.txt", &text);
 }
 
-#[expect(clippy::too_many_lines, reason = "one scenario in its order")]
+#[expect(clippy::too_many_lines, reason = "a list of packets")]
 fn mqtt_packets(version: Version) -> Vec<(&'static str, Packet)> {
     let v5 = version == Version::V5;
     let with = |list: Vec<Property>| if v5 { Properties(list) } else { Properties::default() };
@@ -229,9 +229,9 @@
             let mut out = BytesMut::new();
             encode(packet, version, &mut out);
             recorded.push((*name, out.to_vec()));
-            let back = decode(&mut out, Some(version), 1 << 20).expect("it is read");
-            assert_eq!(back.as_ref(), Some(packet), "{name}");
-            assert!(out.is_empty(), "{name}: {} bytes were left", out.len());
+            let decoded = decode(&mut out, Some(version), 1 << 20).expect("the packet is decoded");
+            assert_eq!(decoded.as_ref(), Some(packet), "{name}");
+            assert!(out.is_empty(), "{name}: {} bytes left in the buffer", out.len());
         }
         recorded::check_messages(fixture, &recorded);
     }
