--- a/crates/wire/src/grpc.rs
+++ b/crates/wire/src/grpc.rs
@@ -93,7 +93,7 @@
     }
 }
 
-/// Percent-encodes a status message: all bytes but printable ASCII, and `%`, become `%XX`.
+/// Percent-encodes a status message: every byte that is not printable ASCII, and `%`, becomes `%XX`.
 pub fn percent_encode(text: &str) -> Bytes {
     let mut out = Vec::with_capacity(text.len());
     for b in text.bytes() {
