--- a/crates/transport/src/unary/client.rs
+++ b/crates/transport/src/unary/client.rs
@@ -58,7 +58,7 @@
             }
         }
         // The request is sent only after the server's SETTINGS: if they do not arrive, the call has certainly not run.
-        if !call.opened && pipe.conn.greeted() && pipe.conn.can_open().is_ok() {
+        if !call.opened && pipe.conn.settings_received() && pipe.conn.can_open().is_ok() {
             open_call(&mut pipe.conn, to, path, message.clone())?;
             call.opened = true;
         }
--- a/crates/wire/src/http2/connection/receiving.rs
+++ b/crates/wire/src/http2/connection/receiving.rs
@@ -1,9 +1,10 @@
-//! Frames from the peer: the preface, the dispatch by type, and the frames that manage the connection (RFC 9113,
+//! Receives the preface and frames: dispatches frames by type and handles those that control the connection (RFC 9113,
 //! sections 6.3 to 6.9).
 
 use super::super::frame::{
-    write_goaway, write_head, write_u32, Code, ConnError, Head, ACK, CONTINUATION, DATA, GOAWAY, HEAD,
-    HEADERS, PING, PREFACE, PRIORITY, PUSH_PROMISE, RST_STREAM, SETTINGS, WINDOW_UPDATE,
+    write_frame_header, write_goaway, write_u32, Code, ConnError, FrameHeader, ACK, CONTINUATION, DATA,
+    FRAME_HEADER_BYTES, GOAWAY, HEADERS, PING, PREFACE, PRIORITY, PUSH_PROMISE, RST_STREAM, SETTINGS,
+    WINDOW_UPDATE,
 };
 use super::{
     protocol_error, Connection, Event, DRAIN_PING, MAX_FRAME_BYTES, MAX_WINDOW, SETTINGS_ENABLE_PUSH,
@@ -12,17 +13,17 @@
 };
 use bytes::{Buf, BufMut, Bytes};
 
-/// What a control frame takes from the allowance.
+/// Cost of a control frame in the allowance.
 const CONTROL_FRAME_COST: f64 = 1.0;
-/// What a late frame on a stream that was reset takes.
+/// Cost of a frame that arrives on a stream after its reset.
 pub(super) const LATE_FRAME_COST: f64 = 0.1;
-/// SETTINGS cost more the longer they are: another unit for a hundred settings.
+/// Payload bytes of SETTINGS that cost one more token, which are one hundred settings.
 const SETTINGS_BYTES_PER_COST: f64 = 600.0;
 const SETTING_BYTES: usize = 6;
 const PING_BYTES: usize = 8;
 const MIN_GOAWAY_BYTES: usize = 8;
 const PRIORITY_BYTES: usize = 5;
-/// Frame sizes that a peer may announce (section 4.2).
+/// Valid values of SETTINGS_MAX_FRAME_SIZE (section 6.5.2).
 const FRAME_SIZES: std::ops::RangeInclusive<u32> = 16_384..=16_777_215;
 
 fn u32_at(payload: &[u8], at: usize) -> u32 {
@@ -30,11 +31,12 @@
 }
 
 impl Connection {
-    /// Takes bytes of the peer at the time `now` (microseconds of any clock that does not go back).
+    /// Handles bytes received at the time `now`, in microseconds of a monotonic clock.
     ///
     /// # Errors
-    /// The peer broke a rule of the connection, or used up its allowance: the GOAWAY is in the output, the connection
-    /// is to be closed once that is written, and each open stream has come as [`Event::Reset`].
+    /// If the peer violated the protocol or exceeded the allowance for control frames. In this case, the output
+    /// contains a GOAWAY, after which the caller has to close the connection, and [`Event::Reset`] is returned for each
+    /// open stream.
     pub fn receive(&mut self, now: u64, bytes: &[u8]) -> Result<(), ConnError> {
         if let Some(error) = self.error {
             return Err(error);
@@ -51,17 +53,17 @@
 
     fn read_input(&mut self) -> Result<(), ConnError> {
         self.read_preface()?;
-        while self.preface_left == 0 && self.input.len() >= HEAD {
-            let head = Head::read(&self.input);
-            if head.len > MAX_FRAME_BYTES {
+        while self.preface_left == 0 && self.input.len() >= FRAME_HEADER_BYTES {
+            let header = FrameHeader::read(&self.input);
+            if header.len > MAX_FRAME_BYTES {
                 return Err(ConnError::new(Code::FRAME_SIZE_ERROR, "frame of more than 16,384 bytes"));
             }
-            if self.input.len() < HEAD + head.len {
+            if self.input.len() < FRAME_HEADER_BYTES + header.len {
                 break;
             }
-            self.input.advance(HEAD);
-            let payload = self.input.split_to(head.len).freeze();
-            self.on_frame(head, payload)?;
+            self.input.advance(FRAME_HEADER_BYTES);
+            let payload = self.input.split_to(header.len).freeze();
+            self.on_frame(header, payload)?;
         }
         Ok(())
     }
@@ -77,95 +79,95 @@
         Ok(())
     }
 
-    /// Draws on the allowance for frames that cost the peer nothing.
-    pub(super) fn spend(&mut self, cost: f64, what: &'static str) -> Result<(), ConnError> {
-        self.allowance.spend(self.now, cost, what)
+    /// Takes `cost` from the allowance for control frames.
+    pub(super) fn spend(&mut self, cost: f64, reason: &'static str) -> Result<(), ConnError> {
+        self.allowance.spend(self.now, cost, reason)
     }
 
-    fn on_frame(&mut self, head: Head, payload: Bytes) -> Result<(), ConnError> {
-        if !self.is_ready && (head.kind != SETTINGS || head.has(ACK)) {
+    fn on_frame(&mut self, header: FrameHeader, payload: Bytes) -> Result<(), ConnError> {
+        if !self.is_ready && (header.kind != SETTINGS || header.has(ACK)) {
             return Err(protocol_error("expected SETTINGS as the first frame"));
         }
         if let Some(block) = &self.header_block {
-            if head.kind != CONTINUATION || head.stream != block.head.stream {
+            if header.kind != CONTINUATION || header.stream != block.header.stream {
                 return Err(protocol_error("expected the CONTINUATION of an open header block"));
             }
         }
-        match head.kind {
-            DATA => self.on_data(head, payload),
-            HEADERS => self.on_headers(head, payload),
-            PRIORITY => self.on_priority(head),
-            RST_STREAM => self.on_reset(head, &payload),
-            SETTINGS => self.on_settings(head, &payload),
+        match header.kind {
+            DATA => self.on_data(header, payload),
+            HEADERS => self.on_headers(header, payload),
+            PRIORITY => self.on_priority(header),
+            RST_STREAM => self.on_reset(header, &payload),
+            SETTINGS => self.on_settings(header, &payload),
             PUSH_PROMISE => Err(protocol_error("PUSH_PROMISE where none is allowed")),
-            PING => self.on_ping(head, &payload),
-            GOAWAY => self.on_goaway(head, &payload),
-            WINDOW_UPDATE => self.on_window_update(head, &payload),
-            CONTINUATION => self.on_continuation(head, &payload),
-            // Passed over (section 5.5).
+            PING => self.on_ping(header, &payload),
+            GOAWAY => self.on_goaway(header, &payload),
+            WINDOW_UPDATE => self.on_window_update(header, &payload),
+            CONTINUATION => self.on_continuation(header, &payload),
+            // Frames of unknown types are ignored (section 5.5).
             _ => self.spend(CONTROL_FRAME_COST, "too many frames of unknown types"),
         }
     }
 
-    /// Ends a stream for an error of the peer (section 5.4.2).
+    /// Resets a stream because of an error of the peer (section 5.4.2).
     pub(super) fn stream_error(&mut self, id: u32, code: Code) -> Result<(), ConnError> {
         self.spend(CONTROL_FRAME_COST, "too many broken streams")?;
         write_u32(&mut self.output, RST_STREAM, id, code.0);
         self.remember_reset(id);
         if self.streams.remove(&id).is_some() {
-            self.events.push_back(Event::Reset { stream: id, code, ours: true });
+            self.events.push_back(Event::Reset { stream: id, code, local: true });
         }
         Ok(())
     }
 
-    fn on_priority(&mut self, head: Head) -> Result<(), ConnError> {
-        if head.stream == 0 {
+    fn on_priority(&mut self, header: FrameHeader) -> Result<(), ConnError> {
+        if header.stream == 0 {
             return Err(protocol_error("PRIORITY on stream 0"));
         }
         self.spend(CONTROL_FRAME_COST, "too many PRIORITY frames")?;
-        if head.len != PRIORITY_BYTES {
-            return self.stream_error(head.stream, Code::FRAME_SIZE_ERROR);
+        if header.len != PRIORITY_BYTES {
+            return self.stream_error(header.stream, Code::FRAME_SIZE_ERROR);
         }
         Ok(())
     }
 
-    fn on_reset(&mut self, head: Head, payload: &[u8]) -> Result<(), ConnError> {
-        if head.len != 4 {
+    fn on_reset(&mut self, header: FrameHeader, payload: &[u8]) -> Result<(), ConnError> {
+        if header.len != 4 {
             return Err(ConnError::new(Code::FRAME_SIZE_ERROR, "RST_STREAM of other than four bytes"));
         }
-        if head.stream == 0 || self.is_idle(head.stream) {
+        if header.stream == 0 || self.is_idle(header.stream) {
             return Err(protocol_error("RST_STREAM on a stream that is not open"));
         }
         let code = Code(u32_at(payload, 0));
-        // Opening and resetting at once is work for this side and none for the peer.
+        // Streams that are opened and reset at once cause work for this side only (section 10.5).
         self.spend(CONTROL_FRAME_COST, "too many streams reset")?;
-        if self.streams.remove(&head.stream).is_some() {
-            self.remember_reset(head.stream);
-            self.events.push_back(Event::Reset { stream: head.stream, code, ours: false });
+        if self.streams.remove(&header.stream).is_some() {
+            self.remember_reset(header.stream);
+            self.events.push_back(Event::Reset { stream: header.stream, code, local: false });
         }
         Ok(())
     }
 
-    fn on_settings(&mut self, head: Head, payload: &[u8]) -> Result<(), ConnError> {
-        if head.stream != 0 {
+    fn on_settings(&mut self, header: FrameHeader, payload: &[u8]) -> Result<(), ConnError> {
+        if header.stream != 0 {
             return Err(protocol_error("SETTINGS on a stream"));
         }
-        if head.has(ACK) {
-            if head.len != 0 {
+        if header.has(ACK) {
+            if header.len != 0 {
                 return Err(ConnError::new(Code::FRAME_SIZE_ERROR, "SETTINGS acknowledged with a payload"));
             }
             return self.spend(CONTROL_FRAME_COST, "too many SETTINGS");
         }
-        if head.len % SETTING_BYTES != 0 {
+        if header.len % SETTING_BYTES != 0 {
             return Err(ConnError::new(Code::FRAME_SIZE_ERROR, "SETTINGS of other than six bytes each"));
         }
-        let cost = CONTROL_FRAME_COST + head.len as f64 / SETTINGS_BYTES_PER_COST;
+        let cost = CONTROL_FRAME_COST + header.len as f64 / SETTINGS_BYTES_PER_COST;
         self.spend(cost, "too many SETTINGS")?;
         for setting in payload.chunks_exact(SETTING_BYTES) {
             let id = u16::from_be_bytes([setting[0], setting[1]]);
             self.apply_setting(id, u32_at(setting, 2))?;
         }
-        write_head(&mut self.output, 0, SETTINGS, ACK, 0);
+        write_frame_header(&mut self.output, 0, SETTINGS, ACK, 0);
         if !self.is_ready {
             self.is_ready = true;
             self.events.push_back(Event::Ready);
@@ -192,7 +194,7 @@
         Ok(())
     }
 
-    /// Changes the windows of all streams by as much as the initial one changes (section 6.9.2).
+    /// Adjusts the send windows of all streams by the change of the initial window (section 6.9.2).
     fn apply_initial_window(&mut self, value: u32) -> Result<(), ConnError> {
         if i64::from(value) > MAX_WINDOW {
             return Err(ConnError::new(Code::FLOW_CONTROL_ERROR, "initial window over 2^31-1"));
@@ -212,19 +214,19 @@
         Ok(())
     }
 
-    fn on_ping(&mut self, head: Head, payload: &[u8]) -> Result<(), ConnError> {
-        if head.stream != 0 {
+    fn on_ping(&mut self, header: FrameHeader, payload: &[u8]) -> Result<(), ConnError> {
+        if header.stream != 0 {
             return Err(protocol_error("PING on a stream"));
         }
-        if head.len != PING_BYTES {
+        if header.len != PING_BYTES {
             return Err(ConnError::new(Code::FRAME_SIZE_ERROR, "PING of other than eight bytes"));
         }
         self.spend(CONTROL_FRAME_COST, "too many PINGs")?;
-        if !head.has(ACK) {
-            write_head(&mut self.output, PING_BYTES, PING, ACK, 0);
+        if !header.has(ACK) {
+            write_frame_header(&mut self.output, PING_BYTES, PING, ACK, 0);
             self.output.put_slice(payload);
         } else if *payload == DRAIN_PING.to_be_bytes() && self.goaway_sent.is_some() && !self.is_draining {
-            // The client read the first GOAWAY before this: streams that it opens from here on never run.
+            // The client has received the first GOAWAY: streams that it still opens are not processed.
             self.goaway_sent = Some(self.last_peer_stream);
             self.is_draining = true;
             write_goaway(&mut self.output, self.last_peer_stream, Code::NO_ERROR, b"drain");
@@ -234,11 +236,11 @@
         Ok(())
     }
 
-    fn on_goaway(&mut self, head: Head, payload: &[u8]) -> Result<(), ConnError> {
-        if head.stream != 0 {
+    fn on_goaway(&mut self, header: FrameHeader, payload: &[u8]) -> Result<(), ConnError> {
+        if header.stream != 0 {
             return Err(protocol_error("GOAWAY on a stream"));
         }
-        if head.len < MIN_GOAWAY_BYTES {
+        if header.len < MIN_GOAWAY_BYTES {
             return Err(ConnError::new(Code::FRAME_SIZE_ERROR, "GOAWAY of less than eight bytes"));
         }
         self.spend(CONTROL_FRAME_COST, "too many GOAWAYs")?;
@@ -250,18 +252,18 @@
             let unprocessed: Vec<u32> = unprocessed.map(|(id, _)| *id).collect();
             for stream in unprocessed {
                 self.streams.remove(&stream);
-                self.events.push_back(Event::Reset { stream, code: Code::REFUSED_STREAM, ours: false });
+                self.events.push_back(Event::Reset { stream, code: Code::REFUSED_STREAM, local: false });
             }
         }
         self.events.push_back(Event::GoAway(code));
         Ok(())
     }
 
-    fn on_window_update(&mut self, head: Head, payload: &[u8]) -> Result<(), ConnError> {
-        if head.len != 4 {
+    fn on_window_update(&mut self, header: FrameHeader, payload: &[u8]) -> Result<(), ConnError> {
+        if header.len != 4 {
             return Err(ConnError::new(Code::FRAME_SIZE_ERROR, "WINDOW_UPDATE of other than four bytes"));
         }
-        let id = head.stream;
+        let id = header.stream;
         let increment = i64::from(u32_at(payload, 0)) & MAX_WINDOW;
         if id == 0 {
             self.send_window += increment;
