--- a/crates/ledger/src/reconcile.rs
+++ b/crates/ledger/src/reconcile.rs
@@ -1,5 +1,6 @@
-//! Anti-entropy with one other ingress: asks which entries it has, then fetches those that are missing here, in parts
-//! and at a bounded rate. Free of I/O and clock. Nothing is pushed: the one who fetches decides how much comes.
+//! Anti-entropy with one other ingress, the peer: asks which entries the peer has, then fetches those that are missing
+//! here, in parts and at a bounded rate. Entries are only fetched, never pushed, so that the receiver limits the rate. Does
+//! no I/O and reads no clock.
 
 use crate::entry::{Entry, EntryId, IncarnationId, Range};
 use crate::sequence_ranges::SequenceRanges;
@@ -10,71 +11,72 @@
 /// Intervals and limits of a [`Reconciler`].
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Config {
-    /// How often the peer is asked which entries it has.
+    /// Interval at which the peer is asked which entries it has.
     pub list_interval: Micros,
-    /// Entries a second that are fetched from the peer.
+    /// Maximum number of entries per second that are fetched from the peer.
     pub max_entries_per_second: f64,
-    /// Entries of one fetch.
+    /// Maximum number of entries per fetch.
     pub max_entries_per_fetch: u64,
-    /// Ranges that the peer may list; more is an error.
+    /// Maximum number of ranges that the peer may list.
     pub max_ranges: usize,
 }
 
-/// How long to wait for more allowance while entries are missing.
+/// Delay before the allowance is checked again while entries are missing.
 const FETCH_RETRY_MICROS: Micros = 100_000;
-/// Fetches a second while many entries are missing: more and smaller ones are not worth their calls.
+/// Maximum number of fetches per second while many entries are missing, to avoid many calls for few entries each.
 const MAX_FETCHES_PER_SECOND: f64 = 10.0;
 
 /// A request to the peer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PeerRequest {
-    /// Which entries it has.
+    /// Asks which entries the peer has.
     List,
-    /// These entries.
+    /// Asks for the entries in these ranges.
     Fetch(Vec<Range>),
 }
 
-/// What a [`Reconciler`] does next.
+/// What the caller of a [`Reconciler`] does next.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum NextAction {
-    /// Send a request.
+    /// Sends a request to the peer.
     Send(PeerRequest),
-    /// Nothing before this time.
+    /// Waits until this time, in microseconds since 1970.
     WaitUntil(Micros),
 }
 
 /// Why a peer's answer is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum PeerError {
-    /// It lists more ranges than are allowed.
-    #[error("it tells of {0} ranges")]
+    /// The peer lists more ranges than [`Config::max_ranges`].
+    #[error("the peer lists too many ranges: {0}")]
     TooManyRanges(usize),
-    /// A range (its first and last number, its ingress) is invalid.
-    #[error("a range from {0} to {1} of ingress {2}")]
+    /// A range (first number, last number, ingress) is invalid.
+    #[error("the peer lists an invalid range: {0} to {1} of ingress {2}")]
     InvalidRange(u64, u64, u32),
-    /// An entry came that was not requested.
-    #[error("entry {} of ingress {} came unasked", .0.number, .0.ingress)]
+    /// The peer returned an entry that was not requested.
+    #[error("the peer returned entry {} of ingress {}, which was not requested", .0.number, .0.ingress)]
     Unrequested(EntryId),
-    /// It lists an entry (its number) of this very incarnation that was never written here (the last number that was).
-    #[error("it has entry {0} of this start, and only {1} were written")]
+    /// The peer lists an entry (number) of the local incarnation beyond the last one that was written (its number).
+    #[error("the peer lists entry {0} of the local incarnation, but the last one written is {1}")]
     NeverWritten(u64, u64),
 }
 
-/// Reconciles with one other ingress.
+/// Fetches missing entries from one other ingress.
 pub struct Reconciler {
     own: IncarnationId,
     config: Config,
-    /// What the peer has, by its last list.
+    /// The entries that the peer has, according to its last list.
     listed: BTreeMap<IncarnationId, SequenceRanges>,
     next_list_at: Micros,
-    /// Entries that may be fetched now.
+    /// Number of entries that may be fetched now.
     allowance: f64,
+    /// When the allowance was last refilled.
     allowance_at: Micros,
     requested: Vec<Range>,
 }
 
 impl Reconciler {
-    /// For the incarnation `own` of this ingress.
+    /// Creates a reconciler for the local incarnation `own`, whose entries are never fetched.
     pub fn new(own: IncarnationId, config: Config) -> Self {
         Reconciler {
             own,
@@ -87,7 +89,7 @@
         }
     }
 
-    /// What to do now.
+    /// Returns what the caller does next.
     pub fn next_action(&mut self, now: Micros, totals: &UsageTotals) -> NextAction {
         self.refill(now);
         let (missing, any_missing) = self.missing_in(totals);
@@ -105,6 +107,7 @@
         })
     }
 
+    /// Refills the allowance, up to the entries of one second.
     fn refill(&mut self, now: Micros) {
         let elapsed_seconds = now.saturating_sub(self.allowance_at) as f64 / 1e6;
         let rate = self.config.max_entries_per_second;
@@ -112,13 +115,13 @@
         self.allowance = (self.allowance + elapsed_seconds * rate).min(rate.max(1.0));
     }
 
-    /// The smallest allowance that is used for a fetch.
+    /// Returns the smallest allowance with which a fetch is sent.
     fn min_fetch(&self) -> f64 {
-        let worthwhile = self.config.max_entries_per_second / MAX_FETCHES_PER_SECOND;
-        (self.config.max_entries_per_fetch as f64).min(worthwhile).max(1.0)
+        let entries_per_fetch = self.config.max_entries_per_second / MAX_FETCHES_PER_SECOND;
+        (self.config.max_entries_per_fetch as f64).min(entries_per_fetch).max(1.0)
     }
 
-    /// Ranges to fetch, as far as limit and allowance permit, and whether anything is missing at all.
+    /// Returns the ranges to fetch, within the limit of a fetch and the allowance, and whether any entry is missing.
     fn missing_in(&self, totals: &UsageTotals) -> (Vec<Range>, bool) {
         let mut remaining = self.config.max_entries_per_fetch.min(self.allowance as u64);
         let mut ranges = Vec::new();
@@ -136,10 +139,11 @@
         (ranges, any_missing)
     }
 
-    /// The peer has listed which entries it has. `last_written` is the last number of this incarnation.
+    /// Handles the peer's list of the entries that it has. `last_written` is the last number written in the local
+    /// incarnation.
     ///
     /// # Errors
-    /// See [`PeerError`]; nothing of the list is used then.
+    /// [`PeerError::TooManyRanges`], [`PeerError::InvalidRange`] or [`PeerError::NeverWritten`]; the list is then ignored.
     pub fn listed(&mut self, ranges: &[Range], last_written: u64) -> Result<(), PeerError> {
         if ranges.len() > self.config.max_ranges {
             return Err(PeerError::TooManyRanges(ranges.len()));
@@ -156,10 +160,10 @@
         Ok(())
     }
 
-    /// The peer has returned entries for the last fetch. Those that it left out are fetched again later.
+    /// Handles the entries that the peer returned for the last fetch. Entries that it left out are fetched again later.
     ///
     /// # Errors
-    /// See [`PeerError`]; none of the entries may be used then.
+    /// [`PeerError::Unrequested`]; none of the entries may be used then.
     pub fn fetched(&mut self, entries: &[Entry]) -> Result<(), PeerError> {
         for entry in entries {
             if !self.requested.iter().any(|range| range.contains(entry.id)) {
@@ -168,12 +172,13 @@
         }
         self.allowance -= entries.len() as f64;
         if entries.is_empty() {
-            self.listed.clear(); // it does not give what it has listed: ask for a new list first
+            self.listed.clear(); // the peer returned none of the entries that it had listed: ask for a new list first
         }
         Ok(())
     }
 
-    /// The peer did not answer, or its answer was rejected: it is left alone until the next list.
+    /// Handles a request that the peer did not answer, or whose answer was rejected: nothing is requested before the next
+    /// list is due.
     pub fn failed(&mut self, now: Micros) {
         self.listed.clear();
         self.next_list_at = now + self.config.list_interval;
--- a/crates/ledger/src/recorder/mod.rs
+++ b/crates/ledger/src/recorder/mod.rs
@@ -1,8 +1,8 @@
-//! What an ingress records of its own requests: whether a request can be recorded at all, which entries are written and
-//! when, when a period is closed. Free of I/O and clock.
+//! Records the requests of one ingress: decides whether a request can be recorded, which entries are written, and when a
+//! billing period is closed. Does no I/O and reads no clock.
 //!
-//! An entry is *written* when the recorder makes it and *durable* when the disk has it; a request goes to a node only
-//! after its open entry is durable. Entries become durable in the order of their numbers.
+//! An entry is *written* when the recorder creates it and *durable* once it is synced to the disk. A request is sent to a
+//! node only after its open entry is durable. Entries become durable in the order of their sequence numbers.
 
 mod recovery;
 mod usage_lookup;
@@ -21,85 +21,86 @@
 /// Limits and timeouts of a [`Recorder`].
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Config {
-    /// Entries that may wait for the disk; with more, requests are rejected.
+    /// Maximum number of entries of requests that wait to become durable. Requests are rejected while as many wait.
     pub max_waiting: usize,
-    /// Requests are rejected while an entry has waited longer than this for the disk.
+    /// Requests are rejected while an entry has waited longer than this to become durable.
     pub slow_disk_after: Micros,
-    /// After how long a rejected client may try again.
+    /// Delay after which the client of a rejected request may retry.
     pub retry_after: Micros,
-    /// After a disk failure requests are served without being recorded; otherwise they are rejected.
+    /// Whether requests are served without being recorded after a disk failure. If false, they are rejected.
     pub serve_unrecorded: bool,
-    /// How long nodes are asked about a request before its end is presumed.
+    /// How long nodes are asked about a request before its outcome is presumed.
     pub lookup_timeout: Micros,
-    /// How long nodes are still asked after that, for a correction.
+    /// How long nodes are still asked after the outcome was presumed; an answer in this time becomes a correction.
     pub correction_window: Micros,
-    /// How long to wait before the same node is asked again.
+    /// Minimum time between two lookups at the same node.
     pub lookup_interval: Micros,
-    /// Unsettled requests that are remembered; beyond these, the oldest are presumed and no longer asked about.
+    /// Maximum number of requests with an unknown outcome. Beyond it, the outcomes of the oldest requests are presumed, and
+    /// nodes are no longer asked about them.
     pub max_unsettled: usize,
 }
 
-/// Whether a request that comes now can be recorded.
+/// Whether a new request can be recorded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reservation {
-    /// Its use will be in the ledger.
+    /// The request is recorded in the ledger.
     Recorded,
-    /// It is served without being recorded: the disk has failed, and the configuration wants requests served.
+    /// The request is served without being recorded, as the disk has failed and [`Config::serve_unrecorded`] is set.
     Unrecorded,
-    /// It is rejected.
+    /// The request is rejected.
     Rejected {
-        /// After how long the client may try again, in microseconds.
+        /// Delay after which the client may retry, in microseconds.
         retry_after: Micros,
     },
 }
 
-/// What is known of the end of a request.
+/// What the ingress knows about the outcome of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Settlement {
-    /// A node answered.
+    /// A node answered the request.
     Ran {
         /// The node.
         node: String,
     },
     /// No attempt reached a node.
     NeverRan,
-    /// Some nodes may have run it.
+    /// It is unknown whether the request ran.
     Unknown {
-        /// These nodes.
+        /// The nodes that may have run the request.
         nodes: BTreeSet<String>,
         /// The request's open entry.
         opened: Box<RequestOpened>,
     },
 }
 
-/// An open entry, for the one who had it written.
+/// Refers to the open entry of a request of this incarnation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EntryHandle {
-    /// Its number.
+    /// Sequence number of the entry.
     pub number: u64,
-    /// When it was written.
+    /// Time of the entry.
     pub at: Micros,
 }
 
 /// Counters of a [`Recorder`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Stats {
-    /// Requests whose end is not known.
+    /// Requests about which nodes are asked: the outcome is unknown or presumed.
     pub unsettled: usize,
-    /// Ends that were presumed since the start.
+    /// Outcomes that were presumed since the start.
     pub presumed: u64,
-    /// Presumed ends that became known later, since the start.
+    /// Presumed outcomes that became known later, since the start.
     pub corrected: u64,
 }
 
-/// An entry that the disk does not have yet.
+/// An entry that a request waits for and that is not durable yet.
 #[derive(Clone, Copy, Debug)]
 struct WaitingEntry {
     number: u64,
     written_at: Micros,
 }
 
-/// Writes the entries of one incarnation of an ingress.
+/// Creates the entries of one incarnation of an ingress.
 pub struct Recorder {
     ingress: u16,
     incarnation: u64,
@@ -107,13 +108,13 @@
     config: Config,
     last_number: u64,
     last_at: Micros,
-    /// Entries that were written and not yet taken for the disk.
+    /// Entries that were written and not yet taken by [`Recorder::take_pending`].
     pending: Vec<Entry>,
-    /// Entries that a request waits for.
+    /// Entries that are not durable yet and that a request waits for, in the order of their numbers.
     waiting: VecDeque<WaitingEntry>,
     durable_up_to: u64,
     disk_failed: bool,
-    /// No request is opened in this period or before.
+    /// No request is opened in this period or an earlier one.
     closed_period: u64,
     unsettled: UnsettledRequests,
     presumed: u64,
@@ -122,7 +123,7 @@
 }
 
 impl Recorder {
-    /// A recorder for a new incarnation; `recovery` has read the log of those before.
+    /// Creates the recorder of a new incarnation; `recovery` has read the log of the earlier ones.
     pub fn new(
         ingress: u16,
         incarnation: u64,
@@ -155,22 +156,22 @@
             IncarnationStarted { period, incarnation: previous.incarnation, number: previous.number };
         recorder.append(now, EntryBody::IncarnationStarted(started));
         if let Some(closed) = period.checked_sub(1) {
-            // Earlier incarnations opened their requests in this period or before; no more are opened before it.
+            // Earlier incarnations opened their requests in `period` or before. From now on none is opened before `period`.
             recorder.append(now, EntryBody::PeriodClosed(PeriodClosed { period: closed }));
         }
         recorder.look_up_recovered(now);
         recorder
     }
 
-    /// Its incarnation.
+    /// Returns the incarnation.
     pub fn incarnation(&self) -> u64 {
         self.incarnation
     }
 
-    /// Writes an entry; returns its number. After a disk failure the entry is dropped.
+    /// Writes an entry and returns its sequence number. After a disk failure the entry is dropped.
     pub fn append(&mut self, now: Micros, body: EntryBody) -> u64 {
         self.last_number += 1;
-        // Never decreases, so that no entry is added to a period that was closed.
+        // The time never decreases, so that no entry is added to a closed period.
         self.last_at = self.last_at.max(now);
         let id = EntryId { ingress: self.ingress, incarnation: self.incarnation, number: self.last_number };
         if !self.disk_failed {
@@ -179,7 +180,7 @@
         self.last_number
     }
 
-    /// Whether a request that comes now can be recorded; decided before it is admitted.
+    /// Returns whether a new request can be recorded. Called before the request is admitted.
     pub fn reserve(&self, now: Micros) -> Reservation {
         let retry_after = self.config.retry_after;
         if self.disk_failed {
@@ -196,14 +197,15 @@
         Reservation::Recorded
     }
 
-    /// Writes a request's open entry; the request may be sent when it is durable. `None` after a disk failure.
+    /// Writes the open entry of a request; the request may be sent once the entry is durable. Returns `None` after a disk
+    /// failure.
     pub fn open_request(&mut self, now: Micros, opened: RequestOpened) -> Option<EntryHandle> {
         let number = self.append_and_wait(now, EntryBody::RequestOpened(opened))?;
         Some(EntryHandle { number, at: self.last_at })
     }
 
-    /// Writes that the open request with the entry number `open` goes to one more node; it may be sent when the returned
-    /// number is durable. `None` after a disk failure.
+    /// Writes that a request is about to be sent to another node; `open` is the number of its open entry. The attempt may be
+    /// sent once the entry with the returned number is durable. Returns `None` after a disk failure.
     pub fn add_attempt(&mut self, now: Micros, open: u64, node: String) -> Option<u64> {
         self.append_and_wait(now, EntryBody::AttemptAdded(AttemptAdded { open, node }))
     }
@@ -217,7 +219,7 @@
         Some(number)
     }
 
-    /// Records the end of a request of this incarnation. Where it is unknown, the nodes are asked.
+    /// Records the outcome of a request of this incarnation. If it is unknown, the nodes are asked.
     pub fn settle(&mut self, now: Micros, handle: EntryHandle, units: u64, settlement: Settlement) {
         if self.disk_failed {
             return;
@@ -244,25 +246,25 @@
         self.append(now, EntryBody::RequestSettled(settled));
     }
 
-    /// Writes the presumed end of a request: nobody is billed for what cannot be shown to have run.
+    /// Writes that a request is presumed to have used no units: a request is billed only if a node confirms that it ran.
     fn write_presumed(&mut self, now: Micros, id: EntryId) {
         self.presumed += 1;
         let settled = RequestSettled { presumed: true, ..self.settled(id) };
         self.append(now, EntryBody::RequestSettled(settled));
     }
 
-    /// The end of a request that used nothing.
+    /// Returns the body that settles a request with 0 units.
     fn settled(&self, id: EntryId) -> RequestSettled {
         let incarnation = if id.incarnation == self.incarnation { 0 } else { id.incarnation };
         RequestSettled { open: id.number, incarnation, ..RequestSettled::default() }
     }
 
-    /// The entries to write to the disk, in order, as one group; more may be written before it is durable.
+    /// Takes the entries to commit to the disk, in order, as one group. More may be written before the group is durable.
     pub fn take_pending(&mut self) -> Vec<Entry> {
         std::mem::take(&mut self.pending)
     }
 
-    /// The disk has all entries up to this number.
+    /// Marks all entries up to this number as durable.
     pub fn mark_durable(&mut self, number: u64) {
         self.durable_up_to = self.durable_up_to.max(number);
         while self.waiting.front().is_some_and(|entry| entry.number <= self.durable_up_to) {
@@ -270,24 +272,25 @@
         }
     }
 
-    /// The number up to which the disk has all entries.
+    /// Returns the number up to which all entries are durable.
     pub fn durable_up_to(&self) -> u64 {
         self.durable_up_to
     }
 
-    /// A write or sync has failed: nothing more is written. Requests that wait for the disk are never sent.
+    /// Handles a failed write or sync: no more entries are written, and requests that wait for an entry are never sent.
     pub fn fail_disk(&mut self) {
         self.disk_failed = true;
         self.pending.clear();
         self.waiting.clear();
     }
 
-    /// Whether the disk has failed.
+    /// Returns whether the disk has failed.
     pub fn disk_failed(&self) -> bool {
         self.disk_failed
     }
 
-    /// To be called regularly: closes periods and presumes the ends of requests that no node could tell in time.
+    /// Closes periods that have ended, and presumes the outcomes of requests whose lookup has timed out. Must be called
+    /// regularly.
     pub fn tick(&mut self, now: Micros) {
         if self.disk_failed {
             return;
@@ -302,12 +305,12 @@
         self.presume_excess(now);
     }
 
-    /// The number of the last entry that was written.
+    /// Returns the number of the last entry that was written.
     pub fn last_number(&self) -> u64 {
         self.last_number
     }
 
-    /// Counters for telemetry.
+    /// Returns counters for telemetry.
     pub fn stats(&self) -> Stats {
         Stats { unsettled: self.unsettled.len(), presumed: self.presumed, corrected: self.corrected }
     }
--- a/crates/ledger/src/recorder/recovery.rs
+++ b/crates/ledger/src/recorder/recovery.rs
@@ -6,34 +6,34 @@
 use crate::Micros;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Collects from the log what a new incarnation must know: where the last one ended and which of its requests have no
-/// known end.
+/// Collects from the log what a new incarnation needs: the position at which the last incarnation ended, and the requests
+/// whose outcome is not known.
 #[derive(Default)]
 pub struct Recovery {
     ingress: u16,
     pub(super) last_position: LogPosition,
     pub(super) last_at: Micros,
-    /// Requests that were opened and have no end, or a presumed one.
+    /// Requests that were opened and are not settled, or whose outcome is presumed.
     unsettled: BTreeMap<EntryId, UnsettledRequest>,
-    /// Entries that came before the open entry of their request.
+    /// Entries that were added before the open entry of their request.
     early: BTreeMap<EntryId, Vec<Entry>>,
 }
 
 impl Recovery {
-    /// For the log of one ingress.
+    /// Creates a recovery for the log of one ingress.
     pub fn new(ingress: u16) -> Self {
         Recovery { ingress, ..Recovery::default() }
     }
 
-    /// Starts from a snapshot. Requests that are open in it are settled in the segments that follow it: a snapshot is made
-    /// of what has been exported.
+    /// Starts from a snapshot. Its open requests are settled in later segments, as a snapshot is made only of periods that
+    /// were exported.
     pub fn restore(&mut self, totals: &UsageTotals) {
         let (incarnation, number, last_at) = totals.latest(self.ingress);
         self.last_position = LogPosition { incarnation, number };
         self.last_at = last_at;
     }
 
-    /// Adds an entry of the log: of any ingress, in any order.
+    /// Adds an entry of the log. Entries may be added in any order; those of other ingresses are ignored.
     pub fn add(&mut self, entry: &Entry) {
         if entry.id.ingress != self.ingress {
             return;
@@ -44,7 +44,7 @@
             EntryBody::RequestOpened(opened) => {
                 let nodes = BTreeSet::from([opened.node.clone()]);
                 self.unsettled.insert(entry.id, UnsettledRequest::new(opened, entry.at, nodes, 0));
-                // Entries that were fetched back from other ingresses may be in any order.
+                // Entries that were fetched from other ingresses may be in any order.
                 for early in self.early.remove(&entry.id).unwrap_or_default() {
                     self.add(&early);
                 }
@@ -70,19 +70,19 @@
                 request.nodes.insert(attempt.node.clone());
             }
             EntryBody::RequestSettled(settled) if settled.presumed => request.presumed = true,
-            // Its end is known. Most requests of a log are such: only the others stay in memory.
+            // The outcome is known, as for most requests in a log. Only the other requests stay in memory.
             _ => {
                 self.unsettled.remove(&opened_by);
             }
         }
     }
 
-    /// The latest incarnation that is in the log; 0 for an empty log.
+    /// Returns the latest incarnation in the log; 0 for an empty log.
     pub fn latest_incarnation(&self) -> u64 {
         self.last_position.incarnation
     }
 
-    /// Takes out the requests found so far whose end is not known.
+    /// Takes the requests found so far whose outcome is unknown or presumed.
     pub(super) fn take_unsettled(&mut self) -> BTreeMap<EntryId, UnsettledRequest> {
         std::mem::take(&mut self.unsettled)
     }
--- a/crates/ledger/src/recorder/usage_lookup.rs
+++ b/crates/ledger/src/recorder/usage_lookup.rs
@@ -1,5 +1,5 @@
-//! Requests whose end was not seen: nodes are asked whether they ran. After a timeout the end is presumed; an answer that
-//! comes later becomes a correction.
+//! Requests whose outcome the ingress did not see: nodes are asked whether they ran. After a timeout the outcome is
+//! presumed; an answer after that becomes a correction.
 
 use super::Recorder;
 use crate::entry::{Correction, Entry, EntryBody, EntryId, RequestOpened};
@@ -9,26 +9,26 @@
 /// A node's answer about a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestStatus {
-    /// It ran.
+    /// The request ran.
     Ran,
-    /// It has not run and will not.
+    /// The request has not run and will not run.
     NeverRan,
-    /// It is being processed.
+    /// The request is being processed.
     Running,
-    /// The node cannot say: it has no memory of that time.
+    /// The node has no record of the time of the request and cannot tell whether it ran.
     Unknown,
 }
 
-/// A request that a node is to be asked about.
+/// A request about which a node is asked.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LookupRequest {
-    /// Its open entry.
+    /// Id of the request's open entry.
     pub id: EntryId,
-    /// Its identifier at the nodes.
+    /// The identifier of the request at the nodes.
     pub request: String,
 }
 
-/// A request whose end is not known.
+/// A request whose outcome is unknown or presumed.
 #[derive(Clone, Debug)]
 pub(super) struct UnsettledRequest {
     request: String,
@@ -36,9 +36,9 @@
     plan: String,
     units: u64,
     opened_at: Micros,
-    /// Nodes that may have run it and have not answered.
+    /// Nodes that may have run the request and have not answered.
     pub(super) nodes: BTreeSet<String>,
-    /// When its end is presumed; once it is, when nodes are no longer asked.
+    /// When the outcome is presumed; if it is presumed already, when nodes are no longer asked.
     expires_at: Micros,
     pub(super) presumed: bool,
 }
@@ -66,7 +66,7 @@
 #[derive(Default)]
 pub(super) struct UnsettledRequests {
     requests: BTreeMap<EntryId, UnsettledRequest>,
-    /// When each node that was asked may be asked again.
+    /// The earliest time of the next lookup, for each node that was asked.
     next_lookup_at: BTreeMap<String, Micros>,
 }
 
@@ -84,7 +84,7 @@
         expired.map(|(id, _)| *id).collect()
     }
 
-    /// Drops presumed requests, oldest first, as long as there are more than `limit` requests.
+    /// Drops requests with a presumed outcome, oldest first, until at most `limit` requests are left or none is presumed.
     fn drop_presumed_above(&mut self, limit: usize) {
         let excess = self.requests.len().saturating_sub(limit);
         let presumed = self.requests.iter().filter(|(_, request)| request.presumed);
@@ -118,8 +118,8 @@
 }
 
 impl Recorder {
-    /// Which requests each node is to be asked about now: at most `max_nodes` nodes, at most `max_requests` requests for
-    /// each. These nodes are not asked again before [`super::Config::lookup_interval`] has passed.
+    /// Returns the lookups that are due, by node: at most `max_nodes` nodes, with at most `max_requests` requests each. The
+    /// next lookup at these nodes is due after [`super::Config::lookup_interval`].
     pub fn lookups_due(
         &mut self,
         now: Micros,
@@ -137,13 +137,13 @@
         lookups
     }
 
-    /// A node's answer about a request that it was asked about.
+    /// Handles a node's answer to a lookup of a request.
     pub fn lookup_answered(&mut self, now: Micros, id: EntryId, node: &str, status: RequestStatus) {
         let unsettled = self.unsettled.requests.get_mut(&id);
         let Some(unsettled) = unsettled.filter(|request| request.nodes.contains(node)) else { return };
         match status {
             RequestStatus::Running | RequestStatus::Unknown => {}
-            RequestStatus::Ran => self.ran_after_all(now, id, node),
+            RequestStatus::Ran => self.record_late_run(now, id, node),
             RequestStatus::NeverRan => {
                 unsettled.nodes.remove(node);
                 if !unsettled.nodes.is_empty() {
@@ -151,14 +151,15 @@
                 }
                 let presumed = unsettled.presumed;
                 self.unsettled.requests.remove(&id);
-                // Where 0 units were presumed this is the same end, now known.
+                // After a presumed outcome, this settlement has the same 0 units and is known.
                 self.write_never_ran(now, id);
                 self.corrected += u64::from(presumed);
             }
         }
     }
 
-    fn ran_after_all(&mut self, now: Micros, id: EntryId, node: &str) {
+    /// Records that an unsettled request ran, as a settlement or, if the outcome was presumed, as a correction.
+    fn record_late_run(&mut self, now: Micros, id: EntryId, node: &str) {
         let Some(unsettled) = self.unsettled.requests.remove(&id) else { return };
         if !unsettled.presumed {
             return self.write_ran(now, id, unsettled.units, node.to_owned());
@@ -177,14 +178,14 @@
         self.append(now, EntryBody::Correction(correction));
     }
 
-    /// Adds entries of this ingress's earlier incarnations that its disk had lost and other ingresses have returned.
+    /// Adds entries of earlier incarnations of this ingress that its disk had lost and other ingresses have returned.
     pub fn add_returned(&mut self, now: Micros, entries: &[Entry]) {
         let own = entries.iter().filter(|entry| entry.id.ingress == self.ingress);
         for entry in own.filter(|entry| entry.id.incarnation != self.incarnation) {
             self.recovery.add(entry);
             let opened_by = match &entry.body {
                 EntryBody::RequestSettled(settled) if !settled.presumed => settled.opened_by(entry.id),
-                // One that names no incarnation is of its own entry's.
+                // A correction without an incarnation is for a request of the incarnation that wrote the correction.
                 EntryBody::Correction(correction)
                     if correction.incarnation == 0 && correction.ingress == u32::from(self.ingress) =>
                 {
@@ -198,7 +199,7 @@
         self.look_up_recovered(now);
     }
 
-    /// Has the nodes asked about requests of earlier incarnations.
+    /// Adds the unsettled requests of earlier incarnations, so that nodes are asked about them.
     pub(super) fn look_up_recovered(&mut self, now: Micros) {
         for (id, mut request) in self.recovery.take_unsettled() {
             let timeout = match request.presumed {
@@ -210,7 +211,7 @@
         }
     }
 
-    /// Presumes the ends of requests whose lookup has timed out, and gives up on those whose correction window is over.
+    /// Presumes the outcomes of requests whose lookup has timed out, and drops requests whose correction window has ended.
     pub(super) fn presume_expired(&mut self, now: Micros) {
         for id in self.unsettled.expired(now) {
             let Some(mut request) = self.unsettled.requests.remove(&id) else { continue };
@@ -224,8 +225,8 @@
         }
     }
 
-    /// Keeps the number of unsettled requests within its limit: presumed ones are dropped first, then the oldest are
-    /// presumed at once and dropped.
+    /// Keeps the number of unsettled requests within its limit: drops requests with a presumed outcome first, then presumes
+    /// the outcomes of the oldest requests and drops them.
     pub(super) fn presume_excess(&mut self, now: Micros) {
         let limit = self.config.max_unsettled;
         self.unsettled.drop_presumed_above(limit);
