--- a/crates/ledger/src/export.rs
+++ b/crates/ledger/src/export.rs
@@ -1,10 +1,11 @@
-//! Decides which batches an ingress exports, and when. Free of I/O and clock.
+//! Decides which batches an ingress exports, and when. Does no I/O and reads no clock.
 //!
-//! Accounts are distributed over streams, one for each ingress of a group. A stream is a sequence of numbered batches at
-//! the consumer, which stores the first batch that it gets of a number and returns that one to whoever sends another. So
-//! two exporters of one stream cannot both believe to have delivered, whether or not they hear each other: each batch
-//! holds the change since all before it, and only one of them becomes the next. A stream's home ingress exports it; the
-//! others take over one after the other only when nothing moves.
+//! Accounts are distributed over streams, one per ingress of a group. A stream is a sequence of numbered batches at the
+//! consumer. The consumer stores the first batch that it receives with a number, and returns that batch to an exporter that
+//! sends a different one with the same number. Each batch contains the changes since all earlier batches of the stream. So
+//! even if two exporters of a stream cannot reach each other, only one batch per number counts, and both learn which. The
+//! home ingress of a stream exports it. The other ingresses take over, one after the other, only if the export makes no
+//! progress.
 
 use crate::entry::{Batch, BatchAcknowledged, EntryBody, Line, Range};
 use crate::usage_totals::{StreamPosition, UsageTotals};
@@ -14,34 +15,35 @@
 /// Intervals and limits of an [`Exporter`].
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Config {
-    /// How long after its end a period is final although some ingress has not closed it, or not all entries are here.
+    /// Time after the end of a period after which it is final even if some ingress has not closed it, entries are missing or
+    /// requests are open.
     pub final_after: Micros,
-    /// How often a stream is checked.
+    /// Interval at which a stream is checked.
     pub check_interval: Micros,
-    /// How long the same work stays undone before the next ingress takes over.
+    /// How long the export of a stream makes no progress before the next ingress takes over.
     pub takeover_delay: Micros,
-    /// Lines of a batch.
+    /// Maximum number of lines of a batch.
     pub max_lines: usize,
 }
 
 /// The consumer's reply to a batch.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ConsumerReply {
-    /// It has this very batch.
+    /// The consumer has stored this batch.
     Stored,
-    /// It has another batch of this number.
+    /// The consumer has stored a different batch with this number.
     StoredOther(Batch),
-    /// It lacks batches before this one.
+    /// The consumer lacks earlier batches of the stream.
     Gap {
-        /// The last one that it has; 0 for none.
+        /// Number of the last batch that the consumer has; 0 for none.
         last: u64,
     },
-    /// No reply: whether it has the batch is not known.
+    /// The consumer did not reply. It is unknown whether it has stored the batch.
     None,
 }
 
 impl ConsumerReply {
-    /// The reply of a consumer that returns which batch it has under the number of the one that was sent.
+    /// Returns the reply of a consumer that returned `stored`, the batch that it has with the number of `sent`.
     pub fn of_stored(sent: &Batch, stored: Batch) -> ConsumerReply {
         if stored == *sent {
             ConsumerReply::Stored
@@ -51,40 +53,41 @@
     }
 }
 
-/// What is to be done next for a stream.
+/// The next step in exporting a stream.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ExportStep {
-    /// Write the batch to the ledger; it must be durable before the next step.
+    /// Writes the batch to the ledger; it must be durable before the next step.
     Write(Batch),
-    /// Send the batch, which is durable, to the consumer.
+    /// Sends the batch, which is durable, to the consumer.
     Send(Batch),
 }
 
-/// Why nothing is exported of a stream although something is due.
+/// Why a stream is not exported although changes are due.
 ///
-/// The texts are those that the command line has always printed.
+/// The command line prints these texts, which must not change.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ExportBlocked {
-    /// Earlier batches were computed from entries that are missing here.
+    /// Entries from which earlier batches were computed are missing at this ingress.
     #[error("Lacks({0:?})")]
     MissingEntries(Vec<Range>),
-    /// The consumer does not have batches that it had acknowledged.
+    /// The consumer lacks batches that it had acknowledged.
     #[error("ConsumerLost {{ last: {last}, next: {next} }}")]
     ConsumerLost {
-        /// The last batch that it has.
+        /// Number of the last batch that the consumer has.
         last: u64,
-        /// The next batch here.
+        /// Number of the next batch at this ingress.
         next: u64,
     },
 }
 
-/// What is to be done for a stream, to see whether anything moves.
+/// The work that is due for a stream; the export makes progress when this changes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Work {
     acknowledged: u64,
     has_pending: bool,
 }
 
+/// Work that is due and has not changed since a time.
 #[derive(Clone, Copy, Debug)]
 struct UndoneWork {
     work: Work,
@@ -98,16 +101,16 @@
     blocked: Option<ExportBlocked>,
 }
 
-/// Decides exports for one ingress.
+/// Decides which batches one ingress exports.
 pub struct Exporter {
     ingress: u16,
     group: Vec<u16>,
     config: Config,
-    /// By shard, the stream's position in the group.
+    /// State of each stream, by shard. The home ingress of a shard is at the shard's index in `group`.
     states: BTreeMap<usize, StreamState>,
 }
 
-/// The shard of an account: a hash of it, modulo the number of shards.
+/// Returns the shard of an account: a hash of the account, modulo the number of shards.
 pub fn shard_of(account: &str, shards: usize) -> usize {
     let hash = blake3::hash(account.as_bytes());
     let mut prefix = [0; 8];
@@ -116,20 +119,21 @@
 }
 
 impl Exporter {
-    /// For one ingress of a group; all of the group have the same list.
+    /// Creates the exporter of one ingress of a group. All ingresses of a group must have the same list.
     pub fn new(ingress: u16, mut group: Vec<u16>, config: Config) -> Self {
         group.sort_unstable();
         group.dedup();
         Exporter { ingress, group, config, states: BTreeMap::new() }
     }
 
-    /// The name of a shard's stream: the ingresses of the group, and the shard.
+    /// Returns the name of a shard's stream: the ingresses of the group, and the shard.
     pub fn stream_name(&self, shard: usize) -> String {
         let ingresses: Vec<String> = self.group.iter().map(u16::to_string).collect();
         format!("{}.{shard}", ingresses.join("-"))
     }
 
-    /// The latest period such that it and all before it are final.
+    /// Returns the latest period such that it and all earlier ones are final. A period is final if all ingresses of the group
+    /// have closed it, no entry is missing and no request is open, or after [`Config::final_after`].
     pub fn final_until(&self, now: Micros, totals: &UsageTotals) -> Option<u64> {
         let complete = self.group.iter().map(|ingress| totals.last_complete_period(*ingress));
         let complete = complete.min().flatten();
@@ -142,8 +146,8 @@
         settled.max(timed_out)
     }
 
-    /// What is to be done now; `None` if nothing, or not yet. Before the next call, [`ExportStep::Write`] must have been
-    /// added to the totals, or [`ExportStep::Send`] followed by [`Exporter::replied`].
+    /// Returns the next step; `None` if none is due. Before the next call, the caller must have added the batch of
+    /// [`ExportStep::Write`] to the totals, or have called [`Exporter::replied`] after [`ExportStep::Send`].
     pub fn next_step(&mut self, now: Micros, totals: &UsageTotals) -> Option<ExportStep> {
         (0..self.group.len()).find_map(|shard| self.next_step_of(shard, now, totals))
     }
@@ -176,7 +180,7 @@
             return None;
         }
         state.blocked = None;
-        // Checked again at once: when it is written it is to be sent.
+        // The batch is sent as soon as it is written, so the stream is checked again at once.
         state.next_check_at = now;
         Some(ExportStep::Write(Batch {
             stream,
@@ -193,14 +197,14 @@
         totals.unexported_lines(until, |account| shard_of(account, shards) == shard, self.config.max_lines)
     }
 
-    /// How many ingresses take over a stream before this one; 0 at its home.
+    /// Returns how many ingresses export a stream before this one takes over; 0 for the home ingress.
     fn distance_from_home(&self, shard: usize) -> u64 {
         let shards = self.group.len().max(1);
         let own_position = self.group.iter().position(|ingress| *ingress == self.ingress).unwrap_or(0);
         ((own_position + shards - shard) % shards) as u64
     }
 
-    /// The consumer has replied to a batch. Returns the entries to write, in their order.
+    /// Handles the consumer's reply to a batch. Returns the entries to write, in this order.
     pub fn replied(&mut self, now: Micros, batch: &Batch, reply: ConsumerReply) -> Vec<EntryBody> {
         let shards = 0..self.group.len();
         let shard = shards.into_iter().find(|shard| self.stream_name(*shard) == batch.stream);
@@ -226,7 +230,7 @@
         }
     }
 
-    /// Streams that are blocked, and why.
+    /// Returns the streams that are blocked, and the reasons.
     pub fn blocked(&self) -> impl Iterator<Item = (String, &ExportBlocked)> {
         let states = self.states.iter();
         states.filter_map(|(shard, state)| Some((self.stream_name(*shard), state.blocked.as_ref()?)))
@@ -234,7 +238,7 @@
 }
 
 impl StreamState {
-    /// Since when the work at a position has been undone.
+    /// Returns the time since which the work at a position is due.
     fn undone_since(&mut self, position: &StreamPosition, now: Micros) -> Micros {
         let work = Work { acknowledged: position.acknowledged, has_pending: position.pending.is_some() };
         let since = self.undone.filter(|undone| undone.work == work).map_or(now, |undone| undone.since);
@@ -251,11 +255,11 @@
     })
 }
 
-/// Bills lines of periods that earlier batches have covered in the present period.
-fn billed_in(mut lines: Vec<Line>, present: u64, covered_until: Option<u64>) -> Vec<Line> {
+/// Bills lines of periods that earlier batches have covered in the current period.
+fn billed_in(mut lines: Vec<Line>, current_period: u64, covered_until: Option<u64>) -> Vec<Line> {
     for line in &mut lines {
         if covered_until.is_some_and(|covered| line.period <= covered) {
-            line.billed = present;
+            line.billed = current_period;
         }
     }
     lines
--- a/crates/ledger/src/store/compaction.rs
+++ b/crates/ledger/src/store/compaction.rs
@@ -1,4 +1,4 @@
-//! Compaction: a snapshot of the usage totals takes the place of old segments.
+//! Compaction: a snapshot of the usage totals replaces old segments.
 
 use super::reader::{read_segment, scan_file, segment_path, ENTRIES_BETWEEN_YIELDS};
 use super::snapshot_file::{read_snapshot, Snapshot};
@@ -11,11 +11,11 @@
 use futures_lite::future;
 use std::path::Path;
 
-/// The last segment, up to `until`, such that it and all before it hold only entries of periods before `period`. `None`
-/// if there is no such segment after the snapshot.
+/// Returns the last segment, up to `until`, such that it and all earlier ones contain only entries of periods before
+/// `period`. `None` if there is no such segment after the snapshot.
 ///
 /// # Errors
-/// [`StoreError::Io`], or [`StoreError::Damaged`].
+/// [`StoreError::Io`] if a file cannot be read; [`StoreError::Damaged`] for a damaged snapshot or segment.
 pub async fn last_segment_before(
     runtime: &Shared,
     directory: &Path,
@@ -36,11 +36,13 @@
     Ok(last)
 }
 
-/// Builds the snapshot that replaces the segments up to `until`: the usage totals of all entries up to there, without the
-/// settled requests of periods before `period`. `None` where a snapshot would lose something that is still needed.
+/// Builds the snapshot that replaces the segments up to `until`: the usage totals of all entries in them, without the
+/// settled requests of periods before `period`. `None` if a snapshot cannot contain the totals yet, see
+/// [`UsageTotals::snapshot`].
 ///
 /// # Errors
-/// [`StoreError::Io`], or [`StoreError::Damaged`], also for a torn segment.
+/// [`StoreError::Io`] if a file cannot be read; [`StoreError::Damaged`] for a damaged snapshot, or a torn or damaged
+/// segment.
 pub async fn build_snapshot(
     runtime: &Shared,
     directory: &Path,
@@ -68,7 +70,7 @@
             }
             future::yield_now().await;
         }
-        // After each segment, to hold no more requests in memory than needed.
+        // Done after each segment to limit the number of requests in memory.
         totals.drop_settled_before(period);
     }
     Ok(totals.snapshot().map(|totals| Snapshot { number: until, chain, totals }))
--- a/crates/ledger/src/store/index.rs
+++ b/crates/ledger/src/store/index.rs
@@ -1,17 +1,17 @@
-//! Which segment holds which entries.
+//! Index of the segment that contains each entry.
 
 use crate::entry::{EntryId, IncarnationId};
 use crate::sequence_ranges::{SequenceRange, SequenceRanges};
 use std::collections::BTreeMap;
 
-/// Entries of one incarnation that follow each other in a segment.
+/// Entries of one incarnation with consecutive numbers, which follow each other in a segment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Run {
     numbers: SequenceRange,
     segment: u64,
 }
 
-/// Which segment holds which entries.
+/// Index of the segment that contains each entry.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct SegmentIndex(BTreeMap<IncarnationId, Vec<Run>>);
 
@@ -26,13 +26,13 @@
         }
     }
 
-    /// Removes the entries of segments up to one.
+    /// Removes the entries of all segments up to `segment`.
     pub(super) fn remove_up_to(&mut self, segment: u64) {
         self.0.values_mut().for_each(|runs| runs.retain(|run| run.segment > segment));
         self.0.retain(|_, runs| !runs.is_empty());
     }
 
-    /// The numbers of the entries that segments hold, by incarnation.
+    /// Returns the numbers of the indexed entries, by incarnation.
     pub fn numbers(&self) -> impl Iterator<Item = (IncarnationId, SequenceRanges)> + '_ {
         self.0.iter().map(|(id, runs)| {
             let mut numbers = SequenceRanges::default();
@@ -41,7 +41,7 @@
         })
     }
 
-    /// The segments that hold any of these numbers of an incarnation, in ascending order.
+    /// Returns the segments that contain any of these entries of an incarnation, in ascending order.
     pub fn segments_with(&self, id: IncarnationId, numbers: SequenceRange) -> Vec<u64> {
         let runs = self.0.get(&id).map(Vec::as_slice).unwrap_or_default();
         let matching = runs.iter().filter(|run| run.numbers.overlaps(numbers));
--- a/crates/ledger/src/store/mod.rs
+++ b/crates/ledger/src/store/mod.rs
@@ -1,12 +1,12 @@
-//! The log on a disk: segments `NUMBER.seg` in a directory, each continuing the chain of the one before.
+//! The log on a disk: segments `NUMBER.seg` in a directory, each of which continues the chain of the previous one.
 //!
-//! A group of entries is written and synced as one; it is acknowledged when [`Store::commit`] returns `Ok`, and from
-//! then on no crash loses it. After a failed write or sync nothing is known of what reached the disk: the store is
-//! stopped for good, and only opening it anew, which reads what is there, can tell.
+//! A group of entries is written and synced together. It is acknowledged when [`Store::commit`] returns `Ok`; from then
+//! on a crash does not lose it. After a failed write or sync it is unknown which bytes reached the disk: the store
+//! accepts no more entries, and must be opened again, which reads the files.
 //!
-//! `NUMBER.snap` replaces all segments up to that number: it holds their usage totals and the chain value after them. It
-//! is put in place atomically and synced before any of them is removed; segments that a crash left are skipped and
-//! removed by the next compaction.
+//! `NUMBER.snap` replaces all segments up to that number: it contains their usage totals and the chain value after them.
+//! It is put in place atomically and synced before any of these segments is removed. Segments that remain because of a
+//! crash are skipped, and removed by the next compaction.
 
 mod compaction;
 mod index;
@@ -26,40 +26,40 @@
 use std::path::{Path, PathBuf};
 use std::sync::{Arc, Mutex, PoisonError};
 
-/// Why a store does not open, or accepts nothing more.
+/// Why a store cannot be opened, read or written to.
 #[derive(Debug, thiserror::Error)]
 pub enum StoreError {
-    /// The disk reports an error.
+    /// A file operation failed.
     #[error("{path}: {error}")]
     Io {
         /// The file or directory.
         path: PathBuf,
-        /// The system's error.
+        /// The error of the operating system.
         error: io::Error,
     },
-    /// A segment or snapshot was changed, or one is missing: not what a crash does.
+    /// A segment or snapshot was changed or is missing, which a crash does not cause.
     #[error("{path}: byte {at}: {what}")]
     Damaged {
         /// The file.
         path: PathBuf,
-        /// The first bad byte.
+        /// Offset of the damage in the file, in bytes.
         at: usize,
-        /// What is wrong.
+        /// The kind of damage.
         what: Damage,
     },
-    /// An entry cannot be written or read.
+    /// An entry cannot be encoded or decoded.
     #[error(transparent)]
     Entry(#[from] EntryError),
-    /// A write or sync has failed before, with this message.
+    /// An earlier write or sync failed, with this message.
     #[error("stopped by an earlier failure: {0}")]
     Stopped(String),
 }
 
-/// After how many bytes a new segment is begun.
+/// Default number of bytes of a segment after which a new one is begun.
 pub const SEGMENT_BYTES: u64 = 8 << 20;
-/// The longest file that is read. A segment exceeds [`SEGMENT_BYTES`] by up to one group of entries.
+/// Maximum number of bytes of a file that is read. A segment exceeds [`SEGMENT_BYTES`] by up to one group of entries.
 const MAX_FILE_BYTES: u64 = 1 << 30;
-/// The file that a store holds open, to keep other processes from writing to the directory.
+/// Name of the file that a store locks, to keep other processes from writing to the directory.
 const LOCK_FILE: &str = "lock";
 
 fn failed_at(path: &Path) -> impl FnOnce(io::Error) -> StoreError {
@@ -77,13 +77,13 @@
     segment_bytes: u64,
     writer: SegmentWriter,
     file: Box<dyn Append>,
-    /// Held as long as the store is open: two writers would break the chain.
+    /// Locks the directory while the store is open, as a second writer would break the chain.
     _lock: Box<dyn Append>,
-    /// The message of the failure that has stopped the store.
+    /// The message of the failed write or sync, after which the store accepts no more entries.
     stopped: Option<String>,
 }
 
-/// Where the log continues after its last segment was read.
+/// The end of the log, where the store continues to write.
 #[derive(Clone, Copy)]
 struct Tail {
     segment: u64,
@@ -99,14 +99,14 @@
 }
 
 impl SegmentCheck<'_> {
-    /// Checks the next segment; its entries go to `each`.
+    /// Checks the next segment and passes its entries to `each`.
     fn add(&mut self, segment: ScannedSegment<'_>, each: &mut impl FnMut(Entry)) -> Result<(), StoreError> {
         let ScannedSegment { path, scan, is_last } = segment;
         let expected = self.tail.segment + 1;
         let damaged = |at: usize, what: Damage| StoreError::Damaged { path: path.to_owned(), at, what };
         match scan.end {
             SegmentEnd::Complete => {}
-            // Only the last one can have been written to when a crash came.
+            // Only the last segment can have been written to at the time of a crash.
             SegmentEnd::Torn if is_last => {}
             SegmentEnd::Torn => return Err(damaged(scan.valid_bytes, Damage::TornBeforeOthers)),
             SegmentEnd::Damaged { at, what } => return Err(damaged(at, what)),
@@ -125,19 +125,20 @@
 }
 
 impl Store {
-    /// Opens a directory and passes every entry that was ever acknowledged to `each`, in order, except those that its
-    /// snapshot replaces (see [`read_snapshot`]); a torn end is cut off. One segment at a time is in memory.
-    /// After `max_segment_bytes` a new segment is begun.
+    /// Opens the log in a directory, which is created if it does not exist. Passes its entries to `each`, in order,
+    /// except those that the snapshot replaces (see [`read_snapshot`]); every acknowledged entry is among them. A torn end is truncated. One segment at a
+    /// time is in memory. A new segment is begun after `max_segment_bytes`.
     ///
     /// # Errors
-    /// See [`StoreError`]; a damaged log is not written to.
+    /// [`StoreError::Io`] if a file operation fails, also if another process has the directory locked;
+    /// [`StoreError::Damaged`] if a snapshot or segment is damaged; no file is changed then.
     pub async fn open(
         runtime: Shared,
         directory: &Path,
         max_segment_bytes: u64,
         mut each: impl FnMut(Entry),
     ) -> Result<Store, StoreError> {
-        // Creates the directory where there is none.
+        // Creates the directory if it does not exist.
         runtime.files().names(directory).await.map_err(failed_at(directory))?;
         let lock = directory.join(LOCK_FILE);
         let lock = runtime.files().append(&lock, 0).await.map_err(failed_at(&lock))?;
@@ -160,7 +161,7 @@
         }
         let path = segment_path(directory, tail.segment);
         let file = runtime.files().append(&path, tail.valid_bytes).await.map_err(failed_at(&path))?;
-        // A segment whose header is torn holds nothing: it is begun anew.
+        // A segment whose header is torn has no entries: its header is written again.
         let writer = match tail.valid_bytes {
             0 => SegmentWriter::new(tail.segment, tail.chain),
             _ => SegmentWriter::resume(tail.chain),
@@ -179,15 +180,15 @@
         })
     }
 
-    /// The number of the segment that is written to; those before it are complete.
+    /// Returns the number of the segment that is written to. Earlier segments are complete.
     pub fn current_segment(&self) -> u64 {
         self.segment_number
     }
 
-    /// Puts a snapshot in the place of complete segments, and removes these and older snapshots.
+    /// Replaces complete segments by a snapshot, and removes these segments and older snapshots.
     ///
     /// # Errors
-    /// [`StoreError::Io`]: nothing is lost by it, and the store stays usable.
+    /// [`StoreError::Io`]. No entry is lost, and the store stays usable.
     pub async fn compact(&mut self, snapshot: &Snapshot) -> Result<(), StoreError> {
         let path = snapshot_file::path(&self.directory, snapshot.number);
         let files = self.runtime.files();
@@ -210,21 +211,21 @@
         Ok(())
     }
 
-    /// Which segment holds which entries.
+    /// Returns the index of the segment that contains each entry.
     pub fn index(&self) -> Arc<Mutex<SegmentIndex>> {
         self.index.clone()
     }
 
-    /// Writes a group of entries and syncs it: acknowledged when this returns `Ok`.
+    /// Writes and syncs a group of entries, which are acknowledged when this returns `Ok`.
     ///
     /// # Errors
-    /// See [`StoreError`]. An entry that is too long leaves the store usable; after any other error it accepts nothing
-    /// more.
+    /// [`StoreError::Entry`] if an entry is too long; nothing is written, and the store stays usable.
+    /// [`StoreError::Io`] if a write or sync fails; every later call then returns [`StoreError::Stopped`].
     pub async fn commit(&mut self, group: &[Entry]) -> Result<(), StoreError> {
         if let Some(failure) = &self.stopped {
             return Err(StoreError::Stopped(failure.clone()));
         }
-        // All or none: an entry that cannot be written is found before any byte is.
+        // All lengths are checked before a byte is written, so that a group is written as a whole or not at all.
         for entry in group {
             segment::check_length(&entry.encode())?;
         }
@@ -261,9 +262,8 @@
     }
 }
 
-/// The incarnation of a new start: later than any that is in the log. Usually the present time; the time after the latest
-/// incarnation where the clock was set back. So an ingress that was restored from an old copy of its disk never uses an
-/// id again for another entry.
+/// Returns the incarnation of a new start: the present time, or the first time after the latest incarnation in the log if
+/// the clock was set back. So an ingress that was restored from an old copy of its disk never uses an entry id twice.
 pub fn next_incarnation(latest: u64, now: u64) -> u64 {
     now.max(latest.saturating_add(1))
 }
--- a/crates/ledger/src/store/reader.rs
+++ b/crates/ledger/src/store/reader.rs
@@ -1,4 +1,4 @@
-//! Reads segments without changing anything.
+//! Reads segments without changing any file.
 
 use super::snapshot_file::{read_snapshot, Snapshot};
 use super::{failed_at, StoreError, MAX_FILE_BYTES};
@@ -10,16 +10,16 @@
 
 const EXTENSION: &str = ".seg";
 
-/// Entries that are processed before other tasks of the thread get a turn.
+/// Number of entries that are processed between two yields to other tasks of the thread.
 pub(super) const ENTRIES_BETWEEN_YIELDS: usize = 256;
 
-/// A segment as [`read_segments`] finds it.
+/// A segment that [`read_segments`] has read.
 pub struct ScannedSegment<'a> {
-    /// Its file.
+    /// Path of the segment's file.
     pub path: &'a Path,
-    /// What is in it.
+    /// The entries of the segment, and how it ends.
     pub scan: Scan,
-    /// Whether it is the last segment, which a crash may have torn.
+    /// Whether this is the last segment, which a crash may have torn.
     pub is_last: bool,
 }
 
@@ -31,15 +31,17 @@
     format!("{number:016}{EXTENSION}")
 }
 
-/// The file of a segment.
+/// Returns the path of a segment's file.
 pub fn segment_path(directory: &Path, number: u64) -> PathBuf {
     directory.join(file_name(number))
 }
 
-/// Reads the segments that no snapshot replaces, in order, one at a time. Nothing is changed.
+/// Reads the segments after the snapshot, in order, and passes them to `each`. One segment at a time is in memory. No file
+/// is changed.
 ///
 /// # Errors
-/// [`StoreError::Io`], or a damaged snapshot. Damage of segments is in their scans.
+/// [`StoreError::Io`] if a file cannot be read; [`StoreError::Damaged`] for a damaged snapshot. Damage to a segment is
+/// reported in its scan.
 pub async fn read_segments(
     runtime: &Shared,
     directory: &Path,
@@ -73,10 +75,11 @@
     Ok(after.map(|name| directory.join(name)).collect())
 }
 
-/// Reads the entries of one segment, whatever was before it; of one that is being written to, the complete ones.
+/// Reads the entries of one segment, without checking that it continues the previous one. Of a segment that is being
+/// written to, returns the complete entries.
 ///
 /// # Errors
-/// [`StoreError::Io`], or [`StoreError::Damaged`].
+/// [`StoreError::Io`] if the file cannot be read; [`StoreError::Damaged`] for a damaged segment.
 pub async fn read_segment(runtime: &Shared, directory: &Path, number: u64) -> Result<Vec<Entry>, StoreError> {
     let path = segment_path(directory, number);
     let scan = scan_file(runtime, &path, None).await?;
@@ -86,7 +89,7 @@
     }
 }
 
-/// Scans a segment's file and yields to other tasks in between.
+/// Scans a segment's file. Yields to other tasks after every [`ENTRIES_BETWEEN_YIELDS`] entries.
 pub(super) async fn scan_file(
     runtime: &Shared,
     path: &Path,
--- a/crates/ledger/src/store/snapshot_file.rs
+++ b/crates/ledger/src/store/snapshot_file.rs
@@ -1,5 +1,5 @@
 //! The format of a snapshot file: magic, version, the number of the last segment that it replaces, the chain value after
-//! that, the usage totals, and a BLAKE3 hash of all before it.
+//! that segment, the usage totals, and a BLAKE3 hash of all preceding bytes.
 
 use super::{failed_at, StoreError, MAX_FILE_BYTES};
 use crate::damage::Damage;
@@ -17,14 +17,14 @@
 
 pub(super) const EXTENSION: &str = ".snap";
 
-/// What replaces the first segments of a log.
+/// A snapshot, which replaces the first segments of a log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Snapshot {
-    /// The last segment that it replaces.
+    /// Number of the last segment that the snapshot replaces.
     pub number: u64,
     /// The chain value after that segment.
     pub chain: ChainValue,
-    /// The usage totals of all entries up to there, as [`UsageTotals::snapshot`] encodes them.
+    /// The usage totals of all entries up to the end of that segment, as [`UsageTotals::snapshot`] encodes them.
     ///
     /// [`UsageTotals::snapshot`]: crate::usage_totals::UsageTotals::snapshot
     pub totals: Vec<u8>,
@@ -71,10 +71,10 @@
     directory.join(file_name(number))
 }
 
-/// Reads the latest snapshot of a directory, if there is one.
+/// Reads the latest snapshot of a directory. `None` if there is none.
 ///
 /// # Errors
-/// [`StoreError::Io`], or [`StoreError::Damaged`].
+/// [`StoreError::Io`] if the file cannot be read; [`StoreError::Damaged`] if it is not a valid snapshot.
 pub async fn read_snapshot(runtime: &Shared, directory: &Path) -> Result<Option<Snapshot>, StoreError> {
     let names = runtime.files().names(directory).await.map_err(failed_at(directory))?;
     let Some(name) = names.iter().rfind(|name| name.ends_with(EXTENSION)) else { return Ok(None) };
