--- a/crates/ledger/src/damage.rs
+++ b/crates/ledger/src/damage.rs
@@ -36,7 +36,7 @@
     Entry(#[from] EntryError),
     /// A segment ends inside a record or its header although later segments exist.
     #[error("the segment is torn, but later segments exist")]
-    TornBeforeOthers,
+    TornEarlierSegment,
     /// A segment is missing, or its number is not that of its file.
     #[error("expected segment number {0}")]
     UnexpectedSegment(u64),
--- a/crates/ledger/src/store/mod.rs
+++ b/crates/ledger/src/store/mod.rs
@@ -108,7 +108,7 @@
             SegmentEnd::Complete => {}
             // Only the last segment can have been written to at the time of a crash.
             SegmentEnd::Torn if is_last => {}
-            SegmentEnd::Torn => return Err(damaged(scan.valid_bytes, Damage::TornBeforeOthers)),
+            SegmentEnd::Torn => return Err(damaged(scan.valid_bytes, Damage::TornEarlierSegment)),
             SegmentEnd::Damaged { at, what } => return Err(damaged(at, what)),
         }
         let other_number = scan.number.is_some_and(|number| number != expected);
--- a/crates/ledger/src/usage_totals/accounts.rs
+++ b/crates/ledger/src/usage_totals/accounts.rs
@@ -1,11 +1,11 @@
-//! Accounts with their plans, each pair stored once.
+//! Interns pairs of account and plan, so that sums refer to a pair by index.
 
 use std::collections::BTreeMap;
 
-/// The index of an account with a plan in [`AccountPlans`].
+/// Index of an [`AccountPlan`] in [`AccountPlans`].
 pub(super) type AccountPlanIndex = u32;
 
-/// An account under a plan: what sums are kept for.
+/// An account under a plan.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct AccountPlan {
     pub(super) account: String,
@@ -20,7 +20,7 @@
 }
 
 impl AccountPlans {
-    /// The index of a pair; a new one is added.
+    /// Returns the index of a pair, which is added if it is new.
     pub(super) fn index_of(&mut self, account: &str, plan: &str) -> AccountPlanIndex {
         let pair = AccountPlan { account: account.to_owned(), plan: plan.to_owned() };
         if let Some(index) = self.indexes.get(&pair) {
@@ -32,7 +32,7 @@
         index
     }
 
-    /// The pair of an index that [`AccountPlans::index_of`] has returned.
+    /// Returns the pair with an index that [`AccountPlans::index_of`] has returned.
     pub(super) fn get(&self, index: AccountPlanIndex) -> &AccountPlan {
         &self.list[index as usize]
     }
--- a/crates/ledger/src/usage_totals/export_state.rs
+++ b/crates/ledger/src/usage_totals/export_state.rs
@@ -1,4 +1,4 @@
-//! What has been exported: batches, their acknowledgements, and sums that differ from what the consumer has.
+//! State of the export: batches, their acknowledgements, and the differences between sums and what was exported of them.
 
 use super::accounts::AccountPlans;
 use super::{SumKey, UsageTotals};
@@ -6,35 +6,36 @@
 use crate::sequence_ranges::SequenceRanges;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// How far an export stream has got.
+/// Progress of an export stream.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StreamPosition {
-    /// The consumer has the batches from 1 to this one.
+    /// The consumer has acknowledged the batches from 1 to this number.
     pub acknowledged: u64,
-    /// The next batch, if it has been written and not acknowledged.
+    /// The next batch, if it has been written and is not acknowledged.
     pub pending: Option<Batch>,
-    /// Entries that acknowledged batches were computed from and that are missing here: no batch is written before they
-    /// have come.
+    /// Entries from which acknowledged batches were computed and that are missing here. No batch is written until they are
+    /// added.
     pub missing: Vec<Range>,
-    /// The latest period that acknowledged batches cover.
+    /// The last period that acknowledged batches cover.
     pub covered_until: Option<u64>,
 }
 
-/// Units and requests: of a sum, or the difference of two.
+/// Units and requests: the exported part of a sum, or the part that is not exported.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub(super) struct Exported {
+pub(super) struct ExportedUsage {
     pub(super) units: i64,
     pub(super) requests: i64,
 }
 
-/// An export stream.
+/// Batches and acknowledgements of an export stream.
 #[derive(Default)]
 pub(super) struct Stream {
     pub(super) acknowledged: u64,
     pub(super) covered_until: Option<u64>,
-    /// Batches after [`Stream::acknowledged`], by number: different exporters may have prepared different ones.
+    /// Batches after [`Stream::acknowledged`], by number. Different exporters may have prepared different batches with the
+    /// same number.
     prepared: BTreeMap<u64, Vec<PreparedBatch>>,
-    /// Digests of acknowledged batches that could not be applied so far, by number.
+    /// Digests of acknowledged batches that are not applied yet, by number.
     acknowledgements: BTreeMap<u64, [u8; 32]>,
 }
 
@@ -49,12 +50,12 @@
         Stream { acknowledged, covered_until, ..Stream::default() }
     }
 
-    /// Whether batches or acknowledgements wait for one another.
+    /// Returns whether a batch has no acknowledgement yet, or an acknowledgement no batch.
     pub(super) fn is_unfinished(&self) -> bool {
         !self.prepared.is_empty() || !self.acknowledgements.is_empty()
     }
 
-    /// Takes the next batch out, if it has been acknowledged and is here.
+    /// Removes and returns the next batch, if it and its acknowledgement were added.
     fn take_next(&mut self) -> Option<Batch> {
         let next = self.acknowledged + 1;
         let digest = self.acknowledgements.get(&next)?;
@@ -71,11 +72,11 @@
 #[derive(Default)]
 pub(super) struct ExportState {
     pub(super) streams: BTreeMap<String, Stream>,
-    /// What the consumer has, by sum.
-    pub(super) exported: BTreeMap<SumKey, Exported>,
-    /// Sums that may differ from what the consumer has.
+    /// Usage that the consumer has acknowledged, by sum.
+    pub(super) exported: BTreeMap<SumKey, ExportedUsage>,
+    /// Sums that may differ from the exported usage.
     pub(super) changed: BTreeSet<SumKey>,
-    /// The entries that acknowledged batches were computed from.
+    /// The entries from which acknowledged batches were computed.
     pub(super) basis: BTreeMap<IncarnationId, SequenceRanges>,
 }
 
@@ -96,12 +97,13 @@
         }
     }
 
-    /// Counts acknowledged batches as exported, in the order of their numbers, as far as they are here.
-    pub(super) fn apply_acknowledged(&mut self, stream: &str, payers: &mut AccountPlans) {
+    /// Adds acknowledged batches to the exported usage, in the order of their numbers, up to the first one that was not added
+    /// to the totals.
+    pub(super) fn apply_acknowledged(&mut self, stream: &str, account_plans: &mut AccountPlans) {
         while let Some(batch) = self.streams.get_mut(stream).and_then(Stream::take_next) {
             for line in &batch.lines {
-                let payer = payers.index_of(&line.account, &line.plan);
-                let key = SumKey { period: line.period, payer };
+                let account_plan = account_plans.index_of(&line.account, &line.plan);
+                let key = SumKey { period: line.period, account_plan };
                 let exported = self.exported.entry(key).or_default();
                 exported.units = exported.units.saturating_add(line.units);
                 exported.requests = exported.requests.saturating_add(line.requests);
@@ -117,7 +119,7 @@
 }
 
 impl UsageTotals {
-    /// How far an export stream has got.
+    /// Returns the progress of an export stream.
     pub fn stream_position(&self, stream: &str) -> StreamPosition {
         let stream = self.exports.streams.get(stream);
         let acknowledged = stream.map_or(0, |stream| stream.acknowledged);
@@ -135,31 +137,31 @@
         }
     }
 
-    /// What a sum has that the consumer does not have.
-    fn unexported(&self, key: &SumKey) -> Exported {
+    /// Returns the part of a sum that is not exported.
+    fn unexported(&self, key: &SumKey) -> ExportedUsage {
         let sum = self.sums.get(key).copied().unwrap_or_default();
         let exported = self.exports.exported.get(key).copied().unwrap_or_default();
         let requests = i64::try_from(sum.requests).unwrap_or(i64::MAX);
-        Exported {
+        ExportedUsage {
             units: sum.units.saturating_sub(exported.units),
             requests: requests.saturating_sub(exported.requests),
         }
     }
 
-    /// Lines to export for periods up to `until`: at most `limit`, of the accounts that `selected` accepts.
+    /// Returns the lines to export for periods up to `until`: at most `limit`, of the accounts that `selected` accepts.
     pub fn unexported_lines(&self, until: u64, selected: impl Fn(&str) -> bool, limit: usize) -> Vec<Line> {
         let mut lines = Vec::new();
-        let last = SumKey { period: until, payer: u32::MAX };
+        let last = SumKey { period: until, account_plan: u32::MAX };
         for key in self.exports.changed.range(..=last) {
-            let payer = self.payers.get(key.payer);
-            if !selected(&payer.account) {
+            let account_plan = self.account_plans.get(key.account_plan);
+            if !selected(&account_plan.account) {
                 continue;
             }
-            let Exported { units, requests } = self.unexported(key);
+            let ExportedUsage { units, requests } = self.unexported(key);
             if units != 0 || requests != 0 {
                 lines.push(Line {
-                    account: payer.account.clone(),
-                    plan: payer.plan.clone(),
+                    account: account_plan.account.clone(),
+                    plan: account_plan.plan.clone(),
                     period: key.period,
                     billed: key.period,
                     units,
@@ -173,18 +175,18 @@
         lines
     }
 
-    /// Forgets to look at sums that are exported as they stand. Changes no result, only the time that
+    /// Removes sums that are fully exported from the set of changed sums. This changes no result; it shortens the time that
     /// [`UsageTotals::unexported_lines`] takes.
     pub fn forget_exported(&mut self) {
         let mut changed = std::mem::take(&mut self.exports.changed);
-        changed.retain(|key| self.unexported(key) != Exported::default());
+        changed.retain(|key| self.unexported(key) != ExportedUsage::default());
         self.exports.changed = changed;
     }
 
-    /// Whether all use before a period is exported and no request before it is open.
+    /// Returns whether all usage of earlier periods is exported and no request of an earlier period is open.
     pub fn all_exported_before(&self, period: u64) -> bool {
-        let mut changed = self.exports.changed.range(..SumKey { period, payer: 0 });
-        let any_unexported = changed.any(|key| self.unexported(key) != Exported::default());
+        let mut changed = self.exports.changed.range(..SumKey { period, account_plan: 0 });
+        let any_unexported = changed.any(|key| self.unexported(key) != ExportedUsage::default());
         !any_unexported && self.open_requests.range(..period).next().is_none()
     }
 }
--- a/crates/ledger/src/usage_totals/incarnation.rs
+++ b/crates/ledger/src/usage_totals/incarnation.rs
@@ -1,4 +1,4 @@
-//! The entries of one incarnation of an ingress that have been added.
+//! The entries of one incarnation of an ingress that were added to the totals.
 
 use super::request::Request;
 use super::AddOutcome;
@@ -6,23 +6,26 @@
 use crate::sequence_ranges::SequenceRanges;
 use std::collections::BTreeMap;
 
-/// Numbers of a block of fingerprints.
-const BLOCK: u64 = 256;
+/// Number of fingerprints in a block.
+const BLOCK_LENGTH: u64 = 256;
 
-/// A short hash of each entry, to tell a copy from a conflict. In blocks: four bytes an entry without a tree node each.
+/// A short hash of each entry, to tell a copy of it from a conflicting entry. Stored in blocks, so that an entry takes four
+/// bytes and not a tree node.
 #[derive(Default)]
-struct Fingerprints(BTreeMap<u64, Box<[u32; BLOCK as usize]>>);
+struct Fingerprints(BTreeMap<u64, Box<[u32; BLOCK_LENGTH as usize]>>);
 
 impl Fingerprints {
-    /// The fingerprint of a number that was set; `None` where its block is not in memory, as after a restored snapshot.
+    /// Returns the fingerprint of an entry that was added; `None` if its block is not in memory, as after the restore of a
+    /// snapshot.
     fn get(&self, number: u64) -> Option<u32> {
-        let block = self.0.get(&(number / BLOCK))?;
-        Some(block[(number % BLOCK) as usize])
+        let block = self.0.get(&(number / BLOCK_LENGTH))?;
+        Some(block[(number % BLOCK_LENGTH) as usize])
     }
 
     fn set(&mut self, number: u64, fingerprint: u32) {
-        let block = self.0.entry(number / BLOCK).or_insert_with(|| Box::new([0; BLOCK as usize]));
-        block[(number % BLOCK) as usize] = fingerprint;
+        let block =
+            self.0.entry(number / BLOCK_LENGTH).or_insert_with(|| Box::new([0; BLOCK_LENGTH as usize]));
+        block[(number % BLOCK_LENGTH) as usize] = fingerprint;
     }
 }
 
@@ -37,14 +40,14 @@
 pub(super) struct Incarnation {
     pub(super) numbers: SequenceRanges,
     fingerprints: Fingerprints,
-    /// Requests that it opened, by the numbers of their open entries.
+    /// Requests that the incarnation opened, by the numbers of their open entries.
     pub(super) requests: BTreeMap<u64, Request>,
-    /// The last entry of the incarnation before it.
+    /// The last entry of the previous incarnation.
     pub(super) previous: Option<LogPosition>,
 }
 
 impl Incarnation {
-    /// Adds an entry's number, if it is new.
+    /// Adds the number and fingerprint of an entry, if its number is new.
     pub(super) fn register(&mut self, entry: &Entry) -> AddOutcome {
         let number = entry.id.number;
         let fingerprint = fingerprint(entry);
@@ -57,7 +60,7 @@
         AddOutcome::Added
     }
 
-    /// The numbers of the open entries of requests that have not ended.
+    /// Returns the numbers of the open entries of requests that are not settled.
     pub(super) fn open_requests(&self) -> impl Iterator<Item = u64> + '_ {
         let open = self.requests.iter().filter(|(_, request)| request.settled.is_none());
         open.map(|(number, _)| *number)
--- a/crates/ledger/src/usage_totals/mod.rs
+++ b/crates/ledger/src/usage_totals/mod.rs
@@ -1,8 +1,8 @@
-//! Usage totals: adds ledger entries up by account, plan and period.
+//! Usage totals: sums of ledger entries by account, plan and billing period.
 //!
-//! Entries may come in any order and any number of copies, from this ingress's log and from others'; the same entries
-//! always give the same totals. The totals also know what has been exported, as far as the consumer's acknowledgements
-//! say, and which periods are complete.
+//! Entries of this ingress and of others may be added in any order and any number of copies; the same set of entries
+//! always gives the same totals. The totals also track which usage is exported, according to the consumer's
+//! acknowledgements, and which periods are complete.
 
 mod accounts;
 mod export_state;
@@ -22,14 +22,14 @@
 use request::{Request, RequestUpdate, Settled, Settling};
 use std::collections::BTreeMap;
 
-/// An account's use under a plan in a period.
+/// The usage of an account under a plan in a billing period.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Sum {
     /// Units of settled requests, with corrections.
     pub units: i64,
     /// Requests that used any units.
     pub requests: u64,
-    /// Requests whose end was presumed and has not been corrected.
+    /// Requests whose outcome is presumed and was not corrected.
     pub presumed: u64,
     /// Units of requests that are still open.
     pub open: u64,
@@ -38,41 +38,41 @@
 /// What [`UsageTotals::add`] did with an entry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AddOutcome {
-    /// It was added.
+    /// The entry was added.
     Added,
-    /// A copy of it had been added before: nothing changed.
+    /// A copy of the entry was added before. Nothing changed.
     Duplicate,
-    /// Another entry of the same id had been added before: an ingress used a number twice. The first one stays.
+    /// A different entry with the same id was added before: an ingress used a sequence number twice. Nothing changed.
     Conflict,
 }
 
-/// What a sum is kept for.
+/// Key of a sum.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct SumKey {
     period: u64,
-    payer: AccountPlanIndex,
+    account_plan: AccountPlanIndex,
 }
 
-/// The latest period that an ingress has closed, and the entry that says so.
+/// The latest period that an ingress has closed, and the position of the entry that closed it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 struct ClosedPeriod {
     period: u64,
     closed_by: LogPosition,
 }
 
-/// Adds up use by account, plan and period.
+/// Usage by account, plan and billing period, with the state of the export.
 pub struct UsageTotals {
     periods: Periods,
     incarnations: BTreeMap<IncarnationId, Incarnation>,
-    payers: AccountPlans,
+    account_plans: AccountPlans,
     sums: BTreeMap<SumKey, Sum>,
-    /// How many requests are open, by period.
+    /// Number of open requests, by period. Contains no zeros.
     open_requests: BTreeMap<u64, u64>,
-    /// Updates that came before the open entry of their request.
+    /// Updates that were added before the open entry of their request.
     early_updates: BTreeMap<EntryId, Vec<RequestUpdate>>,
     closed_periods: BTreeMap<u16, ClosedPeriod>,
     exports: ExportState,
-    /// Settled requests of periods before this one have been dropped.
+    /// Settled requests of periods before this one were dropped.
     dropped_before: u64,
     unmatched_updates: u64,
     /// The latest time of any entry, by ingress.
@@ -80,12 +80,12 @@
 }
 
 impl UsageTotals {
-    /// Totals of no entries.
+    /// Creates totals without entries.
     pub fn new(periods: Periods) -> Self {
         UsageTotals {
             periods,
             incarnations: BTreeMap::new(),
-            payers: AccountPlans::default(),
+            account_plans: AccountPlans::default(),
             sums: BTreeMap::new(),
             open_requests: BTreeMap::new(),
             early_updates: BTreeMap::new(),
@@ -134,18 +134,18 @@
             }
             EntryBody::BatchPrepared(batch) => {
                 self.exports.add_batch(batch);
-                self.exports.apply_acknowledged(&batch.stream, &mut self.payers);
+                self.exports.apply_acknowledged(&batch.stream, &mut self.account_plans);
             }
             EntryBody::BatchAcknowledged(acknowledged) => {
                 self.exports.add_acknowledgement(acknowledged);
-                self.exports.apply_acknowledged(&acknowledged.stream, &mut self.payers);
+                self.exports.apply_acknowledged(&acknowledged.stream, &mut self.account_plans);
             }
         }
     }
 
     fn open_request(&mut self, id: EntryId, period: u64, opened: &RequestOpened) {
-        let payer = self.payers.index_of(&opened.account, &opened.plan);
-        let key = SumKey { period, payer };
+        let account_plan = self.account_plans.index_of(&opened.account, &opened.plan);
+        let key = SumKey { period, account_plan };
         self.insert_request(id, Request { key, units: opened.units, settled: None, corrected: false });
         for update in self.early_updates.remove(&id).unwrap_or_default() {
             self.update_request(id, update);
@@ -161,21 +161,21 @@
     }
 
     fn correct(&mut self, correction: &Correction) {
-        let payer = self.payers.index_of(&correction.account, &correction.plan);
-        let key = SumKey { period: correction.period, payer };
+        let account_plan = self.account_plans.index_of(&correction.account, &correction.plan);
+        let key = SumKey { period: correction.period, account_plan };
         let sum = self.sums.entry(key).or_default();
         sum.units = sum.units.saturating_add(correction.units);
         self.exports.changed.insert(key);
         self.update_request(correction.opened_by(), RequestUpdate::Corrected);
     }
 
-    /// Updates a request, or keeps the update until the request's open entry comes.
+    /// Updates a request, or keeps the update until the request's open entry is added.
     fn update_request(&mut self, id: EntryId, update: RequestUpdate) {
         let incarnation = self.incarnations.get_mut(&id.incarnation_id());
         let entry_added = incarnation.as_ref().is_some_and(|log| log.numbers.contains(id.number));
         let Some(request) = incarnation.and_then(|log| log.requests.get_mut(&id.number)) else {
             if entry_added {
-                self.unmatched_updates += 1; // dropped with its period, or not an open entry
+                self.unmatched_updates += 1; // the request was dropped, or the entry is not an open entry
             } else {
                 self.early_updates.entry(id).or_default().push(update);
             }
@@ -206,13 +206,13 @@
         }
     }
 
-    /// How time is cut into periods.
+    /// Returns the mapping of times to billing periods.
     pub fn periods(&self) -> Periods {
         self.periods
     }
 
-    /// The latest incarnation of an ingress, the last number in it and the latest time of any of its entries; zeros
-    /// where there are none.
+    /// Returns the latest incarnation of an ingress, the last number in it, and the latest time of any entry of the ingress.
+    /// Zeros if the ingress has no entries.
     pub fn latest(&self, ingress: u16) -> (u64, u64, Micros) {
         let latest = self.incarnations.range(IncarnationId::all_of(ingress)).next_back();
         let (incarnation, number) =
@@ -220,13 +220,13 @@
         (incarnation, number, self.last_written_at.get(&ingress).copied().unwrap_or(0))
     }
 
-    /// Whether an entry has been added.
+    /// Returns whether an entry was added.
     pub fn contains(&self, id: EntryId) -> bool {
         let incarnation = self.incarnations.get(&id.incarnation_id());
         incarnation.is_some_and(|log| log.numbers.contains(id.number))
     }
 
-    /// An account's use in a period, under all plans.
+    /// Returns the usage of an account in a period, under all plans.
     pub fn sum(&self, account: &str, period: u64) -> Sum {
         let mut total = Sum::default();
         for (sum_account, _, sum_period, sum) in self.sums() {
@@ -240,21 +240,21 @@
         total
     }
 
-    /// All sums with their account, plan and period, in that order.
+    /// Returns all sums with their account, plan and period, sorted by these.
     pub fn sums(&self) -> impl Iterator<Item = (&str, &str, u64, Sum)> {
         let mut list: Vec<_> = self
             .sums
             .iter()
             .map(|(key, sum)| {
-                let payer = self.payers.get(key.payer);
-                (payer.account.as_str(), payer.plan.as_str(), key.period, *sum)
+                let account_plan = self.account_plans.get(key.account_plan);
+                (account_plan.account.as_str(), account_plan.plan.as_str(), key.period, *sum)
             })
             .collect();
         list.sort_unstable_by_key(|(account, plan, period, _)| (*account, *plan, *period));
         list.into_iter()
     }
 
-    /// Requests of an ingress that are open, of all its incarnations.
+    /// Returns the open requests of all incarnations of an ingress.
     pub fn open_requests(&self, ingress: u16) -> Vec<EntryId> {
         let mut open = Vec::new();
         for (id, incarnation) in self.incarnations.range(IncarnationId::all_of(ingress)) {
@@ -263,40 +263,41 @@
         open
     }
 
-    /// The numbers of the entries that were added, by incarnation.
+    /// Returns the numbers of the entries that were added, by incarnation.
     pub fn numbers(&self) -> impl Iterator<Item = (IncarnationId, &SequenceRanges)> {
         let with_entries = self.incarnations.iter().filter(|(_, log)| !log.numbers.is_empty());
         with_entries.map(|(id, log)| (*id, &log.numbers))
     }
 
-    /// The same as a list of ranges.
+    /// Returns the entries that were added, as a list of ranges.
     pub fn ranges(&self) -> Vec<Range> {
         self.numbers().flat_map(|(id, numbers)| ranges_of(id, numbers)).collect()
     }
 
-    /// The numbers of an incarnation's entries that were added.
+    /// Returns the numbers of the entries of an incarnation that were added.
     pub fn numbers_of(&self, id: IncarnationId) -> &[SequenceRange] {
         self.incarnations.get(&id).map(|log| log.numbers.as_slice()).unwrap_or_default()
     }
 
-    /// Numbers among `theirs` whose entries of an incarnation were not added, at most `limit` of them.
+    /// Returns the numbers in `wanted` whose entries of an incarnation were not added, at most `limit` of them.
     pub fn missing_from(
         &self,
         id: IncarnationId,
-        theirs: &[SequenceRange],
+        wanted: &[SequenceRange],
         limit: u64,
     ) -> Vec<SequenceRange> {
         match self.incarnations.get(&id) {
-            Some(log) => log.numbers.missing_from(theirs, limit),
-            None => SequenceRanges::default().missing_from(theirs, limit),
+            Some(log) => log.numbers.missing_from(wanted, limit),
+            None => SequenceRanges::default().missing_from(wanted, limit),
         }
     }
 
-    /// The latest period that an ingress has closed; `None` if an entry that it wrote up to then is missing here.
+    /// Returns the latest period that an ingress has closed; `None` if it has closed none, or if an entry is missing here
+    /// that it wrote before it closed the period.
     pub fn last_complete_period(&self, ingress: u16) -> Option<u64> {
         let ClosedPeriod { period, closed_by } = *self.closed_periods.get(&ingress)?;
         let mut end = closed_by;
-        // Bounded by the number of incarnations: one that names itself or a later one as its previous ends the loop.
+        // The number of iterations is bounded, as a faulty entry may name its own or a later incarnation as the previous one.
         for _ in 0..=self.incarnations.len() {
             let incarnation =
                 self.incarnations.get(&IncarnationId { ingress, incarnation: end.incarnation })?;
@@ -311,12 +312,12 @@
         None
     }
 
-    /// The first period with open requests.
+    /// Returns the first period with open requests.
     pub fn first_open_period(&self) -> Option<u64> {
         self.open_requests.keys().next().copied()
     }
 
-    /// Drops the settled requests of periods before one; their sums stay, and so do open requests.
+    /// Drops the settled requests of periods before `period`. Their sums and open requests are kept.
     pub fn drop_settled_before(&mut self, period: u64) {
         self.dropped_before = self.dropped_before.max(period);
         for incarnation in self.incarnations.values_mut() {
@@ -326,7 +327,8 @@
         }
     }
 
-    /// Settlements and corrections whose request had been dropped, or was none: counted, not applied to a request.
+    /// Returns the number of settlements and corrections that were applied to no request, as the request was dropped or the
+    /// entry to which they refer does not open a request.
     pub fn unmatched_updates(&self) -> u64 {
         self.unmatched_updates
     }
--- a/crates/ledger/src/usage_totals/request.rs
+++ b/crates/ledger/src/usage_totals/request.rs
@@ -1,60 +1,60 @@
-//! A single request in the totals: open, settled, corrected.
+//! State of a single request in the totals: open, settled, corrected.
 
 use super::{Sum, SumKey};
 use crate::entry::LogPosition;
 
-/// How a request has ended, by one settling entry.
+/// The outcome of a request, according to one settling entry.
 #[derive(Clone, Copy)]
 pub(super) struct Settled {
-    /// The settling entry, of the request's ingress.
+    /// Position of the settling entry, which the ingress of the request wrote.
     pub(super) settled_by: LogPosition,
     pub(super) units: u64,
     pub(super) presumed: bool,
 }
 
 impl Settled {
-    /// Orders settlements of one request: the lowest counts. One that is known comes before one that is presumed, then
-    /// the one written first.
+    /// Orders the settlements of a request; the lowest one counts. A known outcome ranks below a presumed one. Of
+    /// two known or two presumed outcomes, the one that was written first ranks lower.
     fn rank(&self) -> (bool, LogPosition) {
         (self.presumed, self.settled_by)
     }
 }
 
-/// What later entries say of a request.
+/// A change to a request by an entry after its open entry.
 pub(super) enum RequestUpdate {
     Settled(Settled),
     Corrected,
 }
 
-/// What [`Request::settle`] did.
+/// Result of [`Request::settle`].
 pub(super) enum Settling {
-    /// The request was open and has ended.
+    /// The request was open and is now settled.
     First,
-    /// The new settlement replaced one that had been added before it.
+    /// The new settlement replaced one that was added before.
     Replaced,
-    /// A settlement that counts more had been added before: nothing changed.
+    /// A settlement of lower or equal rank was added before. Nothing changed.
     Superseded,
 }
 
 /// A request that was opened.
 pub(super) struct Request {
     pub(super) key: SumKey,
-    /// Units that it uses if it runs.
+    /// Units that the request uses if it runs.
     pub(super) units: u64,
     pub(super) settled: Option<Settled>,
     pub(super) corrected: bool,
 }
 
 impl Request {
-    /// Notes that a correction was written; its units are added to the sum by the caller.
+    /// Marks the request as corrected. The caller adds the units of the correction to the sum.
     pub(super) fn correct(&mut self, sum: &mut Sum) {
         let was_presumed = !self.corrected && self.settled.is_some_and(|settled| settled.presumed);
         sum.presumed -= u64::from(was_presumed);
         self.corrected = true;
     }
 
-    /// Settles the request. A request has one end: where two were written (after a disk was restored from an old copy),
-    /// the same one counts whatever order they come in.
+    /// Settles the request. If two settlements were written, as after a disk was restored from an old copy, the same one
+    /// counts whichever is added first.
     pub(super) fn settle(&mut self, new: Settled, sum: &mut Sum) -> Settling {
         if self.settled.as_ref().is_some_and(|old| old.rank() <= new.rank()) {
             return Settling::Superseded;
--- a/crates/ledger/src/usage_totals/snapshot.rs
+++ b/crates/ledger/src/usage_totals/snapshot.rs
@@ -1,7 +1,7 @@
-//! Usage totals as bytes: what the ledger stores in place of old segments.
+//! Protobuf encoding of usage totals, which a snapshot of the ledger contains in place of old segments.
 
 use super::accounts::AccountPlan;
-use super::export_state::{Exported, Stream};
+use super::export_state::{ExportedUsage, Stream};
 use super::incarnation::Incarnation;
 use super::request::Request;
 use super::{ranges_of, ClosedPeriod, Sum, SumKey, UsageTotals};
@@ -35,10 +35,10 @@
 struct EncodedIncarnation {
     #[prost(message, repeated, tag = "1")]
     entries: Vec<Range>,
-    /// The incarnation before it, 0 for none ...
+    /// The previous incarnation; 0 for none.
     #[prost(uint64, tag = "2")]
     previous_incarnation: u64,
-    /// ... and the last number of that one.
+    /// The last number of the previous incarnation.
     #[prost(uint64, tag = "3")]
     previous_number: u64,
 }
@@ -51,9 +51,10 @@
     last_written_at: u64,
     #[prost(uint64, optional, tag = "3")]
     closed_period: Option<u64>,
-    /// The entry that closed the period.
+    /// Incarnation of the entry that closed the period.
     #[prost(uint64, tag = "4")]
     incarnation: u64,
+    /// Number of the entry that closed the period.
     #[prost(uint64, tag = "5")]
     number: u64,
 }
@@ -107,7 +108,11 @@
 
 fn decode_range(range: &Range) -> Result<(IncarnationId, SequenceRange), EntryError> {
     if range.from == 0 || range.from > range.to || range.to == u64::MAX {
-        return Err(EntryError::Value("range's end", range.to, "its beginning or more"));
+        return Err(EntryError::Value(
+            "range's end",
+            range.to,
+            "the range's start, which is 1 or more, or above",
+        ));
     }
     let ingress = checked_ingress(range.ingress)?;
     Ok((IncarnationId { ingress, incarnation: range.incarnation }, range.numbers()))
@@ -137,10 +142,10 @@
 }
 
 impl UsageTotals {
-    /// The totals as bytes, with the requests that are open.
+    /// Encodes the totals, with the requests that are open.
     ///
-    /// `None` where the bytes would lose something: settled requests that were not dropped, updates that came before
-    /// their open entry, batches without an acknowledgement.
+    /// Returns `None` if the totals contain what the encoding cannot represent: settled requests that were not dropped,
+    /// updates without an open entry, batches without an acknowledgement or acknowledgements without a batch.
     pub fn snapshot(&self) -> Option<Vec<u8>> {
         let requests = || self.incarnations.values().flat_map(|incarnation| incarnation.requests.values());
         if requests().any(|request| request.settled.is_some()) || !self.early_updates.is_empty() {
@@ -168,7 +173,7 @@
     }
 
     fn encode_sum(&self, key: &SumKey) -> EncodedSum {
-        let AccountPlan { account, plan } = self.payers.get(key.payer).clone();
+        let AccountPlan { account, plan } = self.account_plans.get(key.account_plan).clone();
         let sum = self.sums.get(key).copied().unwrap_or_default();
         let exported = self.exports.exported.get(key).copied().unwrap_or_default();
         EncodedSum {
@@ -199,7 +204,7 @@
         let mut list = Vec::new();
         for (id, incarnation) in &self.incarnations {
             for (number, request) in &incarnation.requests {
-                let AccountPlan { account, plan } = self.payers.get(request.key.payer).clone();
+                let AccountPlan { account, plan } = self.account_plans.get(request.key.account_plan).clone();
                 list.push(EncodedOpenRequest {
                     entry: Some(Range::new(*id, SequenceRange::new(*number, *number))),
                     account,
@@ -213,10 +218,11 @@
         list
     }
 
-    /// The totals that [`UsageTotals::snapshot`] made bytes of.
+    /// Decodes totals that [`UsageTotals::snapshot`] has encoded.
     ///
     /// # Errors
-    /// The bytes are not a snapshot, or a number in it is out of range.
+    /// [`EntryError::Form`] if the bytes are not protobuf of the expected schema; [`EntryError::Value`] if an ingress or a
+    /// range is out of range.
     pub fn restore(periods: Periods, bytes: &[u8]) -> Result<UsageTotals, EntryError> {
         let encoded = EncodedTotals::decode(bytes)?;
         let mut totals = UsageTotals::new(periods);
@@ -247,11 +253,11 @@
     }
 
     fn restore_sum(&mut self, encoded: &EncodedSum) {
-        let payer = self.payers.index_of(&encoded.account, &encoded.plan);
-        let key = SumKey { period: encoded.period, payer };
+        let account_plan = self.account_plans.index_of(&encoded.account, &encoded.plan);
+        let key = SumKey { period: encoded.period, account_plan };
         let EncodedSum { units, requests, presumed, exported_units, exported_requests, .. } = *encoded;
         self.sums.insert(key, Sum { units, requests, presumed, open: 0 });
-        let exported = Exported { units: exported_units, requests: exported_requests };
+        let exported = ExportedUsage { units: exported_units, requests: exported_requests };
         self.exports.exported.insert(key, exported);
         self.exports.changed.insert(key);
     }
@@ -278,8 +284,8 @@
 
     fn restore_open_request(&mut self, encoded: &EncodedOpenRequest) -> Result<(), EntryError> {
         let (id, numbers) = decode_range(&encoded.entry.unwrap_or_default())?;
-        let payer = self.payers.index_of(&encoded.account, &encoded.plan);
-        let key = SumKey { period: encoded.period, payer };
+        let account_plan = self.account_plans.index_of(&encoded.account, &encoded.plan);
+        let key = SumKey { period: encoded.period, account_plan };
         let request = Request { key, units: encoded.units, settled: None, corrected: encoded.corrected };
         self.insert_request(id.entry(numbers.first), request);
         Ok(())
