--- a/crates/ledger/src/usage_totals/snapshot.rs
+++ b/crates/ledger/src/usage_totals/snapshot.rs
@@ -108,11 +108,7 @@
 
 fn decode_range(range: &Range) -> Result<(IncarnationId, SequenceRange), EntryError> {
     if range.from == 0 || range.from > range.to || range.to == u64::MAX {
-        return Err(EntryError::Value(
-            "range's end",
-            range.to,
-            "the range's start, which is 1 or more, or above",
-        ));
+        return Err(EntryError::Value("range end", range.to, "at least the range start, which is 1 or more"));
     }
     let ingress = checked_ingress(range.ingress)?;
     Ok((IncarnationId { ingress, incarnation: range.incarnation }, range.numbers()))
