--- a/crates/gateway/src/ledger/export.rs
+++ b/crates/gateway/src/ledger/export.rs
@@ -90,7 +90,7 @@
     /// Frees memory of entries that are exported and no longer needed.
     fn forget_exported(&mut self) {
         let mut totals = lock(&self.ledger.totals);
-        totals.forget_exported();
+        totals.prune_changed_sums();
         let final_until = self.exporter.final_until(self.ledger.runtime.now(), &totals);
         let Some(before) = final_until.and_then(|period| period.checked_sub(KEPT_PERIODS)) else { return };
         if before > self.dropped_before && totals.all_exported_before(before) {
--- a/crates/gateway/src/ledger/writer.rs
+++ b/crates/gateway/src/ledger/writer.rs
@@ -115,7 +115,7 @@
 
     async fn fail(&mut self, error: StoreError) {
         tracing::error!(%error, "ledger: disk failed, nothing more is written");
-        lock(&self.ledger.recorder).fail_disk();
+        lock(&self.ledger.recorder).mark_disk_failed();
         self.replicated.close();
         let _ = self.driver.send(DriverEvent::LedgerProgress).await; // fails if the instance has stopped
     }
--- a/crates/ledger/src/recorder/mod.rs
+++ b/crates/ledger/src/recorder/mod.rs
@@ -277,8 +277,9 @@
         self.durable_up_to
     }
 
-    /// Handles a failed write or sync: no more entries are written, and requests that wait for an entry are never sent.
-    pub fn fail_disk(&mut self) {
+    /// Marks the disk as failed, after a failed write or sync: no more entries are written, and requests that wait for an
+    /// entry are never sent.
+    pub fn mark_disk_failed(&mut self) {
         self.disk_failed = true;
         self.pending.clear();
         self.waiting.clear();
--- a/crates/ledger/src/usage_totals/export_state.rs
+++ b/crates/ledger/src/usage_totals/export_state.rs
@@ -177,7 +177,7 @@
 
     /// Removes sums that are fully exported from the set of changed sums. This changes no result; it shortens the time that
     /// [`UsageTotals::unexported_lines`] takes.
-    pub fn forget_exported(&mut self) {
+    pub fn prune_changed_sums(&mut self) {
         let mut changed = std::mem::take(&mut self.exports.changed);
         changed.retain(|key| self.unexported(key) != ExportedUsage::default());
         self.exports.changed = changed;
--- a/crates/ledger/src/usage_totals/snapshot.rs
+++ b/crates/ledger/src/usage_totals/snapshot.rs
@@ -244,7 +244,7 @@
         }
         totals.dropped_before = encoded.dropped_before;
         totals.unmatched_updates = encoded.unmatched_updates;
-        totals.forget_exported();
+        totals.prune_changed_sums();
         Ok(totals)
     }
 
--- a/crates/ledger/tests/recorder.rs
+++ b/crates/ledger/tests/recorder.rs
@@ -71,7 +71,7 @@
     );
     recorder.mark_durable(handles[2].number);
     assert_eq!(recorder.reserve(9000), Reservation::Recorded);
-    recorder.fail_disk();
+    recorder.mark_disk_failed();
     assert_eq!(recorder.reserve(9000), Reservation::Rejected { retry_after: 700 });
     assert_eq!(
         (recorder.open_request(9000, opened("x")), recorder.add_attempt(9000, 1, "n".into())),
@@ -82,7 +82,7 @@
     assert!(recorder.take_pending().is_empty(), "nothing is written any more");
     let mut lenient =
         Recorder::new(1, 7, PERIODS, Config { serve_unrecorded: true, ..config() }, Recovery::new(1), 0);
-    lenient.fail_disk();
+    lenient.mark_disk_failed();
     assert_eq!(lenient.reserve(0), Reservation::Unrecorded);
 }
 
