--- a/crates/ledger/tests/log_and_totals.rs
+++ b/crates/ledger/tests/log_and_totals.rs
@@ -1,4 +1,4 @@
-//! Segments that are torn at every byte or changed at any; usage totals of entries in any order and any number of copies.
+//! Segments that are torn or changed at any byte; usage totals of entries in any order and any number of copies.
 
 use chalkgap_ledger::entry::{Correction, RequestOpened, RequestSettled};
 use chalkgap_ledger::segment::INITIAL_CHAIN;
@@ -45,13 +45,13 @@
     }
 }
 
-fn correction(ingress: u16, number: u64, of: EntryId, account: &str, units: i64) -> Entry {
+fn correction(ingress: u16, number: u64, opened_by: EntryId, account: &str, units: i64) -> Entry {
     let correction = Correction {
-        ingress: of.ingress.into(),
-        incarnation: of.incarnation,
-        number: of.number,
+        ingress: opened_by.ingress.into(),
+        incarnation: opened_by.incarnation,
+        number: opened_by.number,
         units,
-        why: "truth".into(),
+        why: "the node ran it".into(),
         account: account.into(),
         plan: "p".into(),
         period: 0,
@@ -59,7 +59,8 @@
     Entry { id: id(ingress, number), at: 0, body: EntryBody::Correction(correction) }
 }
 
-fn day() -> Vec<Entry> {
+/// Entries of two ingresses: requests that are settled, presumed and corrected, and open.
+fn sample_entries() -> Vec<Entry> {
     vec![
         open(0, 1, "a", 3, HOUR - 1),
         open(0, 2, "a", 2, HOUR),
@@ -74,96 +75,116 @@
 
 fn segment(entries: &[Entry]) -> Vec<u8> {
     let mut writer = SegmentWriter::new(1, INITIAL_CHAIN);
-    entries.iter().for_each(|e| writer.append(e).unwrap());
+    entries.iter().for_each(|entry| writer.append(entry).unwrap());
     writer.take_bytes()
 }
 
 #[test]
-fn of_a_torn_segment_all_complete_records_are_read() {
-    let (entries, bytes) = (day(), segment(&day()));
+fn all_complete_records_of_a_torn_segment_are_read() {
+    let entries = sample_entries();
+    let bytes = segment(&entries);
     for cut in 0..=bytes.len() {
         let scanned = scan(&bytes[..cut], Some(INITIAL_CHAIN));
         assert_eq!(scanned.entries, entries[..scanned.entries.len()], "cut at {cut}");
         assert!(scanned.valid_bytes <= cut);
-        let edge = scanned.valid_bytes == cut && cut > 0;
-        assert_eq!(scanned.end, if edge { SegmentEnd::Complete } else { SegmentEnd::Torn }, "cut at {cut}");
-        // Going on after the cut makes a good segment again.
+        let cut_between_records = scanned.valid_bytes == cut && cut > 0;
+        assert_eq!(
+            scanned.end,
+            if cut_between_records { SegmentEnd::Complete } else { SegmentEnd::Torn },
+            "cut at {cut}"
+        );
+        // Truncated to its valid bytes and continued, the segment is complete again.
         if scanned.number.is_some() {
             let mut writer = SegmentWriter::resume(scanned.chain);
             writer.append(&open(2, 9, "z", 1, 0)).unwrap();
-            let whole = [&bytes[..scanned.valid_bytes], &writer.take_bytes()].concat();
-            let again = scan(&whole, Some(INITIAL_CHAIN));
-            assert_eq!((again.entries.len(), again.end), (scanned.entries.len() + 1, SegmentEnd::Complete));
+            let continued = [&bytes[..scanned.valid_bytes], &writer.take_bytes()].concat();
+            let rescanned = scan(&continued, Some(INITIAL_CHAIN));
+            assert_eq!(
+                (rescanned.entries.len(), rescanned.end),
+                (scanned.entries.len() + 1, SegmentEnd::Complete)
+            );
         }
     }
 }
 
 #[test]
 fn any_change_before_the_last_record_is_damage_and_is_located() {
-    let bytes = segment(&day());
-    let last = bytes.len() - (20 + day().last().unwrap().encode().len());
+    let bytes = segment(&sample_entries());
+    let last_record = bytes.len() - (20 + sample_entries().last().unwrap().encode().len());
     for at in 0..bytes.len() {
         for bit in [0, 3, 7] {
-            let mut bad = bytes.clone();
-            bad[at] ^= 1 << bit;
-            let scanned = scan(&bad, Some(INITIAL_CHAIN));
-            // The number in the head is for people; all else counts.
+            let mut changed = bytes.clone();
+            changed[at] ^= 1 << bit;
+            let scanned = scan(&changed, Some(INITIAL_CHAIN));
+            // The chain does not cover the segment number in the header.
             if (9..17).contains(&at) {
                 continue;
             }
-            assert!(scanned.entries.len() < day().len(), "byte {at}");
+            assert!(scanned.entries.len() < sample_entries().len(), "byte {at}");
             match scanned.end {
                 SegmentEnd::Damaged { at: found, .. } => assert!(found <= at, "byte {at} found at {found}"),
                 // A length that points past the end looks like a torn record.
                 SegmentEnd::Torn => assert!(scanned.valid_bytes <= at, "byte {at}"),
-                SegmentEnd::Complete => panic!("byte {at}: not found"),
+                SegmentEnd::Complete => panic!("byte {at}: the change was not found"),
             }
             assert!(
-                at < last || scanned.entries.len() == day().len() - 1,
-                "a bad last record costs that one alone"
+                at < last_record || scanned.entries.len() == sample_entries().len() - 1,
+                "a change in the last record affects only this record"
             );
         }
     }
 }
 
 #[test]
-fn missing_records_and_foreign_segments_are_damage() {
-    let (all, entries) = (segment(&day()), day());
-    let first = 33 + 20 + entries[0].encode().len();
-    let second = first + 20 + entries[1].encode().len();
-    let missing = [&all[..first], &all[second..]].concat();
+fn missing_records_and_invalid_segments_are_damage() {
+    let entries = sample_entries();
+    let bytes = segment(&entries);
+    let first_record_end = 33 + 20 + entries[0].encode().len();
+    let second_record_end = first_record_end + 20 + entries[1].encode().len();
+    let missing = [&bytes[..first_record_end], &bytes[second_record_end..]].concat();
     let scanned = scan(&missing, Some(INITIAL_CHAIN));
-    assert!(matches!(scanned.end, SegmentEnd::Damaged { at, .. } if at == first), "{:?}", scanned.end);
-    let scanned = scan(&all, Some([9; 16]));
+    assert!(
+        matches!(scanned.end, SegmentEnd::Damaged { at, .. } if at == first_record_end),
+        "{:?}",
+        scanned.end
+    );
+    let scanned = scan(&bytes, Some([9; 16]));
     assert!(matches!(scanned.end, SegmentEnd::Damaged { at: 17, .. }));
     let scanned = scan(b"something else", None);
     assert!(matches!(scanned.end, SegmentEnd::Damaged { at: 0, .. }));
-    let mut newer = all.clone();
-    newer[8] = 9;
-    assert!(matches!(scan(&newer, None).end, SegmentEnd::Damaged { at: 8, .. }));
-    let mut huge = all[..33].to_vec();
-    huge.extend([0xff; 40]);
-    assert!(matches!(scan(&huge, None).end, SegmentEnd::Damaged { at: 33, .. }), "no memory is taken for it");
-    // Two segments: the second goes on where the first ends.
-    let mut writer = SegmentWriter::new(2, scan(&all, None).chain);
+    let mut other_version = bytes.clone();
+    other_version[8] = 9;
+    assert!(matches!(scan(&other_version, None).end, SegmentEnd::Damaged { at: 8, .. }));
+    let mut too_long = bytes[..33].to_vec();
+    too_long.extend([0xff; 40]);
+    assert!(
+        matches!(scan(&too_long, None).end, SegmentEnd::Damaged { at: 33, .. }),
+        "an entry above the limit is rejected by its length"
+    );
+    // Two segments: the second continues the chain of the first.
+    let mut writer = SegmentWriter::new(2, scan(&bytes, None).chain);
     writer.append(&open(0, 7, "a", 1, 0)).unwrap();
-    assert_eq!(scan(&writer.take_bytes(), Some(scan(&all, None).chain)).end, SegmentEnd::Complete);
+    assert_eq!(scan(&writer.take_bytes(), Some(scan(&bytes, None).chain)).end, SegmentEnd::Complete);
 }
 
 #[test]
 fn totals_add_up() {
     let mut totals = UsageTotals::new(Periods::Every(HOUR));
-    assert!(day().iter().all(|e| totals.add(e) == AddOutcome::Added));
+    assert!(sample_entries().iter().all(|entry| totals.add(entry) == AddOutcome::Added));
     assert_eq!(totals.sum("a", 0), Sum { units: 3, requests: 1, presumed: 0, open: 0 });
-    assert_eq!(totals.sum("a", 1), Sum { units: 0, requests: 0, presumed: 0, open: 0 }, "it never ran");
+    assert_eq!(
+        totals.sum("a", 1),
+        Sum { units: 0, requests: 0, presumed: 0, open: 0 },
+        "the request never ran"
+    );
     assert_eq!(
         totals.sum("b", 0),
         Sum { units: 5, requests: 0, presumed: 0, open: 1 },
-        "presumed nought, and corrected"
+        "0 units were presumed, and corrected to 5"
     );
     assert_eq!(totals.open_requests(0), [id(0, 6)]);
-    // A copy is known; another entry under a number that was used is a conflict, and changes nothing.
-    assert_eq!(totals.add(&day()[0]), AddOutcome::Duplicate);
+    // A copy is a duplicate. A different entry with a number that was used is a conflict and changes no sum.
+    assert_eq!(totals.add(&sample_entries()[0]), AddOutcome::Duplicate);
     assert_eq!(totals.add(&open(0, 1, "a", 300, HOUR - 1)), AddOutcome::Conflict);
     assert_eq!(totals.sum("a", 0).units, 3);
 }
@@ -186,24 +207,29 @@
 }
 
 proptest! {
-    /// Whatever order entries come in, and however often: the same sums.
+    /// The same entries give the same sums in any order and any number of copies.
     #[test]
-    fn the_same_totals_in_any_order_with_any_copies(order in proptest::collection::vec(0usize..9, 0..60), twice in any::<bool>()) {
-        let mut all = day();
-        // A second end of the same request: the one written first counts.
-        all.push(settled(0, 7, 1, if twice { 3 } else { 9 }, false));
-        let mut straight = UsageTotals::new(Periods::Every(HOUR));
-        for e in &all {
-            straight.add(e);
+    fn the_same_totals_in_any_order_with_any_copies(order in proptest::collection::vec(0usize..9, 0..60), same_units in any::<bool>()) {
+        let mut all = sample_entries();
+        // A second settlement of the same request: the one that was written first counts.
+        all.push(settled(0, 7, 1, if same_units { 3 } else { 9 }, false));
+        let mut in_order = UsageTotals::new(Periods::Every(HOUR));
+        for entry in &all {
+            in_order.add(entry);
         }
-        let mut mixed = UsageTotals::new(Periods::Every(HOUR));
-        for n in order.into_iter().chain(0..all.len()) {
-            mixed.add(&all[n]);
+        let mut shuffled = UsageTotals::new(Periods::Every(HOUR));
+        for position in order.into_iter().chain(0..all.len()) {
+            shuffled.add(&all[position]);
         }
-        let sums = |b: &UsageTotals| b.sums().map(|(a, _, p, s)| (a.to_owned(), p, s)).collect::<Vec<_>>();
-        prop_assert_eq!(sums(&mixed), sums(&straight));
-        prop_assert_eq!(mixed.open_requests(0), straight.open_requests(0));
-        prop_assert_eq!(mixed.numbers().map(|(_, numbers)| numbers.clone()).collect::<Vec<_>>(), straight.numbers().map(|(_, numbers)| numbers.clone()).collect::<Vec<_>>());
+        let sums = |totals: &UsageTotals| {
+            totals.sums().map(|(account, _, period, sum)| (account.to_owned(), period, sum)).collect::<Vec<_>>()
+        };
+        prop_assert_eq!(sums(&shuffled), sums(&in_order));
+        prop_assert_eq!(shuffled.open_requests(0), in_order.open_requests(0));
+        let numbers = |totals: &UsageTotals| {
+            totals.numbers().map(|(_, numbers)| numbers.clone()).collect::<Vec<_>>()
+        };
+        prop_assert_eq!(numbers(&shuffled), numbers(&in_order));
     }
 
     #[test]
@@ -211,14 +237,14 @@
         let scanned = scan(&bytes, None);
         prop_assert!(scanned.valid_bytes <= bytes.len());
         let _ = Entry::decode(&bytes);
-        let headed = [&segment(&[])[..], &bytes].concat();
-        prop_assert!(scan(&headed, None).valid_bytes <= headed.len());
+        let with_header = [&segment(&[])[..], &bytes].concat();
+        prop_assert!(scan(&with_header, None).valid_bytes <= with_header.len());
     }
 
     #[test]
-    fn entries_survive_encoding(account in any::<String>(), units in any::<u64>(), less in any::<i64>(), at in any::<u64>()) {
-        for e in [open(3, 4, &account, units, at), settled(3, 4, units, at, true), correction(3, 4, id(9, 1), &account, less)] {
-            prop_assert_eq!(Entry::decode(&e.encode()), Ok(e));
+    fn encoded_entries_are_decoded_unchanged(account in any::<String>(), units in any::<u64>(), difference in any::<i64>(), at in any::<u64>()) {
+        for entry in [open(3, 4, &account, units, at), settled(3, 4, units, at, true), correction(3, 4, id(9, 1), &account, difference)] {
+            prop_assert_eq!(Entry::decode(&entry.encode()), Ok(entry));
         }
     }
 }
--- a/crates/ledger/tests/recorded_store.rs
+++ b/crates/ledger/tests/recorded_store.rs
@@ -1,4 +1,5 @@
-//! A ledger's folder as an earlier version left it: read whole, added up to the same, and written the same again.
+//! Compatibility with a recorded ledger directory: it is read completely, gives the recorded sums, and the same entries are
+//! written as the same bytes.
 
 use chalkgap_ledger::entry::*;
 use chalkgap_ledger::store::{self, Store};
@@ -15,10 +16,10 @@
 const SECOND: u64 = 1_000_000;
 const PERIODS: Periods = Periods::Every(60 * SECOND);
 const START: u64 = 1_800_000_000 * SECOND;
-/// Bytes of a segment: small, so that a few entries fill several.
-const SEGMENT: u64 = 400;
-/// The last segment that the snapshot stands for.
-const REPLACED: u64 = 1;
+/// Number of bytes after which a segment ends: small, so that a few entries fill several segments.
+const SEGMENT_BYTES: u64 = 400;
+/// The last segment that the snapshot replaces.
+const LAST_REPLACED_SEGMENT: u64 = 1;
 
 fn entry(number: u64, body: EntryBody) -> Entry {
     Entry { id: EntryId { ingress: 2, incarnation: START, number }, at: START + number * SECOND, body }
@@ -64,7 +65,7 @@
     let basis = vec![Range { ingress: 2, incarnation: START, from: 1, to: 9 }];
     let batch = Batch { stream: "2".into(), number: 1, lines: vec![line], basis, until: period };
     let digest = batch.digest().to_vec();
-    let whats = vec![
+    let bodies = vec![
         EntryBody::IncarnationStarted(IncarnationStarted { period, incarnation: START - 5, number: 44 }),
         open(2, "acme", 3),
         settled(2, 3, false),
@@ -79,56 +80,58 @@
         EntryBody::BatchAcknowledged(BatchAcknowledged { stream: "2".into(), number: 1, digest }),
         open(13, "other", 7),
     ];
-    (1u64..).zip(whats).map(|(number, what)| entry(number, what)).collect()
+    (1u64..).zip(bodies).map(|(number, body)| entry(number, body)).collect()
 }
 
-/// A folder of this test's own, removed when it ends.
-struct Folder(std::path::PathBuf);
+/// A temporary directory, removed when it is dropped.
+struct TemporaryDirectory(std::path::PathBuf);
 
-impl Folder {
-    fn new(name: &str) -> Folder {
+impl TemporaryDirectory {
+    fn new(name: &str) -> TemporaryDirectory {
         let path = std::env::temp_dir().join(format!("chalkgap-recorded-{name}-{}", std::process::id()));
-        drop(std::fs::remove_dir_all(&path)); // what an earlier run with this number left
+        drop(std::fs::remove_dir_all(&path)); // left by an earlier process with the same id
         std::fs::create_dir_all(&path).unwrap();
-        Folder(path)
+        TemporaryDirectory(path)
     }
 }
 
-impl Drop for Folder {
+impl Drop for TemporaryDirectory {
     fn drop(&mut self) {
         drop(std::fs::remove_dir_all(&self.0));
     }
 }
 
-async fn write(runtime: &Shared, folder: &Path, entries: &[Entry]) {
-    let mut store = Store::open(runtime.clone(), folder, SEGMENT, |_| ()).await.unwrap();
+async fn write(runtime: &Shared, directory: &Path, entries: &[Entry]) {
+    let mut store = Store::open(runtime.clone(), directory, SEGMENT_BYTES, |_| ()).await.unwrap();
     for entry in entries {
         store.commit(std::slice::from_ref(entry)).await.unwrap();
     }
 }
 
-/// The names of a folder's segments and snapshots, in order.
-fn files(folder: &Path) -> Vec<String> {
+/// Returns the names of a directory's segments and snapshots, in order.
+fn files(directory: &Path) -> Vec<String> {
     let names =
-        std::fs::read_dir(folder).unwrap().map(|file| file.unwrap().file_name().into_string().unwrap());
+        std::fs::read_dir(directory).unwrap().map(|file| file.unwrap().file_name().into_string().unwrap());
     let mut names: Vec<String> = names.filter(|name| name != "lock").collect();
     names.sort();
     names
 }
 
-/// Writes the fixture: segments, of which a snapshot replaces the first ones.
+/// Records the fixture: a snapshot, and the segments after it.
 fn record(runtime: &Shared, fixtures: &Path) {
-    let made = Folder::new("made");
+    let written = TemporaryDirectory::new("written");
     block_on(async {
-        write(runtime, &made.0, &entries()).await;
-        let keep = PERIODS.of(START) + 1;
-        let snapshot = store::build_snapshot(runtime, &made.0, PERIODS, REPLACED, keep).await.unwrap();
-        let mut store = Store::open(runtime.clone(), &made.0, SEGMENT, |_| ()).await.unwrap();
-        store.compact(&snapshot.expect("nothing is unfinished")).await.unwrap();
+        write(runtime, &written.0, &entries()).await;
+        let keep_from = PERIODS.of(START) + 1;
+        let snapshot = store::build_snapshot(runtime, &written.0, PERIODS, LAST_REPLACED_SEGMENT, keep_from)
+            .await
+            .unwrap();
+        let mut store = Store::open(runtime.clone(), &written.0, SEGMENT_BYTES, |_| ()).await.unwrap();
+        store.compact(&snapshot.expect("the totals can be encoded")).await.unwrap();
     });
     std::fs::create_dir_all(fixtures).unwrap();
-    for file in files(&made.0) {
-        std::fs::copy(made.0.join(&file), fixtures.join(&file)).unwrap();
+    for file in files(&written.0) {
+        std::fs::copy(written.0.join(&file), fixtures.join(&file)).unwrap();
     }
 }
 
@@ -150,7 +153,7 @@
 }
 
 #[test]
-fn a_recorded_folder_is_read_and_written_again() {
+fn a_recorded_directory_is_read_and_appended_to() {
     let system = System::new();
     let runtime: Shared = system.clone();
     let fixtures = recorded::fixture("ledger");
@@ -158,54 +161,61 @@
         record(&runtime, &fixtures);
     }
 
-    let copy = Folder::new("copy");
+    let copy = TemporaryDirectory::new("copy");
     for file in files(&fixtures) {
         std::fs::copy(fixtures.join(&file), copy.0.join(&file)).unwrap();
     }
     let (text, appended) = block_on(async {
-        let snapshot = store::read_snapshot(&runtime, &copy.0).await.unwrap().expect("a snapshot");
+        let snapshot =
+            store::read_snapshot(&runtime, &copy.0).await.unwrap().expect("the directory has a snapshot");
         let mut totals = UsageTotals::restore(PERIODS, &snapshot.totals).unwrap();
-        assert_eq!(totals.snapshot().expect("nothing is unfinished"), snapshot.totals);
+        assert_eq!(totals.snapshot().expect("the totals can be encoded"), snapshot.totals);
         let mut read = Vec::new();
         let mut store =
-            Store::open(runtime.clone(), &copy.0, SEGMENT, |entry| read.push(entry)).await.unwrap();
+            Store::open(runtime.clone(), &copy.0, SEGMENT_BYTES, |entry| read.push(entry)).await.unwrap();
         for entry in &read {
             totals.add(entry);
         }
         let all = entries();
-        assert!(read.len() >= 2 && all.ends_with(&read), "the entries that the snapshot does not stand for");
+        assert!(read.len() >= 2 && all.ends_with(&read), "the entries after the snapshot are read");
         let mut text = sums(&totals);
         writeln!(text, "segment {}, entries read {}", store.current_segment(), read.len()).unwrap();
-        // What is written now continues the chain.
+        // A new entry continues the chain of the recorded segments.
         store.commit(&[entry(14, settled(13, 6, false))]).await.unwrap();
         drop(store);
-        let mut last = Vec::new();
-        let reopened =
-            Store::open(runtime.clone(), &copy.0, SEGMENT, |entry| last.push(entry)).await.unwrap();
+        let mut read_again = Vec::new();
+        let reopened = Store::open(runtime.clone(), &copy.0, SEGMENT_BYTES, |entry| read_again.push(entry))
+            .await
+            .unwrap();
         drop(reopened);
-        (text, last.len() - read.len())
+        (text, read_again.len() - read.len())
     });
     assert_eq!(appended, 1);
     recorded::check_text("ledger_sums.txt", &text);
 }
 
-/// Segments written today are those that were recorded, byte for byte.
+/// The same entries are written as the recorded segments, byte for byte.
 #[test]
-fn segments_are_the_bytes_that_were_recorded() {
+fn written_segments_equal_the_recorded_bytes() {
     let system = System::new();
     let runtime: Shared = system.clone();
-    let made = Folder::new("again");
-    block_on(write(&runtime, &made.0, &entries()));
+    let written = TemporaryDirectory::new("again");
+    block_on(write(&runtime, &written.0, &entries()));
     let fixtures = recorded::fixture("ledger");
     for file in files(&fixtures).iter().filter(|file| file.ends_with(".seg")) {
-        let now = std::fs::read(made.0.join(file)).unwrap();
-        let before = std::fs::read(fixtures.join(file)).unwrap();
-        assert!(now == before, "{file} differs: {} bytes now, {} recorded", now.len(), before.len());
+        let written_bytes = std::fs::read(written.0.join(file)).unwrap();
+        let recorded_bytes = std::fs::read(fixtures.join(file)).unwrap();
+        assert!(
+            written_bytes == recorded_bytes,
+            "{file} differs: {} bytes written, {} recorded",
+            written_bytes.len(),
+            recorded_bytes.len()
+        );
     }
 }
 
 #[test]
-fn entries_are_the_bytes_that_were_recorded() {
+fn encoded_entries_equal_the_recorded_bytes() {
     let entries = entries();
     let names: Vec<String> = entries.iter().map(|entry| format!("entry {}", entry.id.number)).collect();
     let bytes: Vec<(&str, Vec<u8>)> =
--- a/crates/ledger/tests/recorder.rs
+++ b/crates/ledger/tests/recorder.rs
@@ -1,4 +1,4 @@
-//! What a recorder accepts, writes, presumes and closes.
+//! The recorder: which requests it accepts, which entries it writes, which outcomes it presumes, when it closes periods.
 
 use chalkgap_ledger::entry::{Entry, EntryBody, RequestOpened};
 use chalkgap_ledger::recorder::{Config, Recorder, Recovery, RequestStatus, Reservation, Settlement, Stats};
@@ -22,7 +22,7 @@
 
 fn start(log: &[Entry], now: u64) -> Recorder {
     let mut recovery = Recovery::new(1);
-    log.iter().for_each(|e| recovery.add(e));
+    log.iter().for_each(|entry| recovery.add(entry));
     let incarnation = chalkgap_ledger::store::next_incarnation(recovery.latest_incarnation(), now);
     Recorder::new(1, incarnation, PERIODS, config(), recovery, now)
 }
@@ -39,7 +39,7 @@
 }
 
 fn unknown(request: &str, nodes: &[&str]) -> Settlement {
-    let nodes = nodes.iter().map(|n| (*n).to_owned()).collect::<BTreeSet<String>>();
+    let nodes = nodes.iter().map(|node| (*node).to_owned()).collect::<BTreeSet<String>>();
     Settlement::Unknown { nodes, opened: Box::new(opened(request)) }
 }
 
@@ -60,14 +60,18 @@
     let mut recorder = start(&[], 5000);
     let handles: Vec<_> =
         (0..3).map(|n| recorder.open_request(5000, opened(&n.to_string())).unwrap()).collect();
-    assert_eq!(recorder.reserve(5000), Reservation::Rejected { retry_after: 700 }, "as many wait as may");
+    assert_eq!(
+        recorder.reserve(5000),
+        Reservation::Rejected { retry_after: 700 },
+        "the limit of waiting entries is reached"
+    );
     recorder.take_pending();
     recorder.mark_durable(handles[1].number);
     assert_eq!(recorder.reserve(5050), Reservation::Recorded);
     assert_eq!(
         recorder.reserve(5051),
         Reservation::Rejected { retry_after: 700 },
-        "the third waits for too long"
+        "the third entry has waited for too long"
     );
     recorder.mark_durable(handles[2].number);
     assert_eq!(recorder.reserve(9000), Reservation::Recorded);
@@ -79,28 +83,31 @@
     );
     recorder.settle(9000, handles[0], 4, Settlement::Ran { node: "n1".into() });
     recorder.tick(99_000);
-    assert!(recorder.take_pending().is_empty(), "nothing is written any more");
-    let mut lenient =
+    assert!(recorder.take_pending().is_empty(), "no entry is written after a disk failure");
+    let mut serving_unrecorded =
         Recorder::new(1, 7, PERIODS, Config { serve_unrecorded: true, ..config() }, Recovery::new(1), 0);
-    lenient.mark_disk_failed();
-    assert_eq!(lenient.reserve(0), Reservation::Unrecorded);
+    serving_unrecorded.mark_disk_failed();
+    assert_eq!(serving_unrecorded.reserve(0), Reservation::Unrecorded);
 }
 
 #[test]
-fn unknown_ends_are_looked_up_presumed_and_corrected() {
+fn unknown_outcomes_are_looked_up_presumed_and_corrected() {
     let mut recorder = start(&[], 5000);
     let handle = recorder.open_request(5000, opened("r")).unwrap();
     recorder.settle(5010, handle, 4, unknown("r", &["n1", "n2"]));
     let lookups = recorder.lookups_due(5010, 10, 10);
     assert_eq!(lookups.keys().collect::<Vec<_>>(), ["n1", "n2"]);
     let id = lookups["n1"][0].id;
-    assert!(recorder.lookups_due(5015, 10, 10).is_empty(), "not at once again");
+    assert!(
+        recorder.lookups_due(5015, 10, 10).is_empty(),
+        "a node is not asked again before the lookup interval has passed"
+    );
     recorder.lookup_answered(5015, id, "n1", RequestStatus::NeverRan);
     recorder.lookup_answered(5015, id, "n2", RequestStatus::Unknown);
     assert_eq!(
         recorder.lookups_due(5021, 10, 10).keys().collect::<Vec<_>>(),
         ["n2"],
-        "the one that has not said"
+        "only the node that has not answered is asked again"
     );
     recorder.tick(5109);
     let mut log = recorder.take_pending();
@@ -110,15 +117,15 @@
     assert_eq!(
         sum(&log, 5),
         Sum { presumed: 1, ..Sum::default() },
-        "nobody is billed for what cannot be shown"
+        "a request that no node has confirmed is not billed"
     );
-    // A node answers later: a correction, in the period of the use.
+    // A node answers later: a correction is written, in the period of the usage.
     recorder.lookup_answered(6200, id, "n2", RequestStatus::Ran);
     recorder.lookup_answered(6201, id, "n2", RequestStatus::Ran);
     log.extend(recorder.take_pending());
     assert_eq!(sum(&log, 5), Sum { units: 4, ..Sum::default() });
     assert_eq!(recorder.stats(), Stats { unsettled: 0, presumed: 1, corrected: 1 });
-    // Or it never ran: known now, and the same.
+    // A node answers later that the request never ran: the outcome has the same units and is known.
     let handle = recorder.open_request(6300, opened("s")).unwrap();
     recorder.settle(6300, handle, 4, unknown("s", &["n1"]));
     recorder.tick(6400);
@@ -128,7 +135,7 @@
     recorder.lookup_answered(6401, id, "n1", RequestStatus::NeverRan);
     log.extend(recorder.take_pending());
     assert_eq!(sum(&log, 6), Sum::default());
-    // Without any answer it stays presumed once the correction window is over.
+    // Without an answer the outcome stays presumed, and the request is dropped after the correction window.
     let handle = recorder.open_request(6500, opened("t")).unwrap();
     recorder.settle(6500, handle, 4, unknown("t", &["n1"]));
     recorder.tick(6600);
@@ -144,12 +151,12 @@
         recorder.mark_durable(handle.number);
         recorder.settle(5000, handle, 4, unknown(&n.to_string(), &[&format!("n{n}")]));
     }
-    assert_eq!(recorder.lookups_due(5000, 10, 8).len(), 8, "so many nodes at once");
+    assert_eq!(recorder.lookups_due(5000, 10, 8).len(), 8, "lookups are limited to 8 nodes");
     recorder.tick(5100);
     assert_eq!(
         recorder.stats().unsettled,
         2,
-        "presumed, and remembered for a correction only as far as allowed"
+        "presumed requests are kept for a correction only up to the limit"
     );
 }
 
@@ -161,10 +168,13 @@
     recorder.add_attempt(5002, first.number, "n2".into()).unwrap();
     recorder.settle(5003, second, 4, Settlement::Ran { node: "n1".into() });
     let mut log = recorder.take_pending();
-    // In any order: some may have been fetched back from others.
+    // Entries may be in any order, as some may have been fetched from other ingresses.
     log.reverse();
     let mut recorder = start(&log, 4000);
-    assert!(recorder.incarnation() > 5000, "its clock was set back");
+    assert!(
+        recorder.incarnation() > 5000,
+        "the incarnation is later than the last one although the clock was set back"
+    );
     let lookups = recorder.lookups_due(5100, 10, 10);
     assert_eq!(lookups.keys().collect::<Vec<_>>(), ["n1", "n2"]);
     let id = lookups["n2"][0].id;
@@ -172,12 +182,12 @@
     recorder.lookup_answered(5100, id, "n2", RequestStatus::Ran);
     log.extend(recorder.take_pending());
     assert_eq!(sum(&log, 5), Sum { units: 8, requests: 2, ..Sum::default() });
-    // Copies that come back from others: an end that is known there is known here.
+    // Copies of entries that other ingresses return: a request that they settle is settled here.
     let mut restored = start(&log[..0], 9000);
     restored.add_returned(9000, &log[..4]);
     assert_eq!(restored.stats().unsettled, 1);
     restored.add_returned(9001, &log[4..]);
-    assert_eq!(restored.stats().unsettled, 0, "settled in an incarnation that this disk had lost");
+    assert_eq!(restored.stats().unsettled, 0, "the request is settled by an entry that this disk had lost");
 }
 
 #[test]
@@ -185,7 +195,7 @@
     let mut recorder = start(&[], 5900);
     recorder.open_request(5950, opened("r")).unwrap();
     recorder.tick(6001);
-    // The clock of the machine goes back: entries do not.
+    // The clock is set back: the times of entries do not decrease.
     let handle = recorder.open_request(5999, opened("s")).unwrap();
     assert_eq!(handle.at, 6001);
     recorder.tick(6500);
@@ -193,22 +203,29 @@
     let log = recorder.take_pending();
     let closed: Vec<u64> = log
         .iter()
-        .filter_map(|e| if let EntryBody::PeriodClosed(c) = &e.body { Some(c.period) } else { None })
+        .filter_map(|entry| match &entry.body {
+            EntryBody::PeriodClosed(closed) => Some(closed.period),
+            _ => None,
+        })
         .collect();
-    assert_eq!(closed, [4, 5, 8], "each once; those that were slept through at once");
-    assert!(log.windows(2).all(|w| w[0].at <= w[1].at));
+    assert_eq!(
+        closed,
+        [4, 5, 8],
+        "each period is closed once, and periods without a tick are closed by the next one"
+    );
+    assert!(log.windows(2).all(|pair| pair[0].at <= pair[1].at));
     let mut totals = UsageTotals::new(PERIODS);
     add_all(&mut totals, log.iter());
     assert_eq!((totals.last_complete_period(1), totals.first_open_period()), (Some(8), Some(5)));
-    // One entry missing: nobody can say that all is here.
+    // One entry is missing: no period is complete.
     let mut totals = UsageTotals::new(PERIODS);
-    add_all(&mut totals, log.iter().filter(|e| e.id.number != 3));
+    add_all(&mut totals, log.iter().filter(|entry| entry.id.number != 3));
     assert_eq!(totals.last_complete_period(1), None);
     // The next incarnation names the one before it and its last number.
     let next = start(&log, 9600).take_pending();
     let mut totals = UsageTotals::new(PERIODS);
     add_all(&mut totals, next.iter());
-    assert_eq!(totals.last_complete_period(1), None, "the incarnation before is not here");
+    assert_eq!(totals.last_complete_period(1), None, "the entries of the previous incarnation are missing");
     add_all(&mut totals, log.iter());
     assert_eq!(totals.last_complete_period(1), Some(8));
 }
