--- a/crates/ledger/tests/model.rs
+++ b/crates/ledger/tests/model.rs
@@ -1,11 +1,14 @@
-//! Export and reconciling as a model: two exporters of one stream, a network that loses, repeats and delays, crashes.
-//! Every state within the bounds is visited. Broken variants are kept, to show that the invariants would find them.
+//! Model of export and reconciliation, checked exhaustively within its bounds: two exporters of one stream, crashes, and a
+//! network that loses, repeats and delays messages. Faulty variants of the protocol show that the invariants detect them.
 
 use stateright::{Checker, HasDiscoveries, Model, Property};
 
-/// Use: entry `n` is `1 << n` units, so that a sum names the entries in it.
+/// A set of entries, as bits. Entry `n` records `1 << n` units, so that a sum identifies the entries in it.
 type Entries = u8;
-const ALL: Entries = 0b111;
+const ALL_ENTRIES: Entries = 0b111;
+
+/// The sender of the consumer's messages; exporters are 0 and 1.
+const CONSUMER: usize = 2;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 struct Batch {
@@ -16,61 +19,66 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Exporter {
-    /// Durable: entries, batches that the consumer has, and the one that was written and not acknowledged.
-    have: Entries,
-    done: Vec<Batch>,
+    /// Durable entries.
+    entries: Entries,
+    /// Durable batches that the consumer has acknowledged.
+    acknowledged: Vec<Batch>,
+    /// The durable batch that was written and is not acknowledged.
     pending: Option<Batch>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 enum Message {
-    Hand(Batch),
-    /// To an exporter: the batch that is there under a number. `asked` is the one that the answer is for.
-    There {
-        to: usize,
-        asked: Batch,
-        there: Batch,
-    },
+    /// To the consumer.
+    Send(Batch),
+    /// To an exporter, in reply to the batch `sent`: the batch that the consumer has stored with this number.
+    Reply { to: usize, sent: Batch, stored: Batch },
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct State {
     exporters: Vec<Exporter>,
     consumer: Vec<Batch>,
-    /// Sent and perhaps delivered: any of them may come now, again or never. In order, as a set is.
+    /// Messages that were sent, with their senders: each may be delivered any number of times or never. Sorted, without
+    /// duplicates, so that equal sets are equal states.
     network: Vec<(usize, Message)>,
     crashes: u8,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum Step {
-    /// An exporter writes the next batch down.
+    /// An exporter writes its next batch to its ledger.
     Write(usize),
-    /// It hands it to the consumer.
-    Hand(usize),
-    /// A message comes; it may come again.
+    /// An exporter sends its pending batch to the consumer.
+    Send(usize),
+    /// The message at an index of the network is delivered; it may be delivered again.
     Deliver(usize),
-    /// An exporter gets an entry that the other has.
+    /// An exporter fetches an entry that the other one has.
     Fetch(usize, u8),
-    /// It writes an entry of its own.
-    Use(usize),
-    /// It crashes: what is not durable is gone.
+    /// An exporter writes a new entry.
+    Record(usize),
+    /// An exporter crashes and loses what is not durable.
     Crash(usize),
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Fault {
     None,
-    /// An acknowledgement is taken by its number alone: whatever is there, it is mine.
+    /// An exporter takes a reply as the acknowledgement of its own batch, without comparing it with the stored batch.
     NumberOnly,
-    /// A batch is added up without looking whether all that the ones before had is here.
+    /// An exporter writes a batch although entries are missing from which earlier batches were computed.
     NoBasis,
-    /// A batch is handed over before it is written: after a crash another one goes under its number.
-    HandFirst,
-    /// The consumer takes a number again.
-    TakenTwice,
+    /// An exporter sends a batch before it is durable: after a crash it sends a different batch with the same number.
+    SendBeforeWrite,
+    /// The consumer stores a second batch with the same number.
+    StoredTwice,
 }
 
+/// Names of the properties that hold in some reachable state, unlike the invariants.
+const EVERY_ENTRY_BILLED: &str = "every entry is billed";
+const ACKNOWLEDGED_AFTER_CRASH: &str = "both exporters know several acknowledged batches after a crash";
+
+/// The protocol of export and reconciliation, with a fault or without.
 struct Export(Fault);
 
 fn units(entries: Entries) -> i8 {
@@ -78,15 +86,16 @@
 }
 
 impl Export {
-    /// What an exporter would write next.
-    fn next(&self, e: &Exporter) -> Option<Batch> {
-        let told: i8 = e.done.iter().map(|b| b.units).sum();
-        let basis = e.done.iter().fold(0, |all, b| all | b.basis);
-        if self.0 != Fault::NoBasis && basis & !e.have != 0 {
+    /// Returns the batch that an exporter writes next.
+    fn next_batch(&self, exporter: &Exporter) -> Option<Batch> {
+        let exported: i8 = exporter.acknowledged.iter().map(|batch| batch.units).sum();
+        let basis = exporter.acknowledged.iter().fold(0, |all, batch| all | batch.basis);
+        if self.0 != Fault::NoBasis && basis & !exporter.entries != 0 {
             return None;
         }
-        let more = units(e.have) - told;
-        (more != 0).then_some(Batch { number: e.done.len() as u8 + 1, units: more, basis: e.have })
+        let unexported = units(exporter.entries) - exported;
+        let number = exporter.acknowledged.len() as u8 + 1;
+        (unexported != 0).then_some(Batch { number, units: unexported, basis: exporter.entries })
     }
 }
 
@@ -95,8 +104,8 @@
     type Action = Step;
 
     fn init_states(&self) -> Vec<State> {
-        let exporter = |have| Exporter { have, done: Vec::new(), pending: None };
-        // One has used two entries, the other is about to use the third.
+        let exporter = |entries| Exporter { entries, acknowledged: Vec::new(), pending: None };
+        // The first exporter has recorded two entries, the second one will record the third.
         vec![State {
             exporters: vec![exporter(0b011), exporter(0)],
             consumer: Vec::new(),
@@ -105,95 +114,104 @@
         }]
     }
 
-    fn actions(&self, s: &State, actions: &mut Vec<Step>) {
-        for (n, e) in s.exporters.iter().enumerate() {
-            if e.pending.is_none() && self.next(e).is_some() {
-                actions.push(Step::Write(n));
-            }
-            if e.pending.is_some() && e.pending.is_some_and(|b| !s.network.contains(&(n, Message::Hand(b)))) {
-                actions.push(Step::Hand(n));
+    fn actions(&self, state: &State, actions: &mut Vec<Step>) {
+        for (index, exporter) in state.exporters.iter().enumerate() {
+            match exporter.pending {
+                None if self.next_batch(exporter).is_some() => actions.push(Step::Write(index)),
+                Some(batch) if !state.network.contains(&(index, Message::Send(batch))) => {
+                    actions.push(Step::Send(index));
+                }
+                _ => {}
             }
-            let other = s.exporters[1 - n].have;
-            actions.extend((0..3).filter(|i| (other & !e.have) >> i & 1 == 1).map(|i| Step::Fetch(n, i)));
-            if s.crashes < 2 {
-                actions.push(Step::Crash(n));
+            let missing = state.exporters[1 - index].entries & !exporter.entries;
+            let fetched = (0..3).filter(|entry| missing >> entry & 1 == 1);
+            actions.extend(fetched.map(|entry| Step::Fetch(index, entry)));
+            if state.crashes < 2 {
+                actions.push(Step::Crash(index));
             }
         }
-        if s.exporters[1].have & 0b100 == 0 {
-            actions.push(Step::Use(1));
+        if state.exporters[1].entries & 0b100 == 0 {
+            actions.push(Step::Record(1));
         }
-        actions.extend((0..s.network.len()).map(Step::Deliver));
+        actions.extend((0..state.network.len()).map(Step::Deliver));
     }
 
     fn next_state(&self, last: &State, step: Step) -> Option<State> {
-        let mut s = last.clone();
-        let send = |s: &mut State, from: usize, m: Message| {
-            if let Err(at) = s.network.binary_search(&(from, m)) {
-                s.network.insert(at, (from, m));
+        let mut state = last.clone();
+        let send = |state: &mut State, from: usize, message: Message| {
+            if let Err(position) = state.network.binary_search(&(from, message)) {
+                state.network.insert(position, (from, message));
             }
         };
         match step {
-            Step::Write(n) => s.exporters[n].pending = self.next(&s.exporters[n]),
-            Step::Hand(n) => {
-                let batch = s.exporters[n].pending?;
-                send(&mut s, n, Message::Hand(batch));
+            Step::Write(index) => state.exporters[index].pending = self.next_batch(&state.exporters[index]),
+            Step::Send(index) => {
+                let batch = state.exporters[index].pending?;
+                send(&mut state, index, Message::Send(batch));
             }
-            Step::Fetch(n, i) => s.exporters[n].have |= 1 << i,
-            Step::Use(n) => s.exporters[n].have |= 0b100,
-            Step::Crash(n) => {
-                s.crashes += 1;
-                if self.0 == Fault::HandFirst {
-                    s.exporters[n].pending = None;
+            Step::Fetch(index, entry) => state.exporters[index].entries |= 1 << entry,
+            Step::Record(index) => state.exporters[index].entries |= 0b100,
+            Step::Crash(index) => {
+                state.crashes += 1;
+                if self.0 == Fault::SendBeforeWrite {
+                    state.exporters[index].pending = None;
                 }
             }
-            Step::Deliver(at) => match s.network[at] {
-                (from, Message::Hand(batch)) => {
-                    let next = s.consumer.len() as u8 + 1;
-                    if batch.number == next || (self.0 == Fault::TakenTwice && batch.number < next) {
-                        s.consumer.push(batch);
+            Step::Deliver(position) => match state.network[position] {
+                (from, Message::Send(batch)) => {
+                    let next = state.consumer.len() as u8 + 1;
+                    if batch.number == next || (self.0 == Fault::StoredTwice && batch.number < next) {
+                        state.consumer.push(batch);
                     }
-                    let there = *s.consumer.get(usize::from(batch.number) - 1)?;
-                    send(&mut s, 2, Message::There { to: from, asked: batch, there });
+                    let stored = *state.consumer.get(usize::from(batch.number) - 1)?;
+                    send(&mut state, CONSUMER, Message::Reply { to: from, sent: batch, stored });
                 }
-                (_, Message::There { to, asked, there }) => {
-                    let e = &mut s.exporters[to];
-                    if usize::from(asked.number) != e.done.len() + 1 {
-                        return None; // known
+                (_, Message::Reply { to, sent, stored }) => {
+                    let exporter = &mut state.exporters[to];
+                    if usize::from(sent.number) != exporter.acknowledged.len() + 1 {
+                        return None; // a reply to a batch that is already acknowledged
                     }
-                    let by_number = matches!(self.0, Fault::NumberOnly | Fault::HandFirst);
-                    e.done.push(if by_number { e.pending.unwrap_or(there) } else { there });
-                    e.pending = None;
+                    let by_number = matches!(self.0, Fault::NumberOnly | Fault::SendBeforeWrite);
+                    let own = exporter.pending.filter(|_| by_number);
+                    exporter.acknowledged.push(own.unwrap_or(stored));
+                    exporter.pending = None;
                 }
             },
         }
-        (s != *last).then_some(s)
+        (state != *last).then_some(state)
     }
 
-    /// Broken variants would go on for ever.
-    fn within_boundary(&self, s: &State) -> bool {
-        s.consumer.len() <= 4 && s.network.len() <= 12
+    /// Bounds the state space, which is infinite for the faulty variants.
+    fn within_boundary(&self, state: &State) -> bool {
+        state.consumer.len() <= 4 && state.network.len() <= 12
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::<Self>::always("no entry is billed twice, and none that nobody has", |_, s| {
-                let billed: i8 = s.consumer.iter().map(|b| b.units).sum();
-                let basis = s.consumer.iter().fold(0, |all, b| all | b.basis);
-                billed == units(basis) && basis & !ALL == 0
-            }),
-            Property::<Self>::always("what was billed stays billed", |_, s| {
-                s.consumer.iter().all(|b| b.units > 0)
+            Property::<Self>::always(
+                "billed units are those of existing entries, each billed once",
+                |_, state| {
+                    let billed: i8 = state.consumer.iter().map(|batch| batch.units).sum();
+                    let basis = state.consumer.iter().fold(0, |all, batch| all | batch.basis);
+                    billed == units(basis) && basis & !ALL_ENTRIES == 0
+                },
+            ),
+            Property::<Self>::always("no batch takes back billed units", |_, state| {
+                state.consumer.iter().all(|batch| batch.units > 0)
             }),
-            Property::<Self>::always("nobody believes what the consumer does not have", |_, s| {
-                s.exporters.iter().all(|e| s.consumer.starts_with(&e.done))
+            Property::<Self>::always(
+                "the consumer has all batches that exporters take as acknowledged",
+                |_, state| {
+                    state.exporters.iter().all(|exporter| state.consumer.starts_with(&exporter.acknowledged))
+                },
+            ),
+            Property::<Self>::sometimes(EVERY_ENTRY_BILLED, |_, state| {
+                state.consumer.iter().map(|batch| batch.units).sum::<i8>() == units(ALL_ENTRIES)
             }),
-            Property::<Self>::sometimes("all is billed", |_, s| {
-                s.consumer.iter().map(|b| b.units).sum::<i8>() == units(ALL)
+            Property::<Self>::sometimes(ACKNOWLEDGED_AFTER_CRASH, |_, state| {
+                let acknowledged = state.exporters.iter().all(|exporter| exporter.acknowledged.len() > 1);
+                state.crashes > 0 && state.consumer.len() > 1 && acknowledged
             }),
-            Property::<Self>::sometimes(
-                "all is billed after both exporters had a batch taken and one crashed",
-                |_, s| s.crashes > 0 && s.consumer.len() > 1 && s.exporters.iter().all(|e| e.done.len() > 1),
-            ),
         ]
     }
 }
@@ -203,17 +221,18 @@
 }
 
 #[test]
-fn no_order_of_events_loses_or_doubles_an_entry() {
+fn no_order_of_events_loses_an_entry_or_bills_it_twice() {
     let checked = check(Fault::None);
     checked.assert_properties();
     assert!(checked.unique_state_count() > 10_000, "{} states", checked.unique_state_count());
 }
 
 #[test]
-fn broken_variants_are_found() {
-    for fault in [Fault::NumberOnly, Fault::NoBasis, Fault::HandFirst, Fault::TakenTwice] {
-        let found = check(fault).discoveries();
-        let broken: Vec<&str> = found.keys().copied().filter(|name| !name.starts_with("all is")).collect();
-        assert!(!broken.is_empty(), "{fault:?} was not found");
+fn faulty_variants_violate_an_invariant() {
+    for fault in [Fault::NumberOnly, Fault::NoBasis, Fault::SendBeforeWrite, Fault::StoredTwice] {
+        let discoveries = check(fault).discoveries();
+        let reachable = [EVERY_ENTRY_BILLED, ACKNOWLEDGED_AFTER_CRASH];
+        let violated = discoveries.keys().filter(|name| !reachable.contains(name));
+        assert!(violated.count() > 0, "{fault:?} violates no invariant");
     }
 }
