--- a/crates/ledger/benches/store.rs
+++ b/crates/ledger/benches/store.rs
@@ -1,5 +1,5 @@
-//! Compares the ledger's store with an embedded database (redb) on the disk of the temporary directory: latency of group
-//! commits, bytes per entry, and the time to open the store and rebuild all usage totals.
+//! Compares the ledger's store with an embedded database (redb) on the disk of the temporary directory: latency of
+//! group commits, bytes per entry, and the time to open the store and rebuild all usage totals.
 //!
 //! `cargo bench -p chalkgap-ledger --bench store`
 
--- a/crates/ledger/src/entry.rs
+++ b/crates/ledger/src/entry.rs
@@ -5,8 +5,7 @@
 use crate::Micros;
 use prost::{Message, Oneof};
 
-/// Identifies an entry. All copies of an entry have the same id; no two entries do. An ingress numbers its entries from 1
-/// in each incarnation.
+/// Unique id of an entry, the same for all its copies. An ingress numbers its entries from 1 in each incarnation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct EntryId {
     /// The ingress that wrote the entry.
@@ -60,10 +59,7 @@
     }
 }
 
-/// Converts an ingress id that was read from a disk or received from a peer.
-///
-/// # Errors
-/// [`EntryError::Value`] for an id above 65,535.
+/// Converts an ingress id that was read from a disk or received from a peer. Fails for an id above 65,535.
 pub(crate) fn checked_ingress(ingress: u32) -> Result<u16, EntryError> {
     u16::try_from(ingress).map_err(|_| EntryError::Value("ingress", ingress.into(), "at most 65,535"))
 }
@@ -85,14 +81,13 @@
 pub struct Entry {
     /// The id of the entry.
     pub id: EntryId,
-    /// When the entry was written, by the clock of its ingress; never decreases in an ingress. Determines the billing
-    /// period.
+    /// Time of writing by the clock of the ingress, where it never decreases. Determines the billing period.
     pub at: Micros,
     /// What the entry records.
     pub body: EntryBody,
 }
 
-/// A request is about to be sent to a node, which may use units from now on.
+/// A request is about to be sent to a node. It may use units from now on.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct RequestOpened {
     /// The account that is billed.
@@ -118,7 +113,7 @@
 /// An open request is about to be sent to another node, as a retry or a hedged request.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct AttemptAdded {
-    /// Sequence number of the request's open entry, which is of the same incarnation.
+    /// Sequence number of the request's open entry, which the same incarnation wrote.
     #[prost(uint64, tag = "1")]
     pub open: u64,
     /// The node of the attempt.
@@ -135,8 +130,7 @@
     /// Units that were used; 0 if the request never ran.
     #[prost(uint64, tag = "2")]
     pub units: u64,
-    /// Whether the outcome is presumed, because no node reported in time whether the request ran. A correction follows
-    /// if a node answers later.
+    /// Whether the outcome is presumed: no node reported it in time. A correction follows if a node answers later.
     #[prost(bool, tag = "3")]
     pub presumed: bool,
     /// The node that ran the request; empty if none did.
@@ -379,8 +373,7 @@
     /// Decodes an entry that [`Entry::encode`] has encoded.
     ///
     /// # Errors
-    /// [`EntryError::Form`] if the bytes are not protobuf of the expected schema; [`EntryError::Value`] if the body is of
-    /// an unknown kind, or an id, a reference to another entry or a batch number is out of range.
+    /// [`EntryError::Form`] if protobuf decoding fails; [`EntryError::Value`] for an unknown kind or an invalid number.
     pub fn decode(bytes: &[u8]) -> Result<Entry, EntryError> {
         let encoded = EncodedEntry::decode(bytes)?;
         let body = encoded.body.ok_or(EntryError::Value("kind", 0, "a known kind of entry"))?;
--- a/crates/ledger/src/export.rs
+++ b/crates/ledger/src/export.rs
@@ -1,11 +1,11 @@
 //! Decides which batches an ingress exports, and when. Does no I/O and reads no clock.
 //!
 //! Accounts are distributed over streams, one per ingress of a group. A stream is a sequence of numbered batches at the
-//! consumer. The consumer stores the first batch that it receives with a number, and returns that batch to an exporter that
-//! sends a different one with the same number. Each batch contains the changes since all earlier batches of the stream. So
-//! even if two exporters of a stream cannot reach each other, only one batch per number counts, and both learn which. The
-//! home ingress of a stream exports it. The other ingresses take over, one after the other, only if the export makes no
-//! progress.
+//! consumer. The consumer stores the first batch that it receives with a number, and returns that batch to an exporter
+//! that sends a different one with the same number. Each batch contains the changes since all earlier batches of the
+//! stream. So even if two exporters of a stream cannot reach each other, only one batch per number counts, and both
+//! learn which. The home ingress of a stream exports it. The other ingresses take over, one after the other, only if
+//! the export makes no progress.
 
 use crate::entry::{Batch, BatchAcknowledged, EntryBody, Line, Range};
 use crate::usage_totals::{StreamPosition, UsageTotals};
@@ -15,7 +15,7 @@
 /// Intervals and limits of an [`Exporter`].
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Config {
-    /// Time after the end of a period after which it is final even if some ingress has not closed it, entries are missing or
+    /// Time from the end of a period until it is final even if some ingress has not closed it, entries are missing or
     /// requests are open.
     pub final_after: Micros,
     /// Interval at which a stream is checked.
@@ -132,8 +132,8 @@
         format!("{}.{shard}", ingresses.join("-"))
     }
 
-    /// Returns the latest period such that it and all earlier ones are final. A period is final if all ingresses of the group
-    /// have closed it, no entry is missing and no request is open, or after [`Config::final_after`].
+    /// Returns the latest period such that it and all earlier ones are final. A period is final if all ingresses of the
+    /// group have closed it, no entry is missing and no request is open, or after [`Config::final_after`].
     pub fn final_until(&self, now: Micros, totals: &UsageTotals) -> Option<u64> {
         let complete = self.group.iter().map(|ingress| totals.last_complete_period(*ingress));
         let complete = complete.min().flatten();
--- a/crates/ledger/src/lib.rs
+++ b/crates/ledger/src/lib.rs
@@ -1,4 +1,5 @@
-//! The billing ledger. Its state machines do no I/O and read no clock; its store writes through the runtime's file trait.
+//! The billing ledger. Its state machines do no I/O and read no clock; its store writes through the runtime's file
+//! trait.
 //!
 //! Entries are never edited: usage is recorded by an entry, and a correction is another entry. All copies of an entry
 //! have the same [`EntryId`], so that a union of copies counts each entry once.
--- a/crates/ledger/src/period/tests.rs
+++ b/crates/ledger/src/period/tests.rs
@@ -13,7 +13,10 @@
 
 proptest! {
     #[test]
-    fn a_time_is_before_the_end_of_its_period_and_not_before_the_end_of_the_previous_one(at in any::<u64>(), length in 1u64..1 << 50) {
+    fn a_time_is_before_the_end_of_its_period_and_not_before_the_end_of_the_previous_one(
+        at in any::<u64>(),
+        length in 1u64..1 << 50,
+    ) {
         for periods in [Periods::Every(length), Periods::Months] {
             let period = periods.of(at);
             prop_assert!(at < periods.end(period) || periods.end(period) == u64::MAX || at / 1_000_000 > LAST_SECOND);
--- a/crates/ledger/src/reconcile.rs
+++ b/crates/ledger/src/reconcile.rs
@@ -1,6 +1,6 @@
 //! Anti-entropy with one other ingress, the peer: asks which entries the peer has, then fetches those that are missing
-//! here, in parts and at a bounded rate. Entries are only fetched, never pushed, so that the receiver limits the rate. Does
-//! no I/O and reads no clock.
+//! here, in parts and at a bounded rate. Entries are only fetched, never pushed, so that the receiver limits the rate.
+//! Does no I/O and reads no clock.
 
 use crate::entry::{Entry, EntryId, IncarnationId, Range};
 use crate::sequence_ranges::SequenceRanges;
@@ -89,7 +89,7 @@
         }
     }
 
-    /// Returns what the caller does next.
+    /// Returns the next action of the caller.
     pub fn next_action(&mut self, now: Micros, totals: &UsageTotals) -> NextAction {
         self.refill(now);
         let (missing, any_missing) = self.missing_in(totals);
@@ -143,7 +143,8 @@
     /// incarnation.
     ///
     /// # Errors
-    /// [`PeerError::TooManyRanges`], [`PeerError::InvalidRange`] or [`PeerError::NeverWritten`]; the list is then ignored.
+    /// [`PeerError::TooManyRanges`], [`PeerError::InvalidRange`] or [`PeerError::NeverWritten`]; the list is then
+    /// ignored.
     pub fn listed(&mut self, ranges: &[Range], last_written: u64) -> Result<(), PeerError> {
         if ranges.len() > self.config.max_ranges {
             return Err(PeerError::TooManyRanges(ranges.len()));
@@ -177,8 +178,8 @@
         Ok(())
     }
 
-    /// Handles a request that the peer did not answer, or whose answer was rejected: nothing is requested before the next
-    /// list is due.
+    /// Handles a request that the peer did not answer, or whose answer was rejected: nothing is requested before the
+    /// next list is due.
     pub fn failed(&mut self, now: Micros) {
         self.listed.clear();
         self.next_list_at = now + self.config.list_interval;
--- a/crates/ledger/src/recorder/mod.rs
+++ b/crates/ledger/src/recorder/mod.rs
@@ -1,8 +1,8 @@
-//! Records the requests of one ingress: decides whether a request can be recorded, which entries are written, and when a
-//! billing period is closed. Does no I/O and reads no clock.
+//! Records the requests of one ingress: decides whether a request can be recorded, which entries are written, and when
+//! a billing period is closed. Does no I/O and reads no clock.
 //!
-//! An entry is *written* when the recorder creates it and *durable* once it is synced to the disk. A request is sent to a
-//! node only after its open entry is durable. Entries become durable in the order of their sequence numbers.
+//! An entry is *written* when the recorder creates it and *durable* once it is synced to the disk. A request is sent to
+//! a node only after its open entry is durable. Entries become durable in the order of their sequence numbers.
 
 mod recovery;
 mod usage_lookup;
@@ -35,8 +35,8 @@
     pub correction_window: Micros,
     /// Minimum time between two lookups at the same node.
     pub lookup_interval: Micros,
-    /// Maximum number of requests with an unknown outcome. Beyond it, the outcomes of the oldest requests are presumed, and
-    /// nodes are no longer asked about them.
+    /// Maximum number of requests with an unknown outcome. Beyond it, the outcomes of the oldest requests are presumed,
+    /// and nodes are no longer asked about them.
     pub max_unsettled: usize,
 }
 
@@ -156,7 +156,8 @@
             IncarnationStarted { period, incarnation: previous.incarnation, number: previous.number };
         recorder.append(now, EntryBody::IncarnationStarted(started));
         if let Some(closed) = period.checked_sub(1) {
-            // Earlier incarnations opened their requests in `period` or before. From now on none is opened before `period`.
+            // Earlier incarnations opened their requests in `period` or before. From now on none is opened before
+            // `period`.
             recorder.append(now, EntryBody::PeriodClosed(PeriodClosed { period: closed }));
         }
         recorder.look_up_recovered(now);
@@ -197,15 +198,15 @@
         Reservation::Recorded
     }
 
-    /// Writes the open entry of a request; the request may be sent once the entry is durable. Returns `None` after a disk
-    /// failure.
+    /// Writes the open entry of a request; the request may be sent once the entry is durable. Returns `None` after a
+    /// disk failure.
     pub fn open_request(&mut self, now: Micros, opened: RequestOpened) -> Option<EntryHandle> {
         let number = self.append_and_wait(now, EntryBody::RequestOpened(opened))?;
         Some(EntryHandle { number, at: self.last_at })
     }
 
-    /// Writes that a request is about to be sent to another node; `open` is the number of its open entry. The attempt may be
-    /// sent once the entry with the returned number is durable. Returns `None` after a disk failure.
+    /// Writes that a request is about to be sent to another node; `open` is the number of its open entry. The attempt
+    /// may be sent once the entry with the returned number is durable. Returns `None` after a disk failure.
     pub fn add_attempt(&mut self, now: Micros, open: u64, node: String) -> Option<u64> {
         self.append_and_wait(now, EntryBody::AttemptAdded(AttemptAdded { open, node }))
     }
@@ -246,7 +247,8 @@
         self.append(now, EntryBody::RequestSettled(settled));
     }
 
-    /// Writes that a request is presumed to have used no units: a request is billed only if a node confirms that it ran.
+    /// Writes that a request is presumed to have used no units: a request is billed only if a node confirms that it
+    /// ran.
     fn write_presumed(&mut self, now: Micros, id: EntryId) {
         self.presumed += 1;
         let settled = RequestSettled { presumed: true, ..self.settled(id) };
@@ -259,7 +261,8 @@
         RequestSettled { open: id.number, incarnation, ..RequestSettled::default() }
     }
 
-    /// Takes the entries to commit to the disk, in order, as one group. More may be written before the group is durable.
+    /// Takes the entries to commit to the disk, in order, as one group. More may be written before the group is
+    /// durable.
     pub fn take_pending(&mut self) -> Vec<Entry> {
         std::mem::take(&mut self.pending)
     }
@@ -277,8 +280,8 @@
         self.durable_up_to
     }
 
-    /// Marks the disk as failed, after a failed write or sync: no more entries are written, and requests that wait for an
-    /// entry are never sent.
+    /// Marks the disk as failed, after a failed write or sync: no more entries are written, and requests that wait for
+    /// an entry are never sent.
     pub fn mark_disk_failed(&mut self) {
         self.disk_failed = true;
         self.pending.clear();
--- a/crates/ledger/src/recorder/recovery.rs
+++ b/crates/ledger/src/recorder/recovery.rs
@@ -6,8 +6,8 @@
 use crate::Micros;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Collects from the log what a new incarnation needs: the position at which the last incarnation ended, and the requests
-/// whose outcome is not known.
+/// Collects from the log what a new incarnation needs: the position at which the last incarnation ended, and the
+/// requests whose outcome is not known.
 #[derive(Default)]
 pub struct Recovery {
     ingress: u16,
@@ -25,8 +25,8 @@
         Recovery { ingress, ..Recovery::default() }
     }
 
-    /// Starts from a snapshot. Its open requests are settled in later segments, as a snapshot is made only of periods that
-    /// were exported.
+    /// Starts from a snapshot. Its open requests are settled in later segments, as a snapshot is made only of periods
+    /// that were exported.
     pub fn restore(&mut self, totals: &UsageTotals) {
         let (incarnation, number, last_at) = totals.latest(self.ingress);
         self.last_position = LogPosition { incarnation, number };
--- a/crates/ledger/src/recorder/usage_lookup.rs
+++ b/crates/ledger/src/recorder/usage_lookup.rs
@@ -15,7 +15,7 @@
     NeverRan,
     /// The request is being processed.
     Running,
-    /// The node has no record of the time of the request and cannot tell whether it ran.
+    /// The node has no records of the time of the request, so it cannot tell whether the request ran.
     Unknown,
 }
 
@@ -84,7 +84,8 @@
         expired.map(|(id, _)| *id).collect()
     }
 
-    /// Drops requests with a presumed outcome, oldest first, until at most `limit` requests are left or none is presumed.
+    /// Drops requests with a presumed outcome, oldest first, until at most `limit` requests are left or none is
+    /// presumed.
     fn drop_presumed_above(&mut self, limit: usize) {
         let excess = self.requests.len().saturating_sub(limit);
         let presumed = self.requests.iter().filter(|(_, request)| request.presumed);
@@ -118,8 +119,8 @@
 }
 
 impl Recorder {
-    /// Returns the lookups that are due, by node: at most `max_nodes` nodes, with at most `max_requests` requests each. The
-    /// next lookup at these nodes is due after [`super::Config::lookup_interval`].
+    /// Returns the lookups that are due, by node: at most `max_nodes` nodes, with at most `max_requests` requests each.
+    /// The next lookup at these nodes is due after [`super::Config::lookup_interval`].
     pub fn lookups_due(
         &mut self,
         now: Micros,
@@ -151,7 +152,7 @@
                 }
                 let presumed = unsettled.presumed;
                 self.unsettled.requests.remove(&id);
-                // After a presumed outcome, this settlement has the same 0 units and is known.
+                // If 0 units were presumed before, this settlement confirms them.
                 self.write_never_ran(now, id);
                 self.corrected += u64::from(presumed);
             }
@@ -211,7 +212,8 @@
         }
     }
 
-    /// Presumes the outcomes of requests whose lookup has timed out, and drops requests whose correction window has ended.
+    /// Presumes the outcomes of requests whose lookup has timed out, and drops requests whose correction window has
+    /// ended.
     pub(super) fn presume_expired(&mut self, now: Micros) {
         for id in self.unsettled.expired(now) {
             let Some(mut request) = self.unsettled.requests.remove(&id) else { continue };
@@ -225,8 +227,8 @@
         }
     }
 
-    /// Keeps the number of unsettled requests within its limit: drops requests with a presumed outcome first, then presumes
-    /// the outcomes of the oldest requests and drops them.
+    /// Keeps the number of unsettled requests within its limit: drops requests with a presumed outcome first, then
+    /// presumes the outcomes of the oldest requests and drops them.
     pub(super) fn presume_excess(&mut self, now: Micros) {
         let limit = self.config.max_unsettled;
         self.unsettled.drop_presumed_above(limit);
--- a/crates/ledger/src/segment.rs
+++ b/crates/ledger/src/segment.rs
@@ -1,7 +1,7 @@
-//! The format of a segment of the log: a header (magic, version, number, the chain value that it starts from) followed by
-//! records (length, 4 bytes, big-endian; chain value, 16 bytes; payload, an encoded entry). The chain value of a record
-//! is the BLAKE3 hash, truncated to 16 bytes, of the previous chain value and the payload: a record that is missing,
-//! moved or changed breaks the chain.
+//! The format of a segment of the log: a header (magic, version, number, the chain value that it starts from) followed
+//! by records (length, 4 bytes, big-endian; chain value, 16 bytes; payload, an encoded entry). The chain value of a
+//! record is the BLAKE3 hash, truncated to 16 bytes, of the previous chain value and the payload: a record that is
+//! missing, moved or changed breaks the chain.
 //!
 //! A segment that ends inside its last record was torn by a crash: that record was never acknowledged and is truncated.
 //! A complete record that does not match the chain is damage: the records after it are not read, and the file is not
@@ -19,8 +19,8 @@
 const HEADER_BYTES: usize = CHAIN_OFFSET + CHAIN_BYTES;
 const LENGTH_BYTES: usize = 4;
 const RECORD_HEADER_BYTES: usize = LENGTH_BYTES + CHAIN_BYTES;
-/// Maximum number of bytes of an encoded entry. The frontends limit the length of the names in an entry; this limits what
-/// a reader allocates.
+/// Maximum number of bytes of an encoded entry. The frontends limit the length of the names in an entry; this limits
+/// what a reader allocates.
 pub const MAX_ENTRY_BYTES: usize = 64 << 10;
 
 /// A hash over all records up to a point of the log.
@@ -204,7 +204,7 @@
         true
     }
 
-    /// Reads the record at the start of `rest`.
+    /// Reads the record at the start of `rest`, the bytes after the last valid record.
     fn read_record(&self, rest: &[u8]) -> Result<Record, SegmentEnd> {
         let damaged = |what: Damage| SegmentEnd::Damaged { at: self.valid_bytes, what };
         if rest.len() < RECORD_HEADER_BYTES {
@@ -221,8 +221,8 @@
         let payload = &rest[RECORD_HEADER_BYTES..bytes];
         let chain = next_chain_value(&self.chain, payload);
         if rest[LENGTH_BYTES..RECORD_HEADER_BYTES] != chain {
-            // A crash can leave the last record with its full length but not its full content, as pages reach the disk in
-            // any order.
+            // A crash can leave the last record with its full length but not its full content, as pages reach the disk
+            // in any order.
             let is_last = rest.len() == bytes;
             return Err(if is_last { SegmentEnd::Torn } else { damaged(Damage::BrokenChain) });
         }
--- a/crates/ledger/src/store/mod.rs
+++ b/crates/ledger/src/store/mod.rs
@@ -4,9 +4,9 @@
 //! on a crash does not lose it. After a failed write or sync it is unknown which bytes reached the disk: the store
 //! accepts no more entries, and must be opened again, which reads the files.
 //!
-//! `NUMBER.snap` replaces all segments up to that number: it contains their usage totals and the chain value after them.
-//! It is put in place atomically and synced before any of these segments is removed. Segments that remain because of a
-//! crash are skipped, and removed by the next compaction.
+//! `NUMBER.snap` replaces all segments up to that number: it contains their usage totals and the chain value after
+//! them. It is put in place atomically and synced before any of these segments is removed. Segments that remain because
+//! of a crash are skipped, and removed by the next compaction.
 
 mod compaction;
 mod index;
@@ -125,9 +125,9 @@
 }
 
 impl Store {
-    /// Opens the log in a directory, which is created if it does not exist. Passes its entries to `each`, in order,
-    /// except those that the snapshot replaces (see [`read_snapshot`]); every acknowledged entry is among them. A torn end is truncated. One segment at a
-    /// time is in memory. A new segment is begun after `max_segment_bytes`.
+    /// Opens the log in a directory, which is created if it does not exist. Passes all entries after the snapshot (see
+    /// [`read_snapshot`]) to `each`, in order, among them every acknowledged one. A torn end is truncated. One segment
+    /// at a time is in memory. A new segment is begun after `max_segment_bytes`.
     ///
     /// # Errors
     /// [`StoreError::Io`] if a file operation fails, also if another process has the directory locked;
@@ -262,8 +262,9 @@
     }
 }
 
-/// Returns the incarnation of a new start: the present time, or the first time after the latest incarnation in the log if
-/// the clock was set back. So an ingress that was restored from an old copy of its disk never uses an entry id twice.
+/// Returns the incarnation of a new start: the present time, or the first time after the latest incarnation in the log
+/// if the clock was set back. So an ingress that was restored from an old copy of its disk never uses an entry id
+/// twice.
 pub fn next_incarnation(latest: u64, now: u64) -> u64 {
     now.max(latest.saturating_add(1))
 }
--- a/crates/ledger/src/store/reader.rs
+++ b/crates/ledger/src/store/reader.rs
@@ -36,8 +36,8 @@
     directory.join(file_name(number))
 }
 
-/// Reads the segments after the snapshot, in order, and passes them to `each`. One segment at a time is in memory. No file
-/// is changed.
+/// Reads the segments after the snapshot, in order, and passes them to `each`. One segment at a time is in memory. No
+/// file is changed.
 ///
 /// # Errors
 /// [`StoreError::Io`] if a file cannot be read; [`StoreError::Damaged`] for a damaged snapshot. Damage to a segment is
--- a/crates/ledger/src/store/snapshot_file.rs
+++ b/crates/ledger/src/store/snapshot_file.rs
@@ -1,5 +1,5 @@
-//! The format of a snapshot file: magic, version, the number of the last segment that it replaces, the chain value after
-//! that segment, the usage totals, and a BLAKE3 hash of all preceding bytes.
+//! The format of a snapshot file: magic, version, the number of the last segment that it replaces, the chain value
+//! after that segment, the usage totals, and a BLAKE3 hash of all preceding bytes.
 
 use super::{failed_at, StoreError, MAX_FILE_BYTES};
 use crate::damage::Damage;
--- a/crates/ledger/src/usage_totals/export_state.rs
+++ b/crates/ledger/src/usage_totals/export_state.rs
@@ -1,4 +1,5 @@
-//! State of the export: batches, their acknowledgements, and the differences between sums and what was exported of them.
+//! State of the export: batches, their acknowledgements, and the differences between sums and what was exported of
+//! them.
 
 use super::accounts::AccountPlans;
 use super::{SumKey, UsageTotals};
@@ -13,8 +14,8 @@
     pub acknowledged: u64,
     /// The next batch, if it has been written and is not acknowledged.
     pub pending: Option<Batch>,
-    /// Entries from which acknowledged batches were computed and that are missing here. No batch is written until they are
-    /// added.
+    /// Entries from which acknowledged batches were computed and that are missing here. No batch is written until they
+    /// are added.
     pub missing: Vec<Range>,
     /// The last period that acknowledged batches cover.
     pub covered_until: Option<u64>,
@@ -32,8 +33,8 @@
 pub(super) struct Stream {
     pub(super) acknowledged: u64,
     pub(super) covered_until: Option<u64>,
-    /// Batches after [`Stream::acknowledged`], by number. Different exporters may have prepared different batches with the
-    /// same number.
+    /// Batches after [`Stream::acknowledged`], by number. Different exporters may have prepared different batches with
+    /// the same number.
     prepared: BTreeMap<u64, Vec<PreparedBatch>>,
     /// Digests of acknowledged batches that are not applied yet, by number.
     acknowledgements: BTreeMap<u64, [u8; 32]>,
@@ -97,8 +98,8 @@
         }
     }
 
-    /// Adds acknowledged batches to the exported usage, in the order of their numbers, up to the first one that was not added
-    /// to the totals.
+    /// Adds acknowledged batches to the exported usage, in the order of their numbers, up to the first one that was not
+    /// added to the totals.
     pub(super) fn apply_acknowledged(&mut self, stream: &str, account_plans: &mut AccountPlans) {
         while let Some(batch) = self.streams.get_mut(stream).and_then(Stream::take_next) {
             for line in &batch.lines {
@@ -175,8 +176,8 @@
         lines
     }
 
-    /// Removes sums that are fully exported from the set of changed sums. This changes no result; it shortens the time that
-    /// [`UsageTotals::unexported_lines`] takes.
+    /// Removes sums that are fully exported from the set of changed sums. This changes no result; it shortens the time
+    /// that [`UsageTotals::unexported_lines`] takes.
     pub fn prune_changed_sums(&mut self) {
         let mut changed = std::mem::take(&mut self.exports.changed);
         changed.retain(|key| self.unexported(key) != ExportedUsage::default());
--- a/crates/ledger/src/usage_totals/incarnation.rs
+++ b/crates/ledger/src/usage_totals/incarnation.rs
@@ -9,14 +9,14 @@
 /// Number of fingerprints in a block.
 const BLOCK_LENGTH: u64 = 256;
 
-/// A short hash of each entry, to tell a copy of it from a conflicting entry. Stored in blocks, so that an entry takes four
-/// bytes and not a tree node.
+/// A short hash of each entry, to tell a copy of the entry from a conflicting one. Stored in blocks, so that an entry
+/// takes four bytes instead of a tree node.
 #[derive(Default)]
 struct Fingerprints(BTreeMap<u64, Box<[u32; BLOCK_LENGTH as usize]>>);
 
 impl Fingerprints {
-    /// Returns the fingerprint of an entry that was added; `None` if its block is not in memory, as after the restore of a
-    /// snapshot.
+    /// Returns the fingerprint of an entry that was added; `None` if its block is not in memory, as after the restore
+    /// of a snapshot.
     fn get(&self, number: u64) -> Option<u32> {
         let block = self.0.get(&(number / BLOCK_LENGTH))?;
         Some(block[(number % BLOCK_LENGTH) as usize])
@@ -42,7 +42,7 @@
     fingerprints: Fingerprints,
     /// Requests that the incarnation opened, by the numbers of their open entries.
     pub(super) requests: BTreeMap<u64, Request>,
-    /// The last entry of the previous incarnation.
+    /// Position of the last entry of the previous incarnation; `None` if it is not known.
     pub(super) previous: Option<LogPosition>,
 }
 
--- a/crates/ledger/src/usage_totals/mod.rs
+++ b/crates/ledger/src/usage_totals/mod.rs
@@ -211,8 +211,8 @@
         self.periods
     }
 
-    /// Returns the latest incarnation of an ingress, the last number in it, and the latest time of any entry of the ingress.
-    /// Zeros if the ingress has no entries.
+    /// Returns the latest incarnation of an ingress, the last number in it, and the latest time of any entry of the
+    /// ingress. Zeros if the ingress has no entries.
     pub fn latest(&self, ingress: u16) -> (u64, u64, Micros) {
         let latest = self.incarnations.range(IncarnationId::all_of(ingress)).next_back();
         let (incarnation, number) =
@@ -292,12 +292,13 @@
         }
     }
 
-    /// Returns the latest period that an ingress has closed; `None` if it has closed none, or if an entry is missing here
-    /// that it wrote before it closed the period.
+    /// Returns the latest period that an ingress has closed; `None` if it has closed none, or if an entry is missing
+    /// here that it wrote before it closed the period.
     pub fn last_complete_period(&self, ingress: u16) -> Option<u64> {
         let ClosedPeriod { period, closed_by } = *self.closed_periods.get(&ingress)?;
         let mut end = closed_by;
-        // The number of iterations is bounded, as a faulty entry may name its own or a later incarnation as the previous one.
+        // The number of iterations is bounded, as a faulty entry may name its own or a later incarnation as the
+        // previous one.
         for _ in 0..=self.incarnations.len() {
             let incarnation =
                 self.incarnations.get(&IncarnationId { ingress, incarnation: end.incarnation })?;
@@ -327,8 +328,8 @@
         }
     }
 
-    /// Returns the number of settlements and corrections that were applied to no request, as the request was dropped or the
-    /// entry to which they refer does not open a request.
+    /// Returns the number of settlements and corrections that were applied to no request, as the request was dropped or
+    /// the entry to which they refer does not open a request.
     pub fn unmatched_updates(&self) -> u64 {
         self.unmatched_updates
     }
--- a/crates/ledger/src/usage_totals/request.rs
+++ b/crates/ledger/src/usage_totals/request.rs
@@ -13,8 +13,8 @@
 }
 
 impl Settled {
-    /// Orders the settlements of a request; the lowest one counts. A known outcome ranks below a presumed one. Of
-    /// two known or two presumed outcomes, the one that was written first ranks lower.
+    /// Orders the settlements of a request; the lowest one counts. A known outcome ranks below a presumed one. Of two
+    /// known or two presumed outcomes, the one that was written first ranks lower.
     fn rank(&self) -> (bool, LogPosition) {
         (self.presumed, self.settled_by)
     }
@@ -53,8 +53,8 @@
         self.corrected = true;
     }
 
-    /// Settles the request. If two settlements were written, as after a disk was restored from an old copy, the same one
-    /// counts whichever is added first.
+    /// Settles the request. If two settlements were written, as after a disk was restored from an old copy, the same
+    /// one counts whichever is added first.
     pub(super) fn settle(&mut self, new: Settled, sum: &mut Sum) -> Settling {
         if self.settled.as_ref().is_some_and(|old| old.rank() <= new.rank()) {
             return Settling::Superseded;
--- a/crates/ledger/src/usage_totals/snapshot.rs
+++ b/crates/ledger/src/usage_totals/snapshot.rs
@@ -217,8 +217,8 @@
     /// Decodes totals that [`UsageTotals::snapshot`] has encoded.
     ///
     /// # Errors
-    /// [`EntryError::Form`] if the bytes are not protobuf of the expected schema; [`EntryError::Value`] if an ingress or a
-    /// range is out of range.
+    /// [`EntryError::Form`] if the bytes are not protobuf of the expected schema; [`EntryError::Value`] if an ingress
+    /// or a range is out of range.
     pub fn restore(periods: Periods, bytes: &[u8]) -> Result<UsageTotals, EntryError> {
         let encoded = EncodedTotals::decode(bytes)?;
         let mut totals = UsageTotals::new(periods);
--- a/crates/ledger/tests/fleet.rs
+++ b/crates/ledger/tests/fleet.rs
@@ -1,7 +1,7 @@
-//! Simulation of all state machines of the ledger: three ingresses, nodes, a consumer, network partitions, crashes that lose
-//! unsynced writes, disks that are restored from an old copy or empty, and clocks that differ. Each seed gives a sequence
-//! of events. After a phase without new requests, crashes and partitions, the billed units must equal those of the requests
-//! that ran.
+//! Simulation of all state machines of the ledger: three ingresses, nodes, a consumer, network partitions, crashes that
+//! lose unsynced writes, disks that are restored from an old copy or empty, and clocks that differ. Each seed gives a
+//! sequence of events. After a phase without new requests, crashes and partitions, the billed units must equal those of
+//! the requests that ran.
 
 use chalkgap_ledger::entry::{Batch, Entry, EntryBody, RequestOpened};
 use chalkgap_ledger::export::{self, ConsumerReply, ExportStep, Exporter};
@@ -170,8 +170,8 @@
         }
     }
 
-    /// Opens a request with some probability, sends requests whose open entry is durable, and ends one of the sent requests
-    /// with some probability.
+    /// Opens a request with some probability, sends requests whose open entry is durable, and ends one of the sent
+    /// requests with some probability.
     fn process_requests(&mut self, index: usize) {
         let rng = &mut self.rng;
         let nodes = &mut self.nodes;
@@ -351,7 +351,8 @@
         }
     }
 
-    /// Crashes an ingress. Its disk may be emptied or restored from an old copy, if other ingresses have all its entries.
+    /// Crashes an ingress. Its disk may be emptied or restored from an old copy, if other ingresses have all its
+    /// entries.
     fn crash(&mut self, index: usize) {
         let disk_fault = self.rng.random_range(0..3);
         let replicated = self.is_replicated(index);
@@ -426,8 +427,8 @@
     }
     billed.retain(|_, units| *units != 0);
     assert_eq!(billed, ran, "seed {seed}");
-    // No outcome is presumed or corrected here. A negative line would come from an exporter that lacks entries from which
-    // earlier batches were computed.
+    // No outcome is presumed or corrected here. A negative line would come from an exporter that lacks entries from
+    // which earlier batches were computed.
     assert!(
         lines().all(|line| line.units >= 0 && line.requests >= 0),
         "seed {seed}: a batch takes back billed units or requests"
--- a/crates/ledger/tests/model.rs
+++ b/crates/ledger/tests/model.rs
@@ -1,5 +1,6 @@
-//! Model of export and reconciliation, checked exhaustively within its bounds: two exporters of one stream, crashes, and a
-//! network that loses, repeats and delays messages. Faulty variants of the protocol show that the invariants detect them.
+//! Model of export and reconciliation, checked exhaustively within its bounds: two exporters of one stream, crashes,
+//! and a network that loses, repeats and delays messages. Faulty variants of the protocol show that the invariants
+//! detect them.
 
 use stateright::{Checker, HasDiscoveries, Model, Property};
 
--- a/crates/ledger/tests/recorded_store.rs
+++ b/crates/ledger/tests/recorded_store.rs
@@ -1,5 +1,5 @@
-//! Compatibility with a recorded ledger directory: it is read completely, gives the recorded sums, and the same entries are
-//! written as the same bytes.
+//! Compatibility with a recorded ledger directory: it is read completely, gives the recorded sums, and the same entries
+//! are written as the same bytes.
 
 use chalkgap_ledger::entry::*;
 use chalkgap_ledger::store::{self, Store};
--- a/crates/ledger/tests/recorder.rs
+++ b/crates/ledger/tests/recorder.rs
@@ -1,4 +1,5 @@
-//! The recorder: which requests it accepts, which entries it writes, which outcomes it presumes, when it closes periods.
+//! The recorder: which requests it accepts, which entries it writes, which outcomes it presumes, when it closes
+//! periods.
 
 use chalkgap_ledger::entry::{Entry, EntryBody, RequestOpened};
 use chalkgap_ledger::recorder::{Config, Recorder, Recovery, RequestStatus, Reservation, Settlement, Stats};
@@ -125,7 +126,7 @@
     log.extend(recorder.take_pending());
     assert_eq!(sum(&log, 5), Sum { units: 4, ..Sum::default() });
     assert_eq!(recorder.stats(), Stats { unsettled: 0, presumed: 1, corrected: 1 });
-    // A node answers later that the request never ran: the outcome has the same units and is known.
+    // A node answers later that the request never ran: the presumed 0 units are confirmed.
     let handle = recorder.open_request(6300, opened("s")).unwrap();
     recorder.settle(6300, handle, 4, unknown("s", &["n1"]));
     recorder.tick(6400);
--- a/crates/ledger/tests/store.rs
+++ b/crates/ledger/tests/store.rs
@@ -190,8 +190,8 @@
     list
 }
 
-/// A crash at every write, sync and open, after which none, a part or all of the unsynced bytes are kept; then a crash at
-/// every step of the recovery. After both, the store has all acknowledged entries and accepts new ones.
+/// A crash at every write, sync and open, after which none, a part or all of the unsynced bytes are kept; then a crash
+/// at every step of the recovery. After both, the store has all acknowledged entries and accepts new ones.
 #[test]
 fn a_crash_at_any_step_loses_no_acknowledged_entry() {
     let (runtime, files) = runtime_with(Disk::default());
@@ -445,7 +445,8 @@
     }
 }
 
-/// Open requests stay open in a snapshot. No snapshot is built while a settled request belongs to a period that is kept.
+/// Open requests stay open in a snapshot. No snapshot is built while a settled request belongs to a period that is
+/// kept.
 #[test]
 fn a_snapshot_keeps_open_requests() {
     let (runtime, _) = runtime_with(Disk::default());
