--- a/crates/platform/tests/common/mod.rs
+++ b/crates/platform/tests/common/mod.rs
@@ -1,6 +1,6 @@
-//! The platform in small, on loopback: scripted backends, discovery, clients, a configuration. Threads that block: what
-//! they do is in the order of their lines.
-#![allow(dead_code)] // each test file uses its part
+//! The platform around an ingress, on loopback: scripted backends, a discovery service, clients and a configuration. All use
+//! blocking threads, so that each one's steps run in the order of its code.
+#![allow(dead_code)] // each test file uses a part of this module
 
 use bytes::BytesMut;
 use chalkgap_resp::{decode_command, decode_reply, put_command, Limits, Value};
@@ -17,11 +17,13 @@
     max_line_bytes: 600,
     max_item_bytes: 1 << 18,
 };
-pub const GOOD: &[u8] = b"*3\r\n$5\r\nvalue\r\n$-1\r\n$7\r\ndepth=2\r\n";
-/// No test waits longer for anything.
-pub const PATIENCE: Duration = Duration::from_secs(20);
+/// A valid reply of a backend: the value, no figures, and a load report.
+pub const GOOD_REPLY: &[u8] = b"*3\r\n$5\r\nvalue\r\n$-1\r\n$7\r\ndepth=2\r\n";
+/// Upper bound of each wait in a test.
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// A configuration of `ingresses`, as the platform words it; backends by their ports.
+/// Returns a configuration in the platform's format for one of `ingresses` ingresses. `discovery` and `backends` are ports on the
+/// loopback address.
 pub fn config(ingresses: u16, discovery: u16, backends: &[u16]) -> String {
     let host = |port: &u16| {
         format!(
@@ -64,11 +66,11 @@
     )
 }
 
-/// The list of backends in a configuration.
+/// Returns the list of backends that a configuration contains.
 pub fn known(backends: &[u16]) -> String {
     let text = config(1, 0, backends);
-    let from = text.find("\"known\":").unwrap() + 8;
-    text[from..text.find(",\"settings\"").unwrap()].to_owned()
+    let start = text.find("\"known\":").unwrap() + 8;
+    text[start..text.find(",\"settings\"").unwrap()].to_owned()
 }
 
 fn listener() -> (TcpListener, SocketAddr) {
@@ -77,20 +79,20 @@
     (listener, address)
 }
 
-/// What a backend does with a request.
+/// Action of a backend on a command.
 #[derive(Clone, Copy)]
-pub enum Act {
-    /// Writes this and goes on.
-    Say(&'static [u8]),
-    /// Writes this and ends the connection.
-    SayAndEnd(&'static [u8]),
-    /// Says nothing, until the other side closes.
-    Nothing,
-    /// Writes this once the latch is open, and goes on.
-    SayWhen(&'static Latch, &'static [u8]),
+pub enum BackendAction {
+    /// Writes these bytes.
+    Reply(&'static [u8]),
+    /// Writes these bytes and closes the connection.
+    ReplyAndClose(&'static [u8]),
+    /// Writes nothing.
+    NoReply,
+    /// Writes these bytes once the latch is open.
+    ReplyWhen(&'static Latch, &'static [u8]),
 }
 
-/// Opened once by the test, for good.
+/// A gate that the test opens once and that stays open.
 #[derive(Default)]
 pub struct Latch {
     open: Mutex<bool>,
@@ -98,7 +100,7 @@
 }
 
 impl Latch {
-    /// A closed one; it lives as long as the tests do.
+    /// Creates a closed latch, which is leaked so that backends can refer to it.
     pub fn closed() -> &'static Latch {
         Box::leak(Box::default())
     }
@@ -108,29 +110,35 @@
         self.changed.notify_all();
     }
 
-    /// Waits until it is open.
+    /// Waits until the latch is open, for [`TEST_TIMEOUT`] at most.
     pub fn wait(&self) {
         let open = self.open.lock().unwrap();
-        drop(self.changed.wait_timeout_while(open, PATIENCE, |open| !*open).unwrap());
+        drop(self.changed.wait_timeout_while(open, TEST_TIMEOUT, |open| !*open).unwrap());
     }
 }
 
-/// The words of the first whole command in a buffer.
-pub fn command_words(buffer: &mut BytesMut) -> Option<Vec<String>> {
+/// Decodes the next command in `buffer` and returns its arguments. `None` if no complete command is buffered.
+pub fn command_arguments(buffer: &mut BytesMut) -> Option<Vec<String>> {
     let command = decode_command(buffer, &LIMITS).ok()??;
-    Some(command.arguments.iter().map(|w| String::from_utf8_lossy(w).into_owned()).collect())
+    Some(command.arguments.iter().map(|argument| String::from_utf8_lossy(argument).into_owned()).collect())
 }
 
-/// What backends saw, in its order.
+/// Arguments of the commands that backends received, in order.
 pub type Journal = Arc<Mutex<Vec<Vec<String>>>>;
 
-/// A backend that asks `script` about its n-th request; its port.
-pub fn backend(journal: Journal, script: impl Fn(usize, &[String]) -> Act + Send + Sync + 'static) -> u16 {
+/// Starts a backend that takes the action of `script` for its n-th command. Returns its port.
+pub fn backend(
+    journal: Journal,
+    script: impl Fn(usize, &[String]) -> BackendAction + Send + Sync + 'static,
+) -> u16 {
     let (listener, address) = listener();
-    let (script, count) = (Arc::new(script), Arc::new(AtomicUsize::new(0)));
+    let script = Arc::new(script);
+    let count = Arc::new(AtomicUsize::new(0));
     std::thread::spawn(move || {
         for stream in listener.incoming().flatten() {
-            let (journal, script, count) = (journal.clone(), script.clone(), count.clone());
+            let journal = journal.clone();
+            let script = script.clone();
+            let count = count.clone();
             std::thread::spawn(move || serve(stream, &journal, &*script, &count));
         }
     });
@@ -140,35 +148,36 @@
 fn serve(
     mut stream: TcpStream,
     journal: &Journal,
-    script: &dyn Fn(usize, &[String]) -> Act,
+    script: &dyn Fn(usize, &[String]) -> BackendAction,
     count: &AtomicUsize,
 ) {
-    let (mut buffer, mut piece) = (BytesMut::new(), [0; 4096]);
+    let mut buffer = BytesMut::new();
+    let mut chunk = [0; 4096];
     loop {
-        while let Some(words) = command_words(&mut buffer) {
-            let n = count.fetch_add(1, Ordering::SeqCst);
-            journal.lock().unwrap().push(words.clone());
-            match script(n, &words) {
-                Act::Say(bytes) => stream.write_all(bytes).unwrap_or_default(),
-                Act::SayAndEnd(bytes) => {
+        while let Some(arguments) = command_arguments(&mut buffer) {
+            let command_index = count.fetch_add(1, Ordering::SeqCst);
+            journal.lock().unwrap().push(arguments.clone());
+            match script(command_index, &arguments) {
+                BackendAction::Reply(bytes) => stream.write_all(bytes).unwrap_or_default(),
+                BackendAction::ReplyAndClose(bytes) => {
                     let _ = stream.write_all(bytes);
                     return;
                 }
-                Act::Nothing => {}
-                Act::SayWhen(gate, bytes) => {
-                    gate.wait();
+                BackendAction::NoReply => {}
+                BackendAction::ReplyWhen(latch, bytes) => {
+                    latch.wait();
                     stream.write_all(bytes).unwrap_or_default();
                 }
             }
         }
-        match stream.read(&mut piece) {
-            Ok(n) if n > 0 => buffer.extend_from_slice(&piece[..n]),
+        match stream.read(&mut chunk) {
+            Ok(n) if n > 0 => buffer.extend_from_slice(&chunk[..n]),
             _ => return,
         }
     }
 }
 
-/// Discovery: gives the list of the moment whole, and its changes to who watches.
+/// A discovery service. It returns the current list, and sends changes to connections that watch.
 #[derive(Clone, Default)]
 pub struct Discovery {
     pub port: u16,
@@ -176,14 +185,16 @@
     pub watches: Arc<Mutex<Vec<TcpStream>>>,
 }
 
+/// Starts a discovery service with this list.
 pub fn discovery(list: String) -> Discovery {
     serve_discovery(listener().0, list)
 }
 
 pub fn serve_discovery(listener: TcpListener, list: String) -> Discovery {
     let address = listener.local_addr().unwrap();
-    let d = Discovery { port: address.port(), list: Arc::new(Mutex::new(list)), ..Discovery::default() };
-    let all = d.clone();
+    let discovery =
+        Discovery { port: address.port(), list: Arc::new(Mutex::new(list)), ..Discovery::default() };
+    let served = discovery.clone();
     std::thread::spawn(move || {
         for mut stream in listener.incoming().flatten() {
             let mut head = Vec::new();
@@ -193,19 +204,19 @@
             }
             if head.starts_with(b"GET /api/targets?watch=1&from=") {
                 let _ = stream.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-                all.watches.lock().unwrap().push(stream);
+                served.watches.lock().unwrap().push(stream);
             } else {
-                let list = all.list.lock().unwrap().clone();
+                let list = served.list.lock().unwrap().clone();
                 let _ = write!(stream, "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{list}", list.len());
             }
         }
     });
-    d
+    discovery
 }
 
 impl Discovery {
-    /// Tells all that watch of a change.
-    pub fn tell(&self, line: &str) {
+    /// Sends a change to all watches.
+    pub fn send_change(&self, line: &str) {
         for watch in self.watches.lock().unwrap().iter_mut() {
             let _ = write!(watch, "{:x}\r\n{line}\n\r\n", line.len() + 1);
         }
@@ -219,47 +230,48 @@
 }
 
 impl Client {
-    pub fn connect(to: SocketAddr) -> Client {
-        Client::try_connect(to).unwrap()
+    pub fn connect(address: SocketAddr) -> Client {
+        Client::try_connect(address).unwrap()
     }
 
-    /// None where nobody listens.
-    pub fn try_connect(to: SocketAddr) -> Option<Client> {
-        let stream = TcpStream::connect(to).ok()?;
-        stream.set_read_timeout(Some(PATIENCE)).unwrap();
+    /// Connects. `None` if the connection is refused.
+    pub fn try_connect(address: SocketAddr) -> Option<Client> {
+        let stream = TcpStream::connect(address).ok()?;
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
         Some(Client { stream, buffer: BytesMut::new() })
     }
 
-    pub fn send(&mut self, words: &[&str]) {
+    /// Sends a command.
+    pub fn send(&mut self, arguments: &[&str]) {
         let mut out = BytesMut::new();
-        put_command(&mut out, &words.iter().map(|w| w.as_bytes()).collect::<Vec<_>>());
+        put_command(&mut out, &arguments.iter().map(|argument| argument.as_bytes()).collect::<Vec<_>>());
         self.write(&out);
     }
 
     pub fn write(&mut self, bytes: &[u8]) {
-        let _ = self.stream.write_all(bytes); // it may have been closed meanwhile: the answer tells
+        let _ = self.stream.write_all(bytes); // if the connection is closed, the next read reports it
     }
 
-    /// The next answer; none at the connection's end.
-    pub fn hear(&mut self) -> Option<Value> {
-        let mut piece = [0; 4096];
+    /// Reads the next reply. `None` at the end of the connection.
+    pub fn next_reply(&mut self) -> Option<Value> {
+        let mut chunk = [0; 4096];
         loop {
             if let Some(value) = decode_reply(&mut self.buffer, &LIMITS).unwrap() {
                 return Some(value);
             }
-            match self.stream.read(&mut piece) {
+            match self.stream.read(&mut chunk) {
                 Ok(0) => return None,
-                Ok(n) => self.buffer.extend_from_slice(&piece[..n]),
+                Ok(n) => self.buffer.extend_from_slice(&chunk[..n]),
                 Err(e) if e.kind() == std::io::ErrorKind::ConnectionReset => return None,
-                Err(e) => panic!("no answer: {e}"),
+                Err(e) => panic!("no reply: {e}"),
             }
         }
     }
 
-    /// The next answer as text: `value`, `-ERR ...`, `+PONG`, `closed`.
-    pub fn text(&mut self) -> String {
+    /// Reads the next reply as text: `value`, `-ERR ...`, `+PONG`, `closed`.
+    pub fn reply_text(&mut self) -> String {
         let text = |b: &[u8]| String::from_utf8_lossy(b).into_owned();
-        match self.hear() {
+        match self.next_reply() {
             None => "closed".into(),
             Some(Value::Bulk(Some(v))) => text(&v),
             Some(Value::Error(e)) => format!("-{}", text(&e)),
@@ -268,19 +280,20 @@
         }
     }
 
-    /// A query of this customer and id, with `d` milliseconds.
-    pub fn query(&mut self, id: u64, d: u64) {
-        let list = format!("c=sig-check,t=team,d={d},units=1,spread=1,first=0");
-        self.send(&["SVC.QUERY", "0000000000000007", &format!("{id:016x}"), &list]);
+    /// Sends a query with this id and a deadline of `deadline_ms` milliseconds.
+    pub fn query(&mut self, id: u64, deadline_ms: u64) {
+        let attributes = format!("c=sig-check,t=team,d={deadline_ms},units=1,spread=1,first=0");
+        self.send(&["SVC.QUERY", "0000000000000007", &format!("{id:016x}"), &attributes]);
     }
 
-    /// A submit of this customer and id.
+    /// Sends a submit with this id and a deadline of three seconds.
     pub fn submit(&mut self, id: u64) {
-        let list = "c=report-upload,t=team,d=3000,k=5c0f6e1a2b3d4c59,units=1,spread=1,first=0";
-        self.send(&["SVC.SUBMIT", "0000000000000007", &format!("{id:016x}"), list, "body"]);
+        let attributes = "c=report-upload,t=team,d=3000,k=5c0f6e1a2b3d4c59,units=1,spread=1,first=0";
+        self.send(&["SVC.SUBMIT", "0000000000000007", &format!("{id:016x}"), attributes, "body"]);
     }
 
-    pub fn finish(&self) {
+    /// Shuts down the write side.
+    pub fn shutdown_write(&self) {
         let _ = self.stream.shutdown(Shutdown::Write);
     }
 }
--- a/crates/platform/tests/rig/mod.rs
+++ b/crates/platform/tests/rig/mod.rs
@@ -1,9 +1,10 @@
-//! An ingress on loopback whose world the test holds in its hands: backends that go on by the test's word, listeners that
-//! let a connection come up late, a system thread that stands still. Orders are forced by these, not hoped for.
-#![allow(dead_code)] // each test file uses its part
+//! An ingress on loopback whose surroundings the test controls: backends that reply when the test says so, listeners that accept
+//! connections late, a blocked system thread. Tests use these to force an order of events on each run.
+#![allow(dead_code)] // each test file uses a part of this module
 
 use crate::common::{
-    backend, command_words, config, discovery, known, Act, Client, Discovery, Journal, PATIENCE,
+    backend, command_arguments, config, discovery, known, BackendAction, Client, Discovery, Journal,
+    TEST_TIMEOUT,
 };
 use chalkgap_platform::{Config, Ingress};
 use chalkgap_resp::put_command;
@@ -15,116 +16,133 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-pub type Script = Box<dyn Fn(usize, &[String]) -> Act + Send + Sync>;
+/// Chooses a backend's action for its n-th command.
+pub type Script = Box<dyn Fn(usize, &[String]) -> BackendAction + Send + Sync>;
 
-pub fn always(act: Act) -> Script {
-    Box::new(move |_, _| act)
+/// Takes the same action for each command.
+pub fn always(action: BackendAction) -> Script {
+    Box::new(move |_, _| action)
 }
 
-/// Does one thing with the first request and another with all later ones.
-pub fn first(act: Act, then: Act) -> Script {
-    Box::new(move |n, _| if n == 0 { act } else { then })
+/// Takes one action for the first command and another for all later ones.
+pub fn first(first: BackendAction, later: BackendAction) -> Script {
+    Box::new(move |n, _| if n == 0 { first } else { later })
 }
 
+/// A running ingress with its backends and its discovery service.
 pub struct Fixture {
     pub address: SocketAddr,
     pub journal: Journal,
     pub discovery: Discovery,
-    pub end: Arc<AtomicBool>,
+    /// Set when the ingress has completed its drain.
+    pub stopped: Arc<AtomicBool>,
+    /// Closing it starts the drain.
     pub drain: async_channel::Sender<()>,
     open: Arc<AtomicUsize>,
-    stall: async_channel::Sender<Duration>,
+    block: async_channel::Sender<Duration>,
     thread: Option<std::thread::JoinHandle<()>>,
 }
 
 impl Fixture {
-    /// An ingress over backends that follow their scripts.
+    /// Starts an ingress with one backend for each script.
     pub fn start(scripts: Vec<Script>) -> Fixture {
-        Fixture::with(scripts, &[])
+        Fixture::start_with_changes(scripts, &[])
     }
 
-    /// The same with changes to the text of its configuration.
-    pub fn with(scripts: Vec<Script>, changes: &[(&str, &str)]) -> Fixture {
+    /// Starts the same as [`Fixture::start`], with replacements (from, to) in the text of its configuration.
+    pub fn start_with_changes(scripts: Vec<Script>, changes: &[(&str, &str)]) -> Fixture {
         let journal = Journal::default();
         let ports: Vec<u16> = scripts.into_iter().map(|s| backend(journal.clone(), s)).collect();
-        Fixture::over(journal, &ports, changes)
+        Fixture::start_with_ports(journal, &ports, changes)
     }
 
-    pub fn over(journal: Journal, ports: &[u16], changes: &[(&str, &str)]) -> Fixture {
-        Fixture::from(journal, discovery(known(ports)), ports, changes)
+    /// Starts an ingress whose backends listen on `ports` of the loopback address.
+    pub fn start_with_ports(journal: Journal, ports: &[u16], changes: &[(&str, &str)]) -> Fixture {
+        Fixture::start_with_discovery(journal, discovery(known(ports)), ports, changes)
     }
 
-    pub fn from(journal: Journal, discovery: Discovery, ports: &[u16], changes: &[(&str, &str)]) -> Fixture {
+    /// Starts an ingress that follows `discovery`.
+    pub fn start_with_discovery(
+        journal: Journal,
+        discovery: Discovery,
+        ports: &[u16],
+        changes: &[(&str, &str)],
+    ) -> Fixture {
         let mut text = config(1, discovery.port, ports);
         for (from, to) in changes {
-            assert!(text.contains(from), "{from}");
+            assert!(text.contains(from), "not in the configuration: {from}");
             text = text.replace(from, to);
         }
         let config = Config::parse("test", text.as_bytes()).unwrap();
-        let (tell, told) = std::sync::mpsc::channel();
-        let (end, (drain, drained)) = (Arc::new(AtomicBool::new(false)), async_channel::bounded::<()>(1));
-        let (stall, stalls) = async_channel::bounded::<Duration>(1);
-        let (ended, open) = (end.clone(), Arc::new(AtomicUsize::new(0)));
-        let connections = open.clone();
+        let (address_sender, address) = std::sync::mpsc::channel();
+        let stopped = Arc::new(AtomicBool::new(false));
+        let (drain, drain_closed) = async_channel::bounded::<()>(1);
+        let (block, block_requests) = async_channel::bounded::<Duration>(1);
+        let set_stopped = stopped.clone();
+        let open = Arc::new(AtomicUsize::new(0));
+        let open_connections = open.clone();
         let thread = std::thread::spawn(move || {
             let system = System::new();
-            let still = async move {
-                while let Ok(span) = stalls.recv().await {
-                    std::thread::sleep(span); // the only thread there is
+            let block_thread = async move {
+                while let Ok(span) = block_requests.recv().await {
+                    std::thread::sleep(span); // blocks the ingress, as the system runs on this thread alone
                 }
                 std::future::pending().await
             };
-            let life = async {
+            let run_ingress = async {
                 let mut ingress = Ingress::start(config, system.clone()).await.unwrap();
-                tell.send(ingress.address()).unwrap();
-                let look = async {
+                address_sender.send(ingress.address()).unwrap();
+                let publish_open = async {
                     loop {
-                        connections.store(ingress.open(), Ordering::SeqCst);
+                        open_connections.store(ingress.open(), Ordering::SeqCst);
                         system.sleep_until(system.now() + 2000).await;
                     }
                 };
-                let told = async {
-                    let _ = drained.recv().await;
+                let drain_requested = async {
+                    let _ = drain_closed.recv().await;
                 };
-                futures_lite::future::or(told, look).await;
+                futures_lite::future::or(drain_requested, publish_open).await;
                 ingress.drain().await;
-                ended.store(true, Ordering::SeqCst);
+                set_stopped.store(true, Ordering::SeqCst);
             };
-            // In one future, and in this order: what of its life came due meanwhile goes on before any other task.
-            system.run(futures_lite::future::or(still, life));
+            // One future, in this order: after a block, the ingress's main task runs before any other task.
+            system.run(futures_lite::future::or(block_thread, run_ingress));
         });
-        let address = told.recv_timeout(PATIENCE).unwrap();
-        Fixture { address, journal, discovery, end, drain, open, stall, thread: Some(thread) }
+        let address = address.recv_timeout(TEST_TIMEOUT).unwrap();
+        Fixture { address, journal, discovery, stopped, drain, open, block, thread: Some(thread) }
     }
 
     pub fn client(&self) -> Client {
         Client::connect(self.address)
     }
 
-    pub fn seen(&self) -> usize {
+    /// Number of commands that backends have received.
+    pub fn received_commands(&self) -> usize {
         self.journal.lock().unwrap().len()
     }
 
-    /// Clients' connections that the ingress holds.
-    pub fn open(&self) -> usize {
+    /// Number of client connections that the ingress has open.
+    pub fn open_connections(&self) -> usize {
         self.open.load(Ordering::SeqCst)
     }
 
-    /// The whole ingress stands still for so long from now on.
-    pub fn stand_still(&self, span: Duration) {
-        self.stall.send_blocking(span).unwrap();
+    /// Blocks the only thread of the ingress for `span`.
+    pub fn block_thread(&self, span: Duration) {
+        self.block.send_blocking(span).unwrap();
     }
 
-    /// A connection that was served and rests; it sees the end of its other side when the ingress closes what rests.
-    pub fn resting(&self) -> Client {
+    /// Returns a client whose connection is idle after a PING. It reads the end of the stream when the ingress closes idle
+    /// connections.
+    pub fn idle_client(&self) -> Client {
         let mut client = self.client();
         client.send(&["PING"]);
-        assert_eq!(client.text(), "+PONG");
+        assert_eq!(client.reply_text(), "+PONG");
         client
     }
 
-    pub fn ended(&self) -> bool {
-        self.end.load(Ordering::SeqCst)
+    /// Whether the ingress has completed its drain.
+    pub fn is_stopped(&self) -> bool {
+        self.stopped.load(Ordering::SeqCst)
     }
 }
 
@@ -137,16 +155,20 @@
     }
 }
 
-/// Waits until something holds.
-pub fn until(what: &str, holds: impl Fn() -> bool) {
-    let end = Instant::now() + PATIENCE;
-    while !holds() {
-        assert!(Instant::now() < end, "{what}");
+/// Waits until `condition` holds.
+///
+/// # Panics
+///
+/// If it does not hold within [`TEST_TIMEOUT`].
+pub fn wait_until(what: &str, condition: impl Fn() -> bool) {
+    let deadline = Instant::now() + TEST_TIMEOUT;
+    while !condition() {
+        assert!(Instant::now() < deadline, "timed out waiting for: {what}");
         std::thread::sleep(Duration::from_millis(2));
     }
 }
 
-/// A backend whose connections are served by `serve`, each on a thread of its own; its port.
+/// Starts a backend that calls `serve` for each connection, on a separate thread. Returns its port.
 pub fn scripted(serve: impl Fn(usize, TcpStream) + Send + Sync + 'static) -> u16 {
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).unwrap();
     let port = listener.local_addr().unwrap().port();
@@ -160,30 +182,31 @@
     port
 }
 
-/// The next command on a backend's connection; none at its end.
+/// Reads the next command from a backend's connection. `None` at the end of the stream.
 pub fn next_command(stream: &mut TcpStream, buffer: &mut bytes::BytesMut) -> Option<Vec<String>> {
-    let mut piece = [0; 4096];
+    let mut chunk = [0; 4096];
     loop {
-        if let Some(words) = command_words(buffer) {
-            return Some(words);
+        if let Some(arguments) = command_arguments(buffer) {
+            return Some(arguments);
         }
-        match stream.read(&mut piece) {
-            Ok(n) if n > 0 => buffer.extend_from_slice(&piece[..n]),
+        match stream.read(&mut chunk) {
+            Ok(n) if n > 0 => buffer.extend_from_slice(&chunk[..n]),
             _ => return None,
         }
     }
 }
 
-/// A backend whose connections do not come up until the test lets them: the system's line of accepted connections is full, so
-/// it drops what asks for a further one, which asks again after a second.
-pub struct Late {
+/// A backend whose connections are not established until the test accepts one. The accept queue of its listener is full, so the
+/// system drops the SYN of a further connection, which is sent again after a second.
+pub struct FullListener {
     listener: TcpListener,
+    /// Occupies the accept queue.
     filler: TcpStream,
     pub port: u16,
 }
 
-impl Late {
-    pub fn new() -> Late {
+impl FullListener {
+    pub fn new() -> FullListener {
         use socket2::{Domain, Socket, Type};
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
         socket.bind(&SocketAddr::from((Ipv4Addr::LOCALHOST, 0)).into()).unwrap();
@@ -191,35 +214,37 @@
         let listener = TcpListener::from(socket);
         let address = listener.local_addr().unwrap();
         let filler = TcpStream::connect(address).unwrap();
-        Late { listener, filler, port: address.port() }
+        FullListener { listener, filler, port: address.port() }
     }
 
-    /// Waits until a connection asks to come up, in vain.
-    pub fn asked(&self) {
-        let port = format!(":{:04X} 02 ", self.port); // the state after it: its word was sent, and not answered
-        until("a connection on its way", || {
+    /// Waits until a connection has sent its SYN, which is not answered.
+    pub fn wait_for_syn(&self) {
+        let port = format!(":{:04X} 02 ", self.port); // the state that follows the port: SYN_SENT
+        wait_until("a connection in SYN_SENT", || {
             std::fs::read_to_string("/proc/net/tcp").unwrap().lines().any(|l| l.contains(&port))
         });
     }
 
-    /// Lets the next connection come up, waits until it has, and gives the bytes that come on it until it ends or `patience`
-    /// is over.
-    pub fn let_up(&self, patience: Duration) -> Vec<u8> {
+    /// Frees the accept queue and accepts the connection that waits. Returns the bytes that it receives until it ends or `timeout`
+    /// has passed; none if no connection is established.
+    pub fn accept_and_read(&self, timeout: Duration) -> Vec<u8> {
         let (first, _) = self.listener.accept().unwrap();
         assert_eq!(first.peer_addr().unwrap(), self.filler.local_addr().unwrap());
-        let end = Instant::now() + patience;
+        let deadline = Instant::now() + timeout;
         self.listener.set_nonblocking(true).unwrap();
-        while Instant::now() < end {
+        while Instant::now() < deadline {
             if let Ok((mut stream, _)) = self.listener.accept() {
                 stream.set_nonblocking(false).unwrap();
-                let left = end.saturating_duration_since(Instant::now()).max(Duration::from_millis(1));
-                stream.set_read_timeout(Some(left)).unwrap();
-                let (mut all, mut piece) = (Vec::new(), [0; 4096]);
-                while let Ok(n) = stream.read(&mut piece) {
+                let remaining =
+                    deadline.saturating_duration_since(Instant::now()).max(Duration::from_millis(1));
+                stream.set_read_timeout(Some(remaining)).unwrap();
+                let mut all = Vec::new();
+                let mut chunk = [0; 4096];
+                while let Ok(n) = stream.read(&mut chunk) {
                     if n == 0 {
                         break;
                     }
-                    all.extend_from_slice(&piece[..n]);
+                    all.extend_from_slice(&chunk[..n]);
                 }
                 return all;
             }
@@ -229,21 +254,23 @@
     }
 }
 
-const LIST: &str = "c=sig-check,t=team,d=4000,units=1,spread=1,first=0";
+const ATTRIBUTES: &str = "c=sig-check,t=team,d=4000,units=1,spread=1,first=0";
 
-/// Milliseconds.
-pub fn ms(n: u64) -> Duration {
-    Duration::from_millis(n)
+/// Creates a duration from milliseconds.
+pub fn ms(millis: u64) -> Duration {
+    Duration::from_millis(millis)
 }
 
+/// Encodes a query with this id and a deadline of four seconds.
 pub fn query(id: u64) -> Vec<u8> {
     let mut out = bytes::BytesMut::new();
     let id = format!("{id:016x}");
-    let words = [&b"SVC.QUERY"[..], b"0000000000000007", id.as_bytes(), LIST.as_bytes()];
-    put_command(&mut out, &words);
+    let arguments = [&b"SVC.QUERY"[..], b"0000000000000007", id.as_bytes(), ATTRIBUTES.as_bytes()];
+    put_command(&mut out, &arguments);
     out.to_vec()
 }
 
-pub fn queries(from: u64, count: u64) -> Vec<u8> {
-    (from..from + count).flat_map(query).collect()
+/// Encodes `count` queries with ids from `first` on.
+pub fn queries(first: u64, count: u64) -> Vec<u8> {
+    (first..first + count).flat_map(query).collect()
 }
