--- a/crates/platform/tests/discovery.rs
+++ b/crates/platform/tests/discovery.rs
@@ -1,5 +1,5 @@
-//! Following discovery on a world without a system: how long what counts as told takes to reach the driver, by path, beside
-//! the bound; and how often the agent is asked.
+//! The discovery follower in the simulated runtime: how long a change takes to reach the driver in each situation, compared with
+//! its bound, and how many requests the agent gets.
 
 use async_channel::{Receiver, Sender};
 use chalkgap::frontend::DriverEvent;
@@ -14,102 +14,111 @@
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard};
 
-const BEGIN: Micros = 1_800_000_000_000_000;
-const GRACE: Micros = 2_000_000;
-/// For connections and bytes in a world whose links take 0.3 ms at most.
-const ROUND: Micros = 5_000;
-/// How long a call may wait for its turn where lists are asked for, by the platform's page.
-const WHOLE_TURN: Micros = 2_000_000;
-/// How often the agent looks whether it has something to say.
-const LOOK: Micros = 10_000;
+const START: Micros = 1_800_000_000_000_000;
+/// The drain grace, from which the follower derives its timeouts.
+const DRAIN_GRACE: Micros = 2_000_000;
+/// Allowance for connecting and for sending data. Links of the simulation delay by 0.3 ms at most.
+const NETWORK_ALLOWANCE: Micros = 5_000;
+/// Longest time that a polled service may delay a request, as the platform documents it.
+const MAX_POLL_WAIT: Micros = 2_000_000;
+/// Interval at which the agent checks for changes to send.
+const CHECK_INTERVAL: Micros = 10_000;
 
-/// What the agent does.
+/// How the agent responds to requests.
 #[derive(Clone, Copy, PartialEq)]
-enum Mood {
-    Well,
-    /// It takes connections and says nothing on them, then or later.
-    Down,
-    /// It leaves out each list's last bracket and goes on with empty lines.
-    Half,
-    /// A service that is asked for lists, during an outage: calls are refused when they have waited for their whole turn.
-    Refusing,
+enum Behaviour {
+    Healthy,
+    /// It accepts connections and never sends anything on them.
+    Unresponsive,
+    /// It omits the last bracket of each list and sends empty lines after it.
+    Truncating,
+    /// A polled service during an outage: it rejects each request after [`MAX_POLL_WAIT`].
+    Rejecting,
 }
 
 struct Agent {
-    seq: u64,
-    mood: Mood,
+    version: u64,
+    behaviour: Behaviour,
     indent: bool,
-    /// Watches of an earlier life stay open and say nothing more.
-    life: u64,
-    /// So many further calls are taken and never answered.
-    deaf: usize,
-    /// So many are refused at once.
-    busy: usize,
-    wholes: usize,
-    watches: usize,
-    /// Calls are taken in turn, and each takes so long; when the line before the next one ends.
-    turn: Micros,
-    line: Micros,
+    /// Watches that were opened in an earlier generation stay open, and nothing more is sent on them.
+    generation: u64,
+    /// Number of further requests that are accepted and never answered.
+    ignore_next: usize,
+    /// Number of further requests that are rejected at once.
+    reject_next: usize,
+    /// Number of requests for the complete list.
+    list_requests: usize,
+    /// Number of requests for a watch.
+    watch_requests: usize,
+    /// Time that a request takes. Requests are served one after another.
+    service_time: Micros,
+    /// Time at which the requests that wait have been served.
+    queue_end: Micros,
 }
 
 #[derive(Clone)]
-struct Handle(Arc<Mutex<Agent>>);
+struct AgentHandle(Arc<Mutex<Agent>>);
 
-impl Handle {
-    fn at(&self) -> MutexGuard<'_, Agent> {
+impl AgentHandle {
+    fn lock(&self) -> MutexGuard<'_, Agent> {
         self.0.lock().unwrap()
     }
 
-    /// A list that names one backend, after the version.
-    fn list(&self, whole: bool) -> String {
-        let a = self.at();
-        let host =
-            serde_json::json!({"host": format!("s-{}", a.seq), "dial": "10.0.0.9:1", "health": "ready"});
-        let list = serde_json::json!({"seq": a.seq, "whole": whole, "hosts": [host]});
-        let text = if a.indent { serde_json::to_string_pretty(&list).unwrap() } else { list.to_string() };
-        let part = text.len() - usize::from(a.mood == Mood::Half);
-        text[..part].to_owned() + "\n"
+    /// Encodes a list with one backend, which is named after the version.
+    fn list(&self, complete: bool) -> String {
+        let agent = self.lock();
+        let name = format!("s-{}", agent.version);
+        let host = serde_json::json!({"host": name, "dial": "10.0.0.9:1", "health": "ready"});
+        let list = serde_json::json!({"seq": agent.version, "whole": complete, "hosts": [host]});
+        let text = if agent.indent { serde_json::to_string_pretty(&list).unwrap() } else { list.to_string() };
+        let length = text.len() - usize::from(agent.behaviour == Behaviour::Truncating);
+        text[..length].to_owned() + "\n"
     }
 
+    /// Serves one request.
     #[expect(clippy::too_many_lines, reason = "one scenario in its order")]
     async fn serve(self, runtime: Shared, mut stream: Box<dyn Stream>) {
-        let (mut head, mut byte) = (Vec::new(), [0]);
+        let mut head = Vec::new();
+        let mut byte = [0];
         while !head.ends_with(b"\r\n\r\n") && stream.read(&mut byte).await.is_ok_and(|n| n > 0) {
             head.push(byte[0]);
         }
         let head = String::from_utf8_lossy(&head).into_owned();
         let watch = head.contains("watch=1");
-        let from =
-            head.split("from=").nth(1).and_then(|f| f.split(' ').next()?.parse().ok()).unwrap_or(u64::MAX);
-        let (life, mut seq) = {
-            let mut a = self.at();
-            let mute = a.mood == Mood::Down || a.deaf > 0;
-            a.deaf = a.deaf.saturating_sub(1);
-            *if watch { &mut a.watches } else { &mut a.wholes } += 1;
-            (if mute { u64::MAX } else { a.life }, a.seq)
+        let known_version = head
+            .split("from=")
+            .nth(1)
+            .and_then(|rest| rest.split(' ').next()?.parse().ok())
+            .unwrap_or(u64::MAX);
+        let (generation, mut version) = {
+            let mut agent = self.lock();
+            let ignored = agent.behaviour == Behaviour::Unresponsive || agent.ignore_next > 0;
+            agent.ignore_next = agent.ignore_next.saturating_sub(1);
+            *if watch { &mut agent.watch_requests } else { &mut agent.list_requests } += 1;
+            (if ignored { u64::MAX } else { agent.generation }, agent.version)
         };
-        if life == u64::MAX {
+        if generation == u64::MAX {
             return future::pending().await;
         }
-        let (refusing, busy) = {
-            let mut a = self.at();
-            let busy = a.mood != Mood::Refusing && a.busy > 0;
-            a.busy -= usize::from(busy);
-            (a.mood == Mood::Refusing, busy)
+        let (rejected_late, rejected_at_once) = {
+            let mut agent = self.lock();
+            let rejected_at_once = agent.behaviour != Behaviour::Rejecting && agent.reject_next > 0;
+            agent.reject_next -= usize::from(rejected_at_once);
+            (agent.behaviour == Behaviour::Rejecting, rejected_at_once)
         };
-        if refusing || busy {
-            runtime.sleep_until(runtime.now() + if refusing { WHOLE_TURN } else { 0 }).await;
+        if rejected_late || rejected_at_once {
+            runtime.sleep_until(runtime.now() + if rejected_late { MAX_POLL_WAIT } else { 0 }).await;
             let _ = stream.write_all(b"HTTP/1.1 503 Busy\r\ncontent-length: 0\r\n\r\n").await;
             return;
         }
-        let turn = {
-            let mut a = self.at();
-            a.line = a.line.max(runtime.now()) + a.turn;
-            a.line
+        let served_at = {
+            let mut agent = self.lock();
+            agent.queue_end = agent.queue_end.max(runtime.now()) + agent.service_time;
+            agent.queue_end
         };
-        runtime.sleep_until(turn).await;
-        // What came while it waited is told first.
-        seq = if watch { from.min(seq) } else { seq };
+        runtime.sleep_until(served_at).await;
+        // A watch first sends the changes since the version that the client has.
+        version = if watch { known_version.min(version) } else { version };
         if !watch {
             let text = self.list(true);
             let head = format!("HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n", text.len());
@@ -117,19 +126,20 @@
             return;
         }
         let _ = stream.write_all(b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n").await;
-        let mut said = runtime.now();
+        let mut last_sent = runtime.now();
         loop {
-            runtime.sleep_until(runtime.now() + LOOK).await;
-            if self.at().life != life {
+            runtime.sleep_until(runtime.now() + CHECK_INTERVAL).await;
+            if self.lock().generation != generation {
                 return future::pending().await;
             }
-            let news = self.at().seq != seq;
-            let text = match news {
+            let changed = self.lock().version != version;
+            let text = match changed {
                 true => self.list(false),
-                false if runtime.now() < said + 2_000_000 => continue,
+                false if runtime.now() < last_sent + 2_000_000 => continue,
                 false => "\n".to_owned(),
             };
-            (said, seq) = (runtime.now(), self.at().seq);
+            last_sent = runtime.now();
+            version = self.lock().version;
             if stream.write_all(format!("{:x}\r\n{text}\r\n", text.len()).as_bytes()).await.is_err() {
                 return;
             }
@@ -137,351 +147,384 @@
     }
 }
 
-/// One who follows the agent at an address.
-fn follower(
+/// Starts a follower of the agent at `address` on host `host_number`. Returns its runtime, the host's power switch, the sender of
+/// new agent addresses, and the receiver of its events.
+fn start_follower(
     world: &World,
-    no: u32,
+    host_number: u32,
     mode: Discovery,
-    at: SocketAddr,
+    agent_address: SocketAddr,
 ) -> (Shared, Power, Sender<SocketAddr>, Receiver<DriverEvent<ForwardedCommand>>) {
-    let (host, power) = world.host(no, 0);
+    let (host, power) = world.host(host_number, 0);
     let runtime: Shared = host;
-    let (moves, moved) = async_channel::bounded(4);
-    let (driver, input) = async_channel::bounded(64);
-    let (first, _) = async_channel::bounded(1);
+    let (address_changes, address_receiver) = async_channel::bounded(4);
+    let (driver, events) = async_channel::bounded(64);
+    let (first_list, _) = async_channel::bounded(1);
     let follower = DiscoveryFollower {
         runtime: runtime.clone(),
         endpoints: EndpointSet::new(Vec::new(), Vec::new()),
-        address: at,
-        timeouts: DiscoveryTimeouts::new(GRACE, mode),
+        address: agent_address,
+        timeouts: DiscoveryTimeouts::new(DRAIN_GRACE, mode),
         driver,
-        first_list: first,
+        first_list,
     };
-    let task = follower.run(moved);
+    let task = follower.run(address_receiver);
     runtime.spawn(Box::pin(task)).detach();
-    (runtime, power, moves, input)
+    (runtime, power, address_changes, events)
 }
 
-/// A world with agents and one who follows them.
-struct Rig {
+/// Two agents and a follower of the first one, in a simulated network.
+struct Fixture {
     runtime: Shared,
     world: World,
-    agents: Vec<(Handle, SocketAddr)>,
-    others: Vec<Sender<SocketAddr>>,
-    moves: Sender<SocketAddr>,
-    input: Receiver<DriverEvent<ForwardedCommand>>,
-    power: Vec<Power>,
+    agents: Vec<(AgentHandle, SocketAddr)>,
+    /// Senders of the further followers, which end when theirs is dropped.
+    other_address_changes: Vec<Sender<SocketAddr>>,
+    /// Sends a new agent address to the follower.
+    address_changes: Sender<SocketAddr>,
+    /// Events that the follower sends to its driver.
+    events: Receiver<DriverEvent<ForwardedCommand>>,
+    powers: Vec<Power>,
 }
 
-impl Rig {
-    fn new(world: &World, indent: bool, mode: Discovery) -> Rig {
-        let (mut agents, mut powers) = (Vec::new(), Vec::new());
-        for no in 1..=2 {
-            let (host, power) = world.host(no, 0);
+impl Fixture {
+    fn new(world: &World, indent: bool, mode: Discovery) -> Fixture {
+        let mut agents = Vec::new();
+        let mut powers = Vec::new();
+        for host_number in 1..=2 {
+            let (host, power) = world.host(host_number, 0);
             let agent = Agent {
-                seq: 1,
-                mood: Mood::Well,
+                version: 1,
+                behaviour: Behaviour::Healthy,
                 indent,
-                life: 0,
-                deaf: 0,
-                busy: 0,
-                wholes: 0,
-                watches: 0,
-                turn: 0,
-                line: 0,
+                generation: 0,
+                ignore_next: 0,
+                reject_next: 0,
+                list_requests: 0,
+                watch_requests: 0,
+                service_time: 0,
+                queue_end: 0,
             };
-            let handle = Handle(Arc::new(Mutex::new(agent)));
-            let at = SocketAddr::new(address(no), 8500);
-            let (listener, runtime, served) = (host.listen(at).unwrap(), host as Shared, handle.clone());
-            let to = runtime.clone();
+            let handle = AgentHandle(Arc::new(Mutex::new(agent)));
+            let agent_address = SocketAddr::new(address(host_number), 8500);
+            let listener = host.listen(agent_address).unwrap();
+            let runtime = host as Shared;
+            let served = handle.clone();
+            let task_runtime = runtime.clone();
             let serve = async move {
                 while let Ok(stream) = listener.accept().await {
-                    to.spawn(Box::pin(served.clone().serve(to.clone(), stream))).detach();
+                    let task = served.clone().serve(task_runtime.clone(), stream);
+                    task_runtime.spawn(Box::pin(task)).detach();
                 }
             };
             runtime.spawn(Box::pin(serve)).detach();
-            agents.push((handle, at));
+            agents.push((handle, agent_address));
             powers.push(power);
         }
-        let (runtime, power, moves, input) = follower(world, 3, mode, agents[0].1);
+        let (runtime, power, address_changes, events) = start_follower(world, 3, mode, agents[0].1);
         powers.push(power);
-        let others = Vec::new();
-        Rig { runtime, world: world.clone(), agents, others, moves, input, power: powers }
+        Fixture {
+            runtime,
+            world: world.clone(),
+            agents,
+            other_address_changes: Vec::new(),
+            address_changes,
+            events,
+            powers,
+        }
     }
 
-    /// One more that follows the same agent, where lists are asked for.
-    fn further(&mut self, no: u32) -> Receiver<DriverEvent<ForwardedCommand>> {
-        let (_, power, moves, input) = follower(&self.world, no, Discovery::Poll, self.agents[0].1);
-        self.power.push(power);
-        self.others.push(moves);
-        input
+    /// Starts a further follower of the same agent, which polls. Returns the receiver of its events.
+    fn add_polling_follower(&mut self, host_number: u32) -> Receiver<DriverEvent<ForwardedCommand>> {
+        let (_, power, address_changes, events) =
+            start_follower(&self.world, host_number, Discovery::Poll, self.agents[0].1);
+        self.powers.push(power);
+        self.other_address_changes.push(address_changes);
+        events
     }
 
     fn agent(&self) -> MutexGuard<'_, Agent> {
-        self.agents[0].0.at()
+        self.agents[0].0.lock()
     }
 
-    async fn rest(&self, span: Micros) {
+    async fn sleep(&self, span: Micros) {
         self.runtime.sleep_until(self.runtime.now() + span).await;
     }
 
-    /// Silence on all that is open; changes come, and `mood` goes for later calls.
-    fn silence(&self, mood: Mood) {
-        let mut a = self.agent();
-        (a.life, a.mood) = (a.life + 1, mood);
+    /// Stops sending on all open watches, and sets the behaviour for later requests.
+    fn silence_watches(&self, behaviour: Behaviour) {
+        let mut agent = self.agent();
+        agent.generation += 1;
+        agent.behaviour = behaviour;
     }
 
-    /// Until the driver is told of this version.
-    async fn told(&self, version: u64) -> Micros {
-        let begin = self.runtime.now();
-        let want = backend_id(&format!("s-{version}"));
-        let told = async {
-            while let Ok(input) = self.input.recv().await {
-                let DriverEvent::Endpoints { endpoints: lines, .. } = input else { continue };
-                if lines.iter().any(|l| l.0.backend == want && l.0.availability == Availability::Ready) {
-                    return self.runtime.now() - begin;
+    /// Waits until the driver gets the list of this version. Returns how long that took.
+    async fn wait_for_version(&self, version: u64) -> Micros {
+        let started = self.runtime.now();
+        let expected = backend_id(&format!("s-{version}"));
+        let received = async {
+            while let Ok(event) = self.events.recv().await {
+                let DriverEvent::Endpoints { endpoints, .. } = event else { continue };
+                if endpoints.iter().any(|(endpoint, _)| {
+                    endpoint.backend == expected && endpoint.availability == Availability::Ready
+                }) {
+                    return self.runtime.now() - started;
                 }
             }
             panic!("the follower has ended");
         };
-        let never = async {
-            self.rest(60_000_000).await;
-            panic!("version {version} was never told");
+        let timeout = async {
+            self.sleep(60_000_000).await;
+            panic!("version {version} did not reach the driver within 60 s");
         };
-        future::or(told, never).await
+        future::or(received, timeout).await
     }
 }
 
-fn play<F: std::future::Future<Output = ()> + 'static>(
+/// Runs a test with a follower that has version 1 and an open watch.
+fn run_test<F: std::future::Future<Output = ()> + 'static>(
     seed: u64,
     indent: bool,
-    act: impl FnOnce(Rig) -> F + 'static,
+    test: impl FnOnce(Fixture) -> F + 'static,
 ) {
-    play_mode(seed, indent, Discovery::Push, act);
+    run_test_in_mode(seed, indent, Discovery::Push, test);
 }
 
-/// The same where lists are asked for, or not.
-fn play_mode<F: std::future::Future<Output = ()> + 'static>(
+/// Runs the same as [`run_test`] in either discovery mode.
+fn run_test_in_mode<F: std::future::Future<Output = ()> + 'static>(
     seed: u64,
     indent: bool,
     mode: Discovery,
-    act: impl FnOnce(Rig) -> F + 'static,
+    test: impl FnOnce(Fixture) -> F + 'static,
 ) {
-    let world = World::new(seed, BEGIN);
-    let inside = world.clone();
-    let done = world.run(async move {
-        let rig = Rig::new(&inside, indent, mode);
-        rig.told(1).await;
-        rig.rest(1_000_000).await;
-        act(rig).await;
+    let world = World::new(seed, START);
+    let fixture_world = world.clone();
+    let completed = world.run(async move {
+        let fixture = Fixture::new(&fixture_world, indent, mode);
+        fixture.wait_for_version(1).await;
+        fixture.sleep(1_000_000).await;
+        test(fixture).await;
     });
-    assert!(done.is_some(), "it came to its end");
+    assert!(completed.is_some(), "the simulation did not complete");
 }
 
-/// Against an agent that indents its lists one ingress asked for the whole list 161 times in six seconds, and no change
-/// ever came by the watch.
+/// Guards against a failure to decode indented lists: one ingress requested the complete list 161 times in six seconds, and no
+/// change arrived by the watch.
 #[test]
 fn indented_changes_arrive_by_the_watch() {
     for indent in [false, true] {
-        play(1, indent, |rig| async move {
+        run_test(1, indent, |fixture| async move {
             for version in 2..10 {
-                rig.agent().seq = version;
-                let took = rig.told(version).await;
-                assert!(took <= LOOK + ROUND, "{took} us");
-                rig.rest(700_000).await;
+                fixture.agent().version = version;
+                let elapsed = fixture.wait_for_version(version).await;
+                assert!(elapsed <= CHECK_INTERVAL + NETWORK_ALLOWANCE, "{elapsed} us");
+                fixture.sleep(700_000).await;
             }
-            let agent = rig.agent();
-            assert_eq!((agent.wholes, agent.watches), (1, 1));
+            let agent = fixture.agent();
+            assert_eq!((agent.list_requests, agent.watch_requests), (1, 1));
         });
     }
 }
 
-/// Calls in a row that hang after a watch that fell silent.
-const CALLS: usize = 3;
+/// Number of consecutive requests that hang after a watch has become silent.
+const MAX_HANGING_REQUESTS: usize = 3;
 
-/// The one clock: what a silent watch misses counts as told 6 s after it fell silent, and three calls in a row that fall silent
-/// as well leave that standing.
+/// A change that a silent watch does not deliver reaches the driver within 6 s of the silence, although up to three requests in a
+/// row hang as well.
 #[test]
-fn a_silent_watch_costs_less_than_six_seconds() {
+fn a_silent_watch_delays_changes_by_less_than_six_seconds() {
     let mut worst = 0;
     for seed in 0..80 {
-        let deaf = seed as usize % (CALLS + 1);
-        let seen = Arc::new(Mutex::new(0));
-        let out = seen.clone();
-        play(seed, seed % 3 == 0, move |rig| async move {
-            rig.rest(seed * 53_000).await;
-            rig.silence(Mood::Well);
-            rig.agent().deaf = deaf;
-            rig.agent().seq = 2;
-            *out.lock().unwrap() = rig.told(2).await;
+        let hanging = seed as usize % (MAX_HANGING_REQUESTS + 1);
+        let elapsed = Arc::new(Mutex::new(0));
+        let result = elapsed.clone();
+        run_test(seed, seed % 3 == 0, move |fixture| async move {
+            fixture.sleep(seed * 53_000).await;
+            fixture.silence_watches(Behaviour::Healthy);
+            fixture.agent().ignore_next = hanging;
+            fixture.agent().version = 2;
+            *result.lock().unwrap() = fixture.wait_for_version(2).await;
         });
-        worst = worst.max(*seen.lock().unwrap());
+        worst = worst.max(*elapsed.lock().unwrap());
     }
     let bound = 2_600_000
-        + CALLS as u64 * DiscoveryTimeouts::new(GRACE, Discovery::Push).call
+        + MAX_HANGING_REQUESTS as u64 * DiscoveryTimeouts::new(DRAIN_GRACE, Discovery::Push).call
         + 50_000
         + 100_000
         + 200_000
         + 250_000
-        + ROUND;
+        + NETWORK_ALLOWANCE;
     assert!(worst <= bound && bound < 6_000_000, "{worst} us, bound {bound}");
-    assert!(worst > bound * 8 / 10, "a search that reaches the bound: {worst} us of {bound}");
+    assert!(worst > bound * 8 / 10, "the seeds do not come near the bound: {worst} us of {bound}");
 }
 
-/// Calls made in an outage are never answered, and when it ends what the agent has counts at once: work sent to a backend
-/// that drains must have ended two seconds later. With a pause of up to a second and a call of one it took up to 2.0 s.
+/// Requests made during an outage are never answered. After the outage, the list must reach the driver well within the drain grace
+/// of two seconds, by which work for a draining backend must have ended. With pauses and a request timeout of up to one second each,
+/// it took up to 2.0 s.
 #[test]
 fn after_an_outage_the_list_arrives_well_within_the_drain_grace() {
     let mut worst = 0;
     for seed in 0..60 {
-        let seen = Arc::new(Mutex::new(0));
-        let out = seen.clone();
-        play(seed, false, move |rig| async move {
-            rig.silence(Mood::Down);
-            rig.rest(8_000_000 + seed * 37_000).await;
-            rig.agent().seq = 2;
-            rig.agent().mood = Mood::Well;
-            *out.lock().unwrap() = rig.told(2).await;
-            // Calls in all: each takes a second, and half a pause at least.
-            assert!(rig.agent().wholes < 14, "{} calls", rig.agent().wholes);
+        let elapsed = Arc::new(Mutex::new(0));
+        let result = elapsed.clone();
+        run_test(seed, false, move |fixture| async move {
+            fixture.silence_watches(Behaviour::Unresponsive);
+            fixture.sleep(8_000_000 + seed * 37_000).await;
+            fixture.agent().version = 2;
+            fixture.agent().behaviour = Behaviour::Healthy;
+            *result.lock().unwrap() = fixture.wait_for_version(2).await;
+            // Each request takes a second, and the pause after it at least half of its nominal length.
+            assert!(fixture.agent().list_requests < 14, "{} requests", fixture.agent().list_requests);
         });
-        worst = worst.max(*seen.lock().unwrap());
+        worst = worst.max(*elapsed.lock().unwrap());
     }
-    let bound = DiscoveryTimeouts::new(GRACE, Discovery::Push).call
-        + DiscoveryTimeouts::new(GRACE, Discovery::Push).max_backoff
-        + ROUND;
-    assert!(worst <= bound && bound < GRACE * 2 / 3, "{worst} us, bound {bound}");
-    assert!(worst > bound / 2, "a search that reaches half of the bound: {worst} us of {bound}");
+    let bound = DiscoveryTimeouts::new(DRAIN_GRACE, Discovery::Push).call
+        + DiscoveryTimeouts::new(DRAIN_GRACE, Discovery::Push).max_backoff
+        + NETWORK_ALLOWANCE;
+    assert!(worst <= bound && bound < DRAIN_GRACE * 2 / 3, "{worst} us, bound {bound}");
+    assert!(worst > bound / 2, "the seeds do not reach half of the bound: {worst} us of {bound}");
 }
 
-/// Where lists are asked for, a call in an outage is refused when it has waited for its whole turn. At the outage's end the
-/// service may refuse the next one at once, as all come back together, and let the one after that wait: what it has is known
-/// within 6 s all the same.
+/// A polled service rejects requests during an outage after [`MAX_POLL_WAIT`]. After the outage it may reject the next request at
+/// once, as all ingresses return together, and delay the one after that. The list still reaches the driver within 6 s.
 #[test]
 fn after_an_outage_a_polled_service_is_followed_within_six_seconds() {
-    let (mut worst, turn) = (0, 2_000_000);
+    let mut worst = 0;
+    let service_time = 2_000_000;
     for seed in 0..60 {
-        let seen = Arc::new(Mutex::new(0));
-        let out = seen.clone();
-        play_mode(seed, false, Discovery::Poll, move |rig| async move {
-            rig.silence(Mood::Refusing);
-            rig.rest(8_000_000 + seed * 37_000).await;
+        let elapsed = Arc::new(Mutex::new(0));
+        let result = elapsed.clone();
+        run_test_in_mode(seed, false, Discovery::Poll, move |fixture| async move {
+            fixture.silence_watches(Behaviour::Rejecting);
+            fixture.sleep(8_000_000 + seed * 37_000).await;
             {
-                let mut a = rig.agent();
-                (a.seq, a.mood, a.busy, a.turn) = (2, Mood::Well, 1, turn);
+                let mut agent = fixture.agent();
+                agent.version = 2;
+                agent.behaviour = Behaviour::Healthy;
+                agent.reject_next = 1;
+                agent.service_time = service_time;
             }
-            *out.lock().unwrap() = rig.told(2).await;
-            // Each took two seconds at least.
-            assert!(rig.agent().watches < 9, "{} calls", rig.agent().watches);
+            *result.lock().unwrap() = fixture.wait_for_version(2).await;
+            // Each request takes at least two seconds.
+            assert!(fixture.agent().watch_requests < 9, "{} requests", fixture.agent().watch_requests);
         });
-        worst = worst.max(*seen.lock().unwrap());
+        worst = worst.max(*elapsed.lock().unwrap());
     }
-    let bound = WHOLE_TURN
-        + DiscoveryTimeouts::new(GRACE, Discovery::Poll).max_backoff
+    let bound = MAX_POLL_WAIT
+        + DiscoveryTimeouts::new(DRAIN_GRACE, Discovery::Poll).max_backoff
         + 1_000_000
-        + turn
-        + LOOK
-        + 2 * ROUND;
+        + service_time
+        + CHECK_INTERVAL
+        + 2 * NETWORK_ALLOWANCE;
     assert!(worst <= bound && bound < 6_000_000, "{worst} us, bound {bound}");
-    assert!(worst > bound * 8 / 10, "a search that reaches the bound: {worst} us of {bound}");
+    assert!(worst > bound * 8 / 10, "the seeds do not come near the bound: {worst} us of {bound}");
 }
 
-/// A new configuration is followed at once, whatever the old address does.
+/// A new agent address in the configuration is requested at once, whatever the old agent does.
 #[test]
-fn a_new_address_is_called_at_once() {
-    for mood in [Mood::Well, Mood::Down] {
-        play(3, false, move |rig| async move {
-            rig.silence(mood);
-            rig.rest(6_300_000).await;
-            rig.agents[1].0.at().seq = 5;
-            rig.moves.send(rig.agents[1].1).await.unwrap();
-            let took = rig.told(5).await;
-            assert!(took <= ROUND, "{took} us");
+fn a_new_address_is_requested_at_once() {
+    for behaviour in [Behaviour::Healthy, Behaviour::Unresponsive] {
+        run_test(3, false, move |fixture| async move {
+            fixture.silence_watches(behaviour);
+            fixture.sleep(6_300_000).await;
+            fixture.agents[1].0.lock().version = 5;
+            fixture.address_changes.send(fixture.agents[1].1).await.unwrap();
+            let elapsed = fixture.wait_for_version(5).await;
+            assert!(elapsed <= NETWORK_ALLOWANCE, "{elapsed} us");
         });
     }
 }
 
-/// A list that begins and does not end: empty lines behind it are no sign of life, and the half is never taken.
+/// A list without its end is abandoned after the request timeout, although empty lines follow it, and is never applied.
 #[test]
 fn a_partial_list_is_abandoned_after_the_call_timeout() {
-    play(4, true, |rig| async move {
-        rig.agent().mood = Mood::Half;
-        rig.agent().seq = 2;
-        rig.rest(400_000).await;
-        rig.agent().mood = Mood::Well;
-        let took = rig.told(2).await;
-        assert!(took <= DiscoveryTimeouts::new(GRACE, Discovery::Push).call + 50_000 + ROUND, "{took} us");
-        assert_eq!(rig.agent().wholes, 2, "by a new list, not by the watch");
+    run_test(4, true, |fixture| async move {
+        fixture.agent().behaviour = Behaviour::Truncating;
+        fixture.agent().version = 2;
+        fixture.sleep(400_000).await;
+        fixture.agent().behaviour = Behaviour::Healthy;
+        let elapsed = fixture.wait_for_version(2).await;
+        assert!(
+            elapsed <= DiscoveryTimeouts::new(DRAIN_GRACE, Discovery::Push).call + 50_000 + NETWORK_ALLOWANCE,
+            "{elapsed} us"
+        );
+        assert_eq!(fixture.agent().list_requests, 2, "the change arrives by a new list, not by the watch");
     });
 }
 
-/// A watch that is reset is opened again after the least pause.
+/// A watch that is reset is opened again after the minimum pause.
 #[test]
 fn a_reset_watch_is_opened_again_at_once() {
-    play(5, false, |rig| async move {
+    run_test(5, false, |fixture| async move {
         let cut = Some(chalkgap_runtime::link_faults::Cut::Reset);
-        let weather = chalkgap_runtime::simulated_runtime::USUAL;
-        rig.world.link(1, 3, Some(chalkgap_runtime::link_faults::LinkFaults { cut, ..weather }));
-        rig.world.link(1, 3, None);
-        rig.agent().seq = 2;
-        let took = rig.told(2).await;
-        assert!(took <= 50_000 + ROUND, "{took} us");
+        let usual_link = chalkgap_runtime::simulated_runtime::USUAL;
+        fixture.world.link(1, 3, Some(chalkgap_runtime::link_faults::LinkFaults { cut, ..usual_link }));
+        fixture.world.link(1, 3, None);
+        fixture.agent().version = 2;
+        let elapsed = fixture.wait_for_version(2).await;
+        assert!(elapsed <= 50_000 + NETWORK_ALLOWANCE, "{elapsed} us");
     });
 }
 
-/// Where no list is held yet, a watch would give the changes to nothing: the whole list is asked for until it is there.
+/// Changes need a complete list to apply to. Until there is one, the follower requests the complete list and no watch.
 #[test]
 fn changes_are_not_watched_before_a_complete_list() {
-    let world = World::new(9, BEGIN);
-    let inside = world.clone();
-    let done = world.run(async move {
-        let mut rig = Rig::new(&inside, false, Discovery::Poll);
+    let world = World::new(9, START);
+    let fixture_world = world.clone();
+    let completed = world.run(async move {
+        let mut fixture = Fixture::new(&fixture_world, false, Discovery::Poll);
         {
-            let mut a = rig.agent();
-            (a.deaf, a.seq) = (2, 3);
+            let mut agent = fixture.agent();
+            agent.ignore_next = 2;
+            agent.version = 3;
         }
-        let input = rig.further(4);
-        rig.input = input;
-        rig.told(3).await;
-        let agent = rig.agent();
-        assert!(agent.wholes >= 3, "{} calls for a whole list", agent.wholes);
+        let events = fixture.add_polling_follower(4);
+        fixture.events = events;
+        fixture.wait_for_version(3).await;
+        let agent = fixture.agent();
+        assert!(agent.list_requests >= 3, "{} requests for the complete list", agent.list_requests);
     });
-    assert!(done.is_some(), "it came to its end");
+    assert!(completed.is_some(), "the simulation did not complete");
 }
 
-/// Where lists are asked for, discovery takes calls in turn. A fleet that lost its watches together asks once each, waits for
-/// its turn, and is told; calls that are given up and made anew are work for the same service, which it never gets done:
-/// with 0.75 s for a call, and two calls for each, the last of six heard after 7 s and more.
+/// A polled service serves requests one after another. If all followers lose their watches together, each sends one request and
+/// waits for its response. Requests that are abandoned and sent again add work for the service: with a timeout of 0.75 s and two
+/// requests from each, the last of six followers got the list after more than 7 s.
 #[test]
 fn a_polled_service_gets_one_request_from_each_follower() {
-    let world = World::new(7, BEGIN);
-    let inside = world.clone();
-    let done = world.run(async move {
-        let mut rig = Rig::new(&inside, false, Discovery::Poll);
+    let world = World::new(7, START);
+    let fixture_world = world.clone();
+    let completed = world.run(async move {
+        let mut fixture = Fixture::new(&fixture_world, false, Discovery::Poll);
         let mut others = Vec::new();
-        for no in 4..9 {
-            others.push(rig.further(no));
+        for host_number in 4..9 {
+            others.push(fixture.add_polling_follower(host_number));
         }
-        rig.told(1).await;
-        rig.rest(3_000_000).await;
+        fixture.wait_for_version(1).await;
+        fixture.sleep(3_000_000).await;
         {
-            let mut a = rig.agent();
-            (a.wholes, a.watches, a.turn) = (0, 0, 250_000);
+            let mut agent = fixture.agent();
+            agent.list_requests = 0;
+            agent.watch_requests = 0;
+            agent.service_time = 250_000;
         }
-        rig.silence(Mood::Well);
-        rig.agent().seq = 2;
-        let begin = rig.runtime.now();
-        let took = rig.told(2).await;
-        assert!(took < 6_000_000, "{took} us");
-        for other in others {
-            rig.input = other;
-            rig.told(2).await;
+        fixture.silence_watches(Behaviour::Healthy);
+        fixture.agent().version = 2;
+        let started = fixture.runtime.now();
+        let elapsed = fixture.wait_for_version(2).await;
+        assert!(elapsed < 6_000_000, "{elapsed} us");
+        for events in others {
+            fixture.events = events;
+            fixture.wait_for_version(2).await;
         }
-        let last = rig.runtime.now() - begin;
-        let bound = 2_600_000 + 6 * 250_000 + 250_000 + 6 * ROUND;
-        assert!(last <= bound && bound < 6_000_000, "the last one was told after {last} us, bound {bound}");
-        let agent = rig.agent();
-        assert_eq!((agent.wholes, agent.watches), (0, 6));
+        let last = fixture.runtime.now() - started;
+        let bound = 2_600_000 + 6 * 250_000 + 250_000 + 6 * NETWORK_ALLOWANCE;
+        assert!(
+            last <= bound && bound < 6_000_000,
+            "the last follower got the list after {last} us, bound {bound}"
+        );
+        let agent = fixture.agent();
+        assert_eq!((agent.list_requests, agent.watch_requests), (0, 6));
     });
-    assert!(done.is_some(), "it came to its end");
+    assert!(completed.is_some(), "the simulation did not complete");
 }
