--- a/crates/platform/tests/recorded_documents.rs
+++ b/crates/platform/tests/recorded_documents.rs
@@ -1,4 +1,4 @@
-//! What the platform and its discovery tell an ingress, as recorded documents: each value arrives where it did before.
+//! Reads recorded configurations and endpoint lists of the platform, and compares each parsed value and error with fixtures.
 
 use chalkgap_platform::config::Config;
 use chalkgap_platform::endpoint_list::EndpointList;
@@ -8,16 +8,24 @@
 #[path = "../../../tests/support/recorded.rs"]
 mod recorded;
 
+/// Reads a fixture.
 fn document(name: &str) -> Vec<u8> {
     std::fs::read(recorded::fixture(name)).expect("the recorded document")
 }
 
-fn show_lines(text: &mut String, lines: &[(chalkgap_core::Endpoint, std::net::SocketAddr)]) {
-    for (line, address) in lines {
+/// Appends a line for each endpoint.
+fn write_endpoints(text: &mut String, endpoints: &[(chalkgap_core::Endpoint, std::net::SocketAddr)]) {
+    for (endpoint, address) in endpoints {
         writeln!(
             text,
             "{:016x} zone {} cell {} kind {} {:?} size {} started {} at {address}",
-            line.backend.0, line.zone, line.cell, line.kind, line.availability, line.weight, line.started_at
+            endpoint.backend.0,
+            endpoint.zone,
+            endpoint.cell,
+            endpoint.kind,
+            endpoint.availability,
+            endpoint.weight,
+            endpoint.started_at
         )
         .unwrap();
     }
@@ -26,7 +34,7 @@
 #[test]
 #[expect(clippy::too_many_lines, reason = "one scenario in its order")]
 fn a_configuration_is_read_as_recorded() {
-    let config = Config::parse("config.json", &document("config.json")).expect("it is taken");
+    let config = Config::parse("config.json", &document("config.json")).expect("a valid configuration");
     let mut text = String::new();
     writeln!(text, "name {} listen {} discovery {}", config.name, config.listen, config.discovery).unwrap();
     writeln!(text, "seed {:016x} memory {} sockets {}", config.seed, config.memory_bytes, config.descriptors)
@@ -96,10 +104,10 @@
     )
     .unwrap();
     let mut endpoints = EndpointSet::new(deployment.zone_names.clone(), deployment.machine_kinds.clone());
-    let known: &EndpointList = config.cached_endpoints.as_ref().expect("a known list");
-    let lines = endpoints.restore_cached(1, known).endpoints;
+    let known: &EndpointList = config.cached_endpoints.as_ref().expect("a cached list");
+    let restored = endpoints.restore_cached(1, known).endpoints;
     writeln!(text, "known {} whole {}", known.version, known.is_complete).unwrap();
-    show_lines(&mut text, &lines);
+    write_endpoints(&mut text, &restored);
     recorded::check_text("config.txt", &text);
 }
 
@@ -108,42 +116,45 @@
     let mut endpoints = EndpointSet::new(vec!["bldg-a".into(), "bldg-b".into()], vec!["k".into()]);
     let mut text = String::new();
     for name in ["list.json", "changes.json"] {
-        let list: EndpointList = serde_json::from_slice(&document(name)).expect("a list");
-        let lines = endpoints.apply(1_000, &list).expect("it is taken").endpoints;
+        let list: EndpointList = serde_json::from_slice(&document(name)).expect("a valid list");
+        let applied = endpoints.apply(1_000, &list).expect("an acceptable list").endpoints;
         writeln!(text, "{name}: version {} whole {}", list.version, list.is_complete).unwrap();
-        show_lines(&mut text, &lines);
+        write_endpoints(&mut text, &applied);
     }
     recorded::check_text("lists.txt", &text);
 }
 
-/// Complaints about a document name the place and what was expected there.
+/// Errors about a configuration name the field and what was expected there.
 #[test]
-fn complaints_about_a_configuration_are_as_recorded() {
+fn configuration_errors_are_as_recorded() {
     let good: serde_json::Value = serde_json::from_slice(&document("config.json")).unwrap();
     let mut text = String::new();
     let mut paths = Vec::new();
-    leaves(&good, String::new(), &mut paths);
+    collect_leaves(&good, String::new(), &mut paths);
     for path in paths {
         for bad in [serde_json::json!("nonsense"), serde_json::json!(-1), serde_json::Value::Null] {
             let mut changed = good.clone();
             *changed.pointer_mut(&path).unwrap() = bad.clone();
-            let said = match Config::parse("config.json", changed.to_string().as_bytes()) {
+            let result = match Config::parse("config.json", changed.to_string().as_bytes()) {
                 Ok(_) => "taken".to_owned(),
                 Err(error) => error.to_string(),
             };
-            writeln!(text, "{path} = {bad}: {said}").unwrap();
+            writeln!(text, "{path} = {bad}: {result}").unwrap();
         }
     }
     recorded::check_text("complaints.txt", &text);
 }
 
-fn leaves(value: &serde_json::Value, path: String, paths: &mut Vec<String>) {
+/// Collects the JSON pointers of all leaves of `value`. An array without objects is a leaf.
+fn collect_leaves(value: &serde_json::Value, path: String, paths: &mut Vec<String>) {
     match value {
         serde_json::Value::Object(map) => {
-            map.iter().for_each(|(key, value)| leaves(value, format!("{path}/{key}"), paths));
+            map.iter().for_each(|(key, value)| collect_leaves(value, format!("{path}/{key}"), paths));
         }
         serde_json::Value::Array(list) if list.iter().any(serde_json::Value::is_object) => {
-            list.iter().enumerate().for_each(|(n, value)| leaves(value, format!("{path}/{n}"), paths));
+            list.iter()
+                .enumerate()
+                .for_each(|(n, value)| collect_leaves(value, format!("{path}/{n}"), paths));
         }
         _ => paths.push(path),
     }
--- a/crates/platform/tests/state_machines/builders.rs
+++ b/crates/platform/tests/state_machines/builders.rs
@@ -1,4 +1,4 @@
-//! What several tests are made of.
+//! Builders of parsers, commands and endpoint lists for the tests of this folder.
 
 use crate::common;
 use bytes::{Bytes, BytesMut};
@@ -18,25 +18,26 @@
     RequestParser::new(&config.deployment)
 }
 
-pub(crate) fn words(list: &[&str]) -> Command {
-    Command { arguments: list.iter().map(|w| Bytes::copy_from_slice(w.as_bytes())).collect() }
+pub(crate) fn command(arguments: &[&str]) -> Command {
+    Command { arguments: arguments.iter().map(|word| Bytes::copy_from_slice(word.as_bytes())).collect() }
 }
 
-pub(crate) fn written(list: &[&str]) -> BytesMut {
+pub(crate) fn encoded_command(arguments: &[&str]) -> BytesMut {
     let mut out = BytesMut::new();
-    put_command(&mut out, &list.iter().map(|w| w.as_bytes()).collect::<Vec<_>>());
+    put_command(&mut out, &arguments.iter().map(|word| word.as_bytes()).collect::<Vec<_>>());
     out
 }
 
-pub(crate) fn at(port: u16) -> SocketAddr {
+pub(crate) fn loopback(port: u16) -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], port))
 }
 
-pub(crate) fn list(seq: u64, whole: bool, hosts: &[(&str, &str)]) -> EndpointList {
-    serde_json::from_str(&list_text(seq, whole, hosts)).unwrap()
+pub(crate) fn endpoint_list(version: u64, complete: bool, hosts: &[(&str, &str)]) -> EndpointList {
+    serde_json::from_str(&encoded_list(version, complete, hosts)).unwrap()
 }
 
-pub(crate) fn list_text(seq: u64, whole: bool, hosts: &[(&str, &str)]) -> String {
+/// Encodes a list of `(host, health)`. The port of each host is its position, from 1.
+pub(crate) fn encoded_list(version: u64, complete: bool, hosts: &[(&str, &str)]) -> String {
     let host = |(n, (host, health)): (usize, &(&str, &str))| {
         format!(
             r#"{{"host":"{host}","dial":"127.0.0.1:{}","site":"b","class":"k","block":3,"health":"{health}",
@@ -45,5 +46,5 @@
         )
     };
     let hosts: Vec<String> = hosts.iter().enumerate().map(host).collect();
-    format!(r#"{{"seq":{seq},"whole":{whole},"hosts":[{}]}}"#, hosts.join(","))
+    format!(r#"{{"seq":{version},"whole":{complete},"hosts":[{}]}}"#, hosts.join(","))
 }
--- a/crates/platform/tests/state_machines/sessions.rs
+++ b/crates/platform/tests/state_machines/sessions.rs
@@ -1,6 +1,6 @@
 //! Client connections: replies in the order of their commands, limits, errors.
 
-use crate::builders::{parser, written, CUSTOMER, ID, QUERY};
+use crate::builders::{encoded_command, parser, CUSTOMER, ID, QUERY};
 use bytes::Bytes;
 use chalkgap::frontend::Answer;
 use chalkgap_platform::session::{Session, MAX_PENDING_COMMANDS};
@@ -8,9 +8,10 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-pub(crate) fn hear(session: &mut Session, bytes: &[u8]) -> Vec<u32> {
+/// Passes bytes to the session and returns the tokens of the requests that it yields.
+pub(crate) fn receive_requests(session: &mut Session, bytes: &[u8]) -> Vec<u32> {
     let Ok(()) = session.receive(0, bytes);
-    std::iter::from_fn(|| session.next_request(|_| true)).map(|h| h.token).collect()
+    std::iter::from_fn(|| session.next_request(|_| true)).map(|request| request.token).collect()
 }
 
 fn served(text: &'static str) -> Answer {
@@ -20,34 +21,34 @@
 #[test]
 fn replies_follow_the_order_of_the_commands() {
     let mut session = Session::new(Arc::new(parser()));
-    let mut bytes = written(&["SVC.QUERY", CUSTOMER, ID, QUERY]);
-    bytes.extend_from_slice(&written(&["PING"]));
-    bytes.extend_from_slice(&written(&["SVC.QUERY", CUSTOMER, "000000000000000a", QUERY]));
+    let mut bytes = encoded_command(&["SVC.QUERY", CUSTOMER, ID, QUERY]);
+    bytes.extend_from_slice(&encoded_command(&["PING"]));
+    bytes.extend_from_slice(&encoded_command(&["SVC.QUERY", CUSTOMER, "000000000000000a", QUERY]));
     bytes.extend_from_slice(b"*1\r\n$99999999\r\n");
-    let tokens = hear(&mut session, &bytes);
+    let tokens = receive_requests(&mut session, &bytes);
     assert_eq!(tokens.len(), 2);
-    assert_eq!(session.pending_requests().map(|w| w.1).collect::<Vec<_>>(), [0x9b1f_03aa_5c7e_2d41, 10]);
-    assert!(!session.wants_input(), "what follows a broken command is nobody's");
+    assert_eq!(session.pending_requests().map(|(_, id)| id).collect::<Vec<_>>(), [0x9b1f_03aa_5c7e_2d41, 10]);
+    assert!(!session.wants_input(), "input after a malformed command is not read");
     assert_eq!(session.answer(tokens[1], Answer::Rejected { retry_after: 1500 }), Some(10));
-    assert!(session.output().is_empty(), "it is not its turn");
-    assert!(!session.is_finished(), "earlier requests still get their answers");
+    assert!(session.output().is_empty(), "the earlier request has no reply yet");
+    assert!(!session.is_finished(), "earlier requests still get their replies");
     session.answer(tokens[0], served("value"));
     let text = String::from_utf8(session.output().to_vec()).unwrap();
     assert!(text.starts_with("$5\r\nvalue\r\n+PONG\r\n-BUSY 2\r\n-ERR unreadable command: byte 5"), "{text}");
     assert!(session.is_finished());
-    assert_eq!(session.answer(tokens[0], served("again")), None, "answered once");
+    assert_eq!(session.answer(tokens[0], served("again")), None, "a request is answered once");
 }
 
 #[test]
 fn pending_commands_are_bounded_and_an_open_id_is_rejected() {
     let mut session = Session::new(Arc::new(parser()));
-    let many = written(&["SVC.QUERY", CUSTOMER, ID, QUERY]).repeat(200);
-    assert_eq!(hear(&mut session, &many).len(), MAX_PENDING_COMMANDS);
+    let commands = encoded_command(&["SVC.QUERY", CUSTOMER, ID, QUERY]).repeat(200);
+    assert_eq!(receive_requests(&mut session, &commands).len(), MAX_PENDING_COMMANDS);
     assert!(!session.wants_input());
     session.answer(0, served("v"));
-    assert_eq!(hear(&mut session, b"").len(), 1, "one more for each answer");
+    assert_eq!(receive_requests(&mut session, b"").len(), 1, "each reply admits one more command");
     let mut session = Session::new(Arc::new(parser()));
-    let Ok(()) = session.receive(0, &written(&["SVC.QUERY", CUSTOMER, ID, QUERY]));
+    let Ok(()) = session.receive(0, &encoded_command(&["SVC.QUERY", CUSTOMER, ID, QUERY]));
     assert!(session.next_request(|_| false).is_none());
     assert_eq!(&session.output()[..], b"-ERR id: a request of this id is open\r\n");
 }
