--- a/crates/ledger/tests/store.rs
+++ b/crates/ledger/tests/store.rs
@@ -267,7 +267,7 @@
                 store.commit(&[entry(4 * round + n)]).await.unwrap();
             }
             let second = Store::open(system.clone(), &folder, 300, |_| ()).await.err().unwrap().to_string();
-            assert!(second.contains("somebody else is writing to it"), "{second}");
+            assert!(second.contains("the file is locked by another writer"), "{second}");
         }
     });
     std::fs::remove_dir_all(folder).unwrap();
--- a/crates/runtime/src/faulty_runtime.rs
+++ b/crates/runtime/src/faulty_runtime.rs
@@ -1,38 +1,37 @@
-//! A world in which something is not as in another one: its files, or what becomes of its listeners. For tests of what
-//! happens when the system fails.
+//! A runtime wrapper that replaces the files or the listeners of another runtime, for tests of system failures.
 
 use crate::{BoxFuture, Datagrams, Files, Listener, Micros, Runtime, Shared, Stream, Task};
 use std::io;
 use std::net::{IpAddr, SocketAddr};
 
-/// What is made of a listener.
-type Doors = Box<dyn Fn(Box<dyn Listener>) -> Box<dyn Listener> + Send + Sync>;
+/// Wraps each listener that the inner runtime binds.
+type WrapListener = Box<dyn Fn(Box<dyn Listener>) -> Box<dyn Listener> + Send + Sync>;
 
-/// Another world, but for what is said here.
+/// A runtime that delegates to another one, except for the parts that are replaced.
 pub struct FaultyRuntime {
     inner: Shared,
     files: Option<Box<dyn Files>>,
-    doors: Option<Doors>,
+    wrap_listener: Option<WrapListener>,
 }
 
 impl FaultyRuntime {
-    /// A world that is like `inner` in all.
+    /// Creates a runtime that delegates everything to `inner`.
     pub fn new(inner: Shared) -> FaultyRuntime {
-        FaultyRuntime { inner, files: None, doors: None }
+        FaultyRuntime { inner, files: None, wrap_listener: None }
     }
 
-    /// With these files.
+    /// Replaces the file operations.
     pub fn files(mut self, files: impl Files + 'static) -> FaultyRuntime {
         self.files = Some(Box::new(files));
         self
     }
 
-    /// With something else in place of each listener.
+    /// Replaces each listener with the result of `wrap`.
     pub fn listeners(
         mut self,
-        change: impl Fn(Box<dyn Listener>) -> Box<dyn Listener> + Send + Sync + 'static,
+        wrap: impl Fn(Box<dyn Listener>) -> Box<dyn Listener> + Send + Sync + 'static,
     ) -> FaultyRuntime {
-        self.doors = Some(Box::new(change));
+        self.wrap_listener = Some(Box::new(wrap));
         self
     }
 }
@@ -52,8 +51,8 @@
 
     fn listen(&self, at: SocketAddr) -> io::Result<Box<dyn Listener>> {
         let listener = self.inner.listen(at)?;
-        Ok(match &self.doors {
-            Some(change) => change(listener),
+        Ok(match &self.wrap_listener {
+            Some(wrap) => wrap(listener),
             None => listener,
         })
     }
--- a/crates/runtime/src/lib.rs
+++ b/crates/runtime/src/lib.rs
@@ -1,11 +1,11 @@
-//! The few things that the outside world gives, as traits: [`Runtime`] is a clock with timers, tasks, streams and
-//! listeners, datagrams, files and randomness. Nothing above this crate names a socket type of the system or asks the
-//! system for the time, so that all of it can be played through on another world.
+//! Traits for the operating system services that a program uses: [`Runtime`] provides a clock with timers, tasks, streams
+//! and listeners, datagrams, files and randomness. Crates that build on this one use no socket type of the operating system
+//! and do not read its clock, so that they also run in a simulation.
 //!
-//! [`link_faults`] names what links do to the bytes that cross them; [`faulty_runtime::FaultyRuntime`] is another runtime with
-//! a part replaced, for tests of what happens when the system fails.
-//!
-//! [`system::System`] is the real one, on async-io and futures-lite; [`simulated_runtime::World`] has no system under it.
+//! - [`system::System`]: the operating system, by async-io and futures-lite
+//! - [`simulated_runtime::Simulation`]: a deterministic simulation in memory
+//! - [`faulty_runtime::FaultyRuntime`]: wraps a runtime and replaces its files or listeners, for tests of system failures
+//! - [`link_faults`]: faults of network links, such as loss and delay
 
 pub mod faulty_runtime;
 pub mod link_faults;
@@ -21,52 +21,52 @@
 use std::sync::Arc;
 use std::task::{Context, Poll};
 
-/// Microseconds: a span, or a time since the beginning of 1970 (UTC).
+/// Microseconds: a duration, or a time since the Unix epoch.
 pub type Micros = u64;
 
-/// A future on the heap that may move between threads.
+/// A boxed future that can be sent between threads.
 pub type BoxFuture<'a, T> = Pin<Box<dyn Future<Output = T> + Send + 'a>>;
 
-/// A task that runs by itself. Dropped it is ended at its next pause; `detach` lets it go on.
+/// A spawned task. Dropping it cancels the task; `detach` lets it run to its end.
 pub type Task = async_executor::Task<()>;
 
-/// A runtime that is shared by all that runs on it.
+/// A runtime that is shared by all of its tasks.
 pub type Shared = Arc<dyn Runtime>;
 
-/// A byte stream in both directions.
+/// A bidirectional byte stream.
 pub trait Stream: AsyncRead + AsyncWrite + Send + Unpin {
-    /// The other end's address.
+    /// Returns the address of the peer.
     fn peer(&self) -> SocketAddr;
-    /// Whether the other end has shut its side or reset the stream, as far as the system knows: also where bytes that came
-    /// before it lie unread. Takes none of them.
-    fn left(&self) -> bool;
+    /// Returns whether the peer is known to have shut down its write side or reset the stream, even if bytes received
+    /// earlier are still unread. Consumes no bytes.
+    fn peer_closed(&self) -> bool;
 }
 
-/// A place where streams arrive.
+/// A socket that accepts streams.
 pub trait Listener: Send + Sync {
-    /// The bound address; a port of 0 has become a real one.
+    /// Returns the bound address; if port 0 was requested, with the assigned port.
     fn address(&self) -> SocketAddr;
-    /// The next stream.
+    /// Waits for the next stream.
     fn accept(&self) -> BoxFuture<'_, io::Result<Box<dyn Stream>>>;
 }
 
-/// A socket for datagrams.
+/// A datagram socket.
 pub trait Datagrams: Send + Sync {
-    /// The bound address.
+    /// Returns the bound address.
     fn address(&self) -> SocketAddr;
-    /// Sends one; it may be lost without a word.
+    /// Sends a datagram; it may be lost without an error.
     fn send<'a>(&'a self, bytes: &'a [u8], to: SocketAddr) -> BoxFuture<'a, io::Result<()>>;
-    /// The next one that came, its length and sender; what does not fit the buffer is cut.
+    /// Waits for the next datagram and returns its length and sender. A datagram longer than `buffer` is truncated.
     fn receive<'a>(&'a self, buffer: &'a mut [u8]) -> BoxFuture<'a, io::Result<(usize, SocketAddr)>>;
 }
 
-/// A file that grows at its end.
+/// An append-only file.
 pub trait Append: Send {
-    /// Writes all of it at the end. After an error nobody knows how much of it is there.
+    /// Appends all of `bytes`. After an error, any part of them may have been written.
     fn append<'a>(&'a mut self, bytes: Vec<u8>) -> BoxFuture<'a, io::Result<()>>;
-    /// Ends when all that was appended is on the disk. After an error it may not be, whatever a second call says.
+    /// Waits until everything appended so far is on disk. After an error it may not be, even if a later call succeeds.
     fn sync<'a>(&'a mut self) -> BoxFuture<'a, io::Result<()>>;
-    /// Both, one after the other.
+    /// Appends `bytes` and syncs.
     fn commit<'a>(&'a mut self, bytes: Vec<u8>) -> BoxFuture<'a, io::Result<()>> {
         Box::pin(async move {
             self.append(bytes).await?;
@@ -75,75 +75,83 @@
     }
 }
 
-/// Files: small ones that are kept whole, and logs.
+/// File operations: small files that are read and replaced as a whole, and append-only files.
 pub trait Files: Send + Sync {
-    /// Opens a file to append to, made new and its folder synced where there is none, cut to `len` where it is longer.
-    /// It is this one's alone until it is dropped: `ResourceBusy` where somebody else has it.
+    /// Opens a file for appending. Creates it and syncs its directory if it does not exist, and truncates it to `len` bytes
+    /// if it is longer.
+    ///
+    /// The returned handle locks the file until it is dropped.
+    ///
+    /// # Errors
+    /// `ResourceBusy` if another handle holds the lock; otherwise the system's error.
     fn append<'a>(&'a self, path: &'a Path, len: u64) -> BoxFuture<'a, io::Result<Box<dyn Append>>>;
-    /// The names in a folder, sorted; the folder is made where there is none.
+    /// Lists the file names in a directory, sorted. Creates the directory if it does not exist.
     fn names<'a>(&'a self, folder: &'a Path) -> BoxFuture<'a, io::Result<Vec<String>>>;
-    /// Reads a whole file of at most `most` bytes; a longer one is an error of kind `FileTooLarge`.
-    fn read<'a>(&'a self, path: &'a Path, most: u64) -> BoxFuture<'a, io::Result<Vec<u8>>>;
-    /// Puts a file in place of another, whole or not at all: written beside it, synced, renamed, the folder synced.
+    /// Reads a whole file.
+    ///
+    /// # Errors
+    /// `FileTooLarge` if the file is longer than `max_len` bytes; otherwise the system's error.
+    fn read<'a>(&'a self, path: &'a Path, max_len: u64) -> BoxFuture<'a, io::Result<Vec<u8>>>;
+    /// Replaces a file atomically: writes a temporary file beside it, syncs it, renames it and syncs the directory.
     fn replace<'a>(&'a self, path: &'a Path, bytes: Vec<u8>) -> BoxFuture<'a, io::Result<()>>;
-    /// Puts a new file in place, whole or not at all, and syncs its folder; false where there is one of that name already,
-    /// which stays as it is. Of any number that try, one is told true.
+    /// Creates a file atomically and syncs its directory. Returns false, and leaves the file as it is, if one of that name
+    /// exists. Of concurrent calls for the same path, exactly one returns true.
     fn create<'a>(&'a self, path: &'a Path, bytes: Vec<u8>) -> BoxFuture<'a, io::Result<bool>>;
-    /// Takes a file away; it may be back after a crash. One that is not there is no error.
+    /// Removes a file; a missing file is not an error. The directory is not synced, so a crash may restore the file.
     fn remove<'a>(&'a self, path: &'a Path) -> BoxFuture<'a, io::Result<()>>;
-    /// Something that changes when the file does: its time of change and its length.
+    /// Returns the modification time and the length of a file, to detect that it was changed.
     fn stamp<'a>(&'a self, path: &'a Path) -> BoxFuture<'a, io::Result<(Micros, u64)>>;
 }
 
-/// A world to run on.
+/// The services of an operating system.
 pub trait Runtime: Send + Sync + 'static {
-    /// The time: begins at the clock on the wall and never goes back.
+    /// Returns the current time. It starts at the wall clock's time and never decreases.
     fn now(&self) -> Micros;
-    /// Ends at a time, or at once if it has passed.
+    /// Waits until the time `at`; returns at once if it has passed.
     fn sleep_until(&self, at: Micros) -> BoxFuture<'static, ()>;
-    /// Starts a task.
+    /// Spawns a task.
     fn spawn(&self, task: BoxFuture<'static, ()>) -> Task;
     /// Binds a listener.
     ///
     /// # Errors
-    /// The system's.
+    /// The system's error if the address cannot be bound.
     fn listen(&self, at: SocketAddr) -> io::Result<Box<dyn Listener>>;
-    /// Connects a stream; `from`: the address of this side, where it matters which of its own it is.
+    /// Connects a stream from the local address `from`; `None` lets the system choose one.
     fn connect_from(
         &self,
         from: Option<IpAddr>,
         to: SocketAddr,
     ) -> BoxFuture<'static, io::Result<Box<dyn Stream>>>;
-    /// Connects a stream.
+    /// Connects a stream from a local address that the system chooses.
     fn connect(&self, to: SocketAddr) -> BoxFuture<'static, io::Result<Box<dyn Stream>>> {
         self.connect_from(None, to)
     }
-    /// Binds a socket for datagrams.
+    /// Binds a datagram socket.
     ///
     /// # Errors
-    /// The system's.
+    /// The system's error if the address cannot be bound.
     fn datagrams(&self, at: SocketAddr) -> io::Result<Box<dyn Datagrams>>;
-    /// The files.
+    /// Returns the file operations.
     fn files(&self) -> &dyn Files;
-    /// A random number, not to be guessed.
+    /// Returns an unpredictable random number.
     fn random(&self) -> u64;
-    /// How many descriptors the process may have open, as of now.
+    /// Returns the current limit on the number of file descriptors that the process may have open.
     fn descriptors(&self) -> u64;
 }
 
-/// A timer that is set again and again: the sleeping future is made anew only when it has to end earlier, or ended.
+/// A timer for a deadline that changes often. It starts a new sleep only if the current one ended or would end too late.
 pub struct Alarm {
     runtime: Shared,
     sleep: Option<(Micros, BoxFuture<'static, ()>)>,
 }
 
 impl Alarm {
-    /// An alarm that is not set.
+    /// Creates an alarm without a deadline.
     pub fn new(runtime: Shared) -> Self {
         Alarm { runtime, sleep: None }
     }
 
-    /// Ready once `at` has passed; wakes the task then. None: pending, whatever was set.
+    /// Ready once the time `at` has passed; until then registers the task to be woken. `None` is always pending.
     pub fn poll(&mut self, at: Option<Micros>, cx: &mut Context<'_>) -> Poll<()> {
         let Some(at) = at else { return Poll::Pending };
         if self.runtime.now() >= at {
--- a/crates/runtime/src/link_faults.rs
+++ b/crates/runtime/src/link_faults.rs
@@ -1,59 +1,58 @@
-//! What a link does to what goes over it: the same faults, by the same names, in the world without a system and between
-//! processes on a real one.
+//! Faults of network links, shared by the simulated runtime and by relays between real processes.
 
 use crate::Micros;
 use rand::rngs::SmallRng;
 use rand::RngExt;
 
-/// What a loss costs a stream: it is sent again after this.
-pub const SENT_AGAIN: Micros = 200_000;
-/// How often whoever waits for a cut link looks whether it is whole again.
-pub const LOOK: Micros = 10_000;
+/// Delay that a loss adds on a stream: the time until the bytes are retransmitted.
+pub const RETRANSMIT_DELAY_MICROS: Micros = 200_000;
+/// Interval at which tasks that wait on a cut link check whether it is restored.
+pub const CUT_POLL_INTERVAL_MICROS: Micros = 10_000;
 
 /// How a link is cut.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Cut {
-    /// Nothing comes through, and nothing says so.
+    /// Traffic is dropped without an error: streams and connection attempts hang, datagrams are lost.
     Silent,
-    /// Streams are reset, and new ones closed at once; datagrams are lost.
+    /// Streams are reset, new streams fail at once, and datagrams are lost.
     Reset,
 }
 
-/// What a link does in one direction. Shares are from 0 to 1.
+/// The faults of a link in one direction. Shares are from 0 to 1.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LinkFaults {
-    /// Lost; on a stream it comes later.
+    /// Share of transmissions that are lost; on a stream they are delayed by [`RETRANSMIT_DELAY_MICROS`].
     pub loss: f64,
-    /// Datagrams sent twice.
+    /// Share of datagrams that are delivered twice.
     pub double: f64,
-    /// The least and the longest way. With a span, datagrams overtake each other.
+    /// Minimum and maximum delay; chosen uniformly between them, so that datagrams are reordered if they differ.
     pub delay: (Micros, Micros),
-    /// Share that is as late again as ten longest ways.
+    /// Share of transmissions that are delayed by ten times the maximum delay in addition.
     pub tail: f64,
-    /// Bytes a second; 0: any number.
+    /// Bandwidth in bytes per second; 0 is unlimited.
     pub rate: u64,
-    /// Nothing goes through.
+    /// How the link is cut; `None` if it is not.
     pub cut: Option<Cut>,
-    /// An end of a stream is not passed on: the other side holds it for open.
+    /// The end of a stream is not passed on, so that the receiver believes that the stream is open.
     pub half_open: bool,
 }
 
 impl LinkFaults {
-    /// How long something is under way.
-    pub fn late(&self, rng: &mut SmallRng) -> Micros {
+    /// Samples the delay of one datagram.
+    pub fn sample_delay(&self, rng: &mut SmallRng) -> Micros {
         let tail = self.tail > 0.0 && rng.random::<f64>() < self.tail;
-        let most = self.delay.1.max(self.delay.0);
-        rng.random_range(self.delay.0..=most) + if tail { 10 * most } else { 0 }
+        let max = self.delay.1.max(self.delay.0);
+        rng.random_range(self.delay.0..=max) + if tail { 10 * max } else { 0 }
     }
 
-    /// The same on a stream, where what is lost is sent again.
-    pub fn late_on_stream(&self, rng: &mut SmallRng) -> Micros {
+    /// Samples the delay of one write on a stream, where lost bytes are retransmitted.
+    pub fn sample_stream_delay(&self, rng: &mut SmallRng) -> Micros {
         let lost = self.loss > 0.0 && rng.random::<f64>() < self.loss;
-        self.late(rng) + if lost { SENT_AGAIN } else { 0 }
+        self.sample_delay(rng) + if lost { RETRANSMIT_DELAY_MICROS } else { 0 }
     }
 
-    /// How long so many bytes take to pass.
-    pub fn passing(&self, bytes: usize) -> Micros {
+    /// Returns the time in microseconds that the link's bandwidth needs to transmit `bytes` bytes.
+    pub fn transmission_time(&self, bytes: usize) -> Micros {
         (bytes as u64 * 1_000_000).checked_div(self.rate).unwrap_or(0)
     }
 }
--- a/crates/runtime/src/simulated_runtime.rs
+++ b/crates/runtime/src/simulated_runtime.rs
@@ -1,12 +1,12 @@
-//! A world without a system: one thread, a clock that jumps to the next thing that happens, streams, datagrams and files in
-//! memory, randomness from a seed. What runs on it runs in no real time, and alike each time.
+//! A deterministic simulation of hosts and their network, on one thread: the clock jumps to the next event, streams,
+//! datagrams and files are in memory, and randomness comes from a seed. Runs take no real time and repeat exactly for a seed.
 //!
-//! A [`World`] has [`Host`]s, each a [`Runtime`]: a machine with an address, a disk and a clock of its own. A host that is
-//! killed loses its tasks, its streams and what its disk had not synced; started again it has what is left.
+//! A [`Simulation`] has [`Host`]s, each a [`Runtime`] with its own address, disk and clock. A host that is killed loses its
+//! tasks, its streams and the file contents that were not synced. A restarted host has the synced contents.
 
 pub use crate::link_faults::{Cut, LinkFaults};
 
-use crate::link_faults::LOOK;
+use crate::link_faults::CUT_POLL_INTERVAL_MICROS;
 use crate::{Append, BoxFuture, Datagrams, Files, Listener, Micros, Runtime, Stream, Task};
 use async_executor::Executor;
 use futures_lite::future;
@@ -21,13 +21,16 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::task::{Context, Poll, Waker};
 
-/// Bytes that may be under way in one direction of a stream.
-const WINDOW: usize = 256 << 10;
-/// Datagrams that may wait at a socket.
-const DATAGRAMS: usize = 4096;
+/// Maximum number of bytes that are in flight or unread in one direction of a stream.
+const WINDOW_BYTES: usize = 256 << 10;
+/// Maximum number of received datagrams that a socket queues; more are dropped.
+const MAX_QUEUED_DATAGRAMS: usize = 4096;
 
-/// What links do that nobody has set.
-pub const USUAL: LinkFaults =
+/// Start of the port range that ports are assigned from where port 0 is requested.
+const FIRST_PORT: u16 = 40_000;
+
+/// Initial faults of all links: a delay of 100 to 300 microseconds and nothing else.
+pub const DEFAULT_LINK: LinkFaults =
     LinkFaults { delay: (100, 300), loss: 0.0, double: 0.0, tail: 0.0, rate: 0, cut: None, half_open: false };
 
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
@@ -36,183 +39,195 @@
 
 /// One direction of a stream.
 #[derive(Default)]
-struct Way {
-    /// Bytes with the time when they are there.
-    under_way: VecDeque<(Micros, Vec<u8>)>,
-    held: usize,
-    /// The writer has closed; the reader sees the end after all bytes.
-    ended: bool,
-    /// Nothing more goes: the reader is gone, or a host died.
+struct Direction {
+    /// Written and not yet read, each with its arrival time.
+    in_flight: VecDeque<(Micros, Vec<u8>)>,
+    /// Number of bytes in `in_flight`.
+    in_flight_bytes: usize,
+    /// The writer has closed; the reader sees the end of the stream after all bytes.
+    closed: bool,
+    /// The reader was dropped, a host was killed or the link was reset.
     reset: bool,
     reader: Option<Waker>,
     writer: Option<Waker>,
 }
 
-impl Way {
+impl Direction {
     fn wake(&mut self) {
         self.reader.take().into_iter().chain(self.writer.take()).for_each(Waker::wake);
     }
 }
 
-struct Door {
+struct ListenerState {
     host: u32,
-    /// Of that host: one of an earlier life that is dropped late leaves the later one alone.
-    life: u64,
-    waiting: VecDeque<End>,
+    /// Generation of the host that bound it. A listener of an earlier generation that is dropped late does not unbind it.
+    generation: u64,
+    /// Streams that wait to be accepted.
+    pending: VecDeque<SimulatedStream>,
     waker: Option<Waker>,
 }
 
-struct Mailbox {
+struct SocketState {
     host: u32,
-    life: u64,
-    letters: VecDeque<(SocketAddr, Vec<u8>)>,
+    generation: u64,
+    received: VecDeque<(SocketAddr, Vec<u8>)>,
     waker: Option<Waker>,
 }
 
 #[derive(Default)]
-struct Content {
-    safe: Vec<u8>,
-    loose: Vec<u8>,
+struct FileContent {
+    synced: Vec<u8>,
+    /// Appended and not yet synced; lost when the host is killed.
+    unsynced: Vec<u8>,
 }
 
 struct State {
     now: Micros,
     rng: SmallRng,
-    weather: LinkFaults,
-    /// Those between two hosts, in one direction, that are not as usual.
+    /// Faults of the links that are not in `links`.
+    default_link: LinkFaults,
+    /// Faults by sending and receiving host.
     links: BTreeMap<(u32, u32), LinkFaults>,
-    set: u64,
+    /// Last sequence number of a timer or datagram; orders those of the same time.
+    sequence: u64,
     timers: BTreeMap<(Micros, u64), Waker>,
-    doors: BTreeMap<SocketAddr, Door>,
-    boxes: BTreeMap<SocketAddr, Mailbox>,
-    /// Datagrams under way.
-    letters: BTreeMap<(Micros, u64), (SocketAddr, SocketAddr, Vec<u8>)>,
-    /// Directions of streams, with the hosts at their ends.
-    ways: Vec<(u32, u32, std::sync::Weak<Mutex<Way>>)>,
-    disks: BTreeMap<(u32, PathBuf), Content>,
-    ports: u16,
-    lives: BTreeMap<u32, u64>,
-}
-
-/// The world.
+    listeners: BTreeMap<SocketAddr, ListenerState>,
+    sockets: BTreeMap<SocketAddr, SocketState>,
+    /// Sender, receiver and content of each datagram in flight, by arrival time and sequence number.
+    datagrams: BTreeMap<(Micros, u64), (SocketAddr, SocketAddr, Vec<u8>)>,
+    /// Directions of streams, with the connecting and the accepting host.
+    directions: Vec<(u32, u32, std::sync::Weak<Mutex<Direction>>)>,
+    /// Files by host and path.
+    disks: BTreeMap<(u32, PathBuf), FileContent>,
+    /// Last port that was assigned.
+    last_port: u16,
+    /// Generation of each host: incremented when the host is started and when it is killed.
+    generations: BTreeMap<u32, u64>,
+}
+
+/// A simulation of hosts and the links between them.
 #[derive(Clone)]
-pub struct World {
+pub struct Simulation {
     state: Arc<Mutex<State>>,
     executor: Arc<Executor<'static>>,
 }
 
-/// A machine in the world, as long as it lives.
+/// A simulated host, from its start until it is killed.
 pub struct Host {
-    world: World,
-    no: u32,
-    /// What its clock is ahead by.
-    ahead: Micros,
-    life: u64,
-    death: async_channel::Receiver<()>,
+    simulation: Simulation,
+    number: u32,
+    /// How far its clock is ahead of the simulation's.
+    clock_ahead: Micros,
+    generation: u64,
+    /// Closed when the host is killed.
+    killed: async_channel::Receiver<()>,
     files: Disk,
 }
 
-/// Kills its host when it is dropped, or told to.
-pub struct Power {
-    world: World,
-    no: u32,
-    off: Option<async_channel::Sender<()>>,
+/// Keeps a host running. Kills it when dropped or by [`HostGuard::kill`].
+pub struct HostGuard {
+    simulation: Simulation,
+    number: u32,
+    /// Dropped to cancel the host's tasks.
+    kill: Option<async_channel::Sender<()>>,
 }
 
-impl World {
-    /// A world that begins at a time, with all chance from a seed.
-    pub fn new(seed: u64, begin: Micros) -> World {
+impl Simulation {
+    /// Creates a simulation whose clock starts at `begin` and whose randomness derives from `seed`.
+    pub fn new(seed: u64, begin: Micros) -> Simulation {
         let state = State {
             now: begin,
             rng: SmallRng::seed_from_u64(seed),
-            weather: USUAL,
+            default_link: DEFAULT_LINK,
             links: BTreeMap::new(),
-            set: 0,
+            sequence: 0,
             timers: BTreeMap::new(),
-            doors: BTreeMap::new(),
-            boxes: BTreeMap::new(),
-            letters: BTreeMap::new(),
-            ways: Vec::new(),
+            listeners: BTreeMap::new(),
+            sockets: BTreeMap::new(),
+            datagrams: BTreeMap::new(),
+            directions: Vec::new(),
             disks: BTreeMap::new(),
-            ports: 40_000,
-            lives: BTreeMap::new(),
+            last_port: FIRST_PORT,
+            generations: BTreeMap::new(),
         };
-        World { state: Arc::new(Mutex::new(state)), executor: Arc::new(Executor::new()) }
+        Simulation { state: Arc::new(Mutex::new(state)), executor: Arc::new(Executor::new()) }
     }
 
-    /// Changes the weather of all links that have none of their own.
-    pub fn weather(&self, weather: LinkFaults) {
-        lock(&self.state).weather = weather;
+    /// Replaces the faults of all links that have none of their own.
+    pub fn set_default_link(&self, faults: LinkFaults) {
+        lock(&self.state).default_link = faults;
     }
 
-    /// Changes the link from one host to another, in this direction; none: it is like the others again.
-    pub fn link(&self, from: u32, to: u32, weather: Option<LinkFaults>) {
-        let hit: Vec<Arc<Mutex<Way>>> = {
-            let mut s = lock(&self.state);
-            match weather {
-                Some(w) => s.links.insert((from, to), w),
-                None => s.links.remove(&(from, to)),
+    /// Replaces the faults of the link from one host to another, in this direction; `None` restores the default.
+    pub fn set_link(&self, from: u32, to: u32, faults: Option<LinkFaults>) {
+        let affected: Vec<Arc<Mutex<Direction>>> = {
+            let mut state = lock(&self.state);
+            match faults {
+                Some(faults) => state.links.insert((from, to), faults),
+                None => state.links.remove(&(from, to)),
             };
-            let reset = weather.is_some_and(|w| w.cut == Some(Cut::Reset));
+            let reset = faults.is_some_and(|faults| faults.cut == Some(Cut::Reset));
             let between =
-                |w: &&(u32, u32, _)| reset && ((w.0, w.1) == (from, to) || (w.1, w.0) == (from, to));
-            s.ways.iter().filter(between).filter_map(|w| w.2.upgrade()).collect()
+                |d: &&(u32, u32, _)| reset && ((d.0, d.1) == (from, to) || (d.1, d.0) == (from, to));
+            state.directions.iter().filter(between).filter_map(|d| d.2.upgrade()).collect()
         };
-        for way in hit {
-            let mut w = lock(&way);
-            w.reset = true;
-            w.wake();
+        for direction in affected {
+            let mut direction = lock(&direction);
+            direction.reset = true;
+            direction.wake();
         }
     }
 
-    /// Starts a host, or starts it again with what its disk kept.
-    pub fn host(&self, no: u32, ahead: Micros) -> (Arc<Host>, Power) {
-        let (off, death) = async_channel::bounded(1);
-        let life = {
-            let mut s = lock(&self.state);
-            let life = s.lives.entry(no).or_default();
-            *life += 1;
-            *life
+    /// Starts or restarts host `number`, with the files that its disk has. Its clock is `clock_ahead` microseconds ahead of
+    /// the simulation's.
+    pub fn host(&self, number: u32, clock_ahead: Micros) -> (Arc<Host>, HostGuard) {
+        let (kill, killed) = async_channel::bounded(1);
+        let generation = {
+            let mut state = lock(&self.state);
+            let generation = state.generations.entry(number).or_default();
+            *generation += 1;
+            *generation
         };
-        let files = Disk { state: self.state.clone(), no, life };
-        let host = Host { world: self.clone(), no, ahead, life, death, files };
-        (Arc::new(host), Power { world: self.clone(), no, off: Some(off) })
+        let files = Disk { state: self.state.clone(), host: number, generation };
+        let host = Host { simulation: self.clone(), number, clock_ahead, generation, killed, files };
+        (Arc::new(host), HostGuard { simulation: self.clone(), number, kill: Some(kill) })
     }
 
-    /// Runs until a future ends, or nothing can happen any more: none then.
+    /// Runs until `main` completes and returns its result, or `None` if all tasks wait and no event is left.
     pub fn run<T: 'static>(&self, main: impl Future<Output = T> + 'static) -> Option<T> {
         let local = async_executor::LocalExecutor::new();
         let mut task = local.spawn(main);
         loop {
-            // All that can go on without time passing, in the order in which it was woken.
+            // Runs the tasks that are ready at the current time, in the order in which they were woken.
             while local.try_tick() || self.executor.try_tick() {}
-            if let Some(done) = future::block_on(future::poll_once(&mut task)) {
-                return Some(done);
+            if let Some(result) = future::block_on(future::poll_once(&mut task)) {
+                return Some(result);
             }
-            if !self.next() {
+            if !self.advance() {
                 return None;
             }
         }
     }
 
-    /// Goes on to the next time at which something happens.
-    fn next(&self) -> bool {
+    /// Advances the clock to the next timer or datagram; returns false if there is none.
+    fn advance(&self) -> bool {
         let mut woken = Vec::new();
         {
-            let mut s = lock(&self.state);
-            let timer = s.timers.keys().next().map(|t| t.0);
-            let letter = s.letters.keys().next().map(|t| t.0);
-            let Some(at) = timer.into_iter().chain(letter).min() else { return false };
-            s.now = s.now.max(at);
-            let now = s.now;
-            while let Some(entry) = s.letters.first_entry().filter(|e| e.key().0 <= now) {
+            let mut state = lock(&self.state);
+            let timer = state.timers.keys().next().map(|key| key.0);
+            let datagram = state.datagrams.keys().next().map(|key| key.0);
+            let Some(at) = timer.into_iter().chain(datagram).min() else { return false };
+            state.now = state.now.max(at);
+            let now = state.now;
+            while let Some(entry) = state.datagrams.first_entry().filter(|e| e.key().0 <= now) {
                 let (from, to, bytes) = entry.remove();
-                if let Some(b) = s.boxes.get_mut(&to).filter(|b| b.letters.len() < DATAGRAMS) {
-                    b.letters.push_back((from, bytes));
-                    woken.extend(b.waker.take());
+                let socket = state.sockets.get_mut(&to);
+                if let Some(socket) = socket.filter(|s| s.received.len() < MAX_QUEUED_DATAGRAMS) {
+                    socket.received.push_back((from, bytes));
+                    woken.extend(socket.waker.take());
                 }
             }
-            while let Some(entry) = s.timers.first_entry().filter(|e| e.key().0 <= now) {
+            while let Some(entry) = state.timers.first_entry().filter(|e| e.key().0 <= now) {
                 woken.push(entry.remove());
             }
         }
@@ -223,25 +238,26 @@
 
 impl State {
     fn wake_at(&mut self, at: Micros, waker: Waker) {
-        self.set += 1;
-        self.timers.insert((at, self.set), waker);
+        self.sequence += 1;
+        self.timers.insert((at, self.sequence), waker);
     }
 
     fn link(&self, from: u32, to: u32) -> LinkFaults {
-        self.links.get(&(from, to)).copied().unwrap_or(self.weather)
+        self.links.get(&(from, to)).copied().unwrap_or(self.default_link)
     }
 
-    fn address(&mut self, no: u32, at: SocketAddr) -> SocketAddr {
-        let ip = if at.ip().is_unspecified() { address(no) } else { at.ip() };
+    /// Replaces an unspecified IP address by the host's, and port 0 by the next port.
+    fn bind_address(&mut self, host: u32, at: SocketAddr) -> SocketAddr {
+        let ip = if at.ip().is_unspecified() { address(host) } else { at.ip() };
         if at.port() != 0 {
             return SocketAddr::new(ip, at.port());
         }
-        self.ports = self.ports.checked_add(1).unwrap_or(40_000);
-        SocketAddr::new(ip, self.ports)
+        self.last_port = self.last_port.checked_add(1).unwrap_or(FIRST_PORT);
+        SocketAddr::new(ip, self.last_port)
     }
 }
 
-/// The host at an address.
+/// Returns the number of the host that has the IP address `at`.
 fn host_at(at: SocketAddr) -> u32 {
     match at.ip() {
         IpAddr::V4(ip) => u32::from(ip) & 0x00ff_ffff,
@@ -249,38 +265,39 @@
     }
 }
 
-/// The address of a host.
-pub fn address(no: u32) -> IpAddr {
-    let [_, a, b, c] = no.to_be_bytes();
+/// Returns the IP address of a host: 10.0.0.0 plus its number.
+pub fn address(host: u32) -> IpAddr {
+    let [_, a, b, c] = host.to_be_bytes();
     Ipv4Addr::new(10, a, b, c).into()
 }
 
-impl Power {
-    /// The host dies: tasks, streams and listeners go, and of its files what was not synced.
+impl HostGuard {
+    /// Kills the host: cancels its tasks, resets its streams, unbinds its listeners and sockets, and discards the contents
+    /// of its files that were not synced.
     pub fn kill(&mut self) {
-        let Some(off) = self.off.take() else { return };
-        drop(off);
-        let ways: Vec<Arc<Mutex<Way>>> = {
-            let mut s = lock(&self.world.state);
-            let no = self.no;
-            *s.lives.entry(no).or_default() += 1;
-            s.doors.retain(|_, d| d.host != no);
-            s.boxes.retain(|_, b| b.host != no);
-            s.disks.iter_mut().filter(|d| d.0 .0 == no).for_each(|d| d.1.loose.clear());
-            let hit = s.ways.iter().filter(|w| w.0 == no || w.1 == no);
-            let hit = hit.filter_map(|w| w.2.upgrade()).collect();
-            s.ways.retain(|w| w.0 != no && w.1 != no && w.2.strong_count() > 0);
-            hit
+        let Some(kill) = self.kill.take() else { return };
+        drop(kill);
+        let affected: Vec<Arc<Mutex<Direction>>> = {
+            let mut state = lock(&self.simulation.state);
+            let number = self.number;
+            *state.generations.entry(number).or_default() += 1;
+            state.listeners.retain(|_, l| l.host != number);
+            state.sockets.retain(|_, s| s.host != number);
+            state.disks.iter_mut().filter(|f| f.0 .0 == number).for_each(|f| f.1.unsynced.clear());
+            let affected = state.directions.iter().filter(|d| d.0 == number || d.1 == number);
+            let affected = affected.filter_map(|d| d.2.upgrade()).collect();
+            state.directions.retain(|d| d.0 != number && d.1 != number && d.2.strong_count() > 0);
+            affected
         };
-        for way in ways {
-            let mut w = lock(&way);
-            w.reset = true;
-            w.wake();
+        for direction in affected {
+            let mut direction = lock(&direction);
+            direction.reset = true;
+            direction.wake();
         }
     }
 }
 
-impl Drop for Power {
+impl Drop for HostGuard {
     fn drop(&mut self) {
         self.kill();
     }
@@ -289,95 +306,100 @@
 // ---- streams ----
 
 /// One end of a stream.
-struct End {
+struct SimulatedStream {
     state: Arc<Mutex<State>>,
-    /// This host, and the other one.
-    hosts: (u32, u32),
+    /// The host of this end.
+    local_host: u32,
+    /// The host of the other end.
+    peer_host: u32,
     peer: SocketAddr,
-    read: Arc<Mutex<Way>>,
-    write: Arc<Mutex<Way>>,
+    read: Arc<Mutex<Direction>>,
+    write: Arc<Mutex<Direction>>,
 }
 
-impl Stream for End {
+impl Stream for SimulatedStream {
     fn peer(&self) -> SocketAddr {
         self.peer
     }
 
-    fn left(&self) -> bool {
-        let s = lock(&self.state);
-        let link = s.link(self.hosts.1, self.hosts.0);
-        let way = lock(&self.read);
-        // A side that was shut is known once all that was sent before it has come.
-        let come = way.under_way.back().is_none_or(|(at, _)| *at <= s.now);
-        link.cut != Some(Cut::Silent) && !link.half_open && (way.reset || way.ended && come)
+    fn peer_closed(&self) -> bool {
+        let state = lock(&self.state);
+        let link = state.link(self.peer_host, self.local_host);
+        let direction = lock(&self.read);
+        // The end of the stream arrives after all bytes sent before it.
+        let all_arrived = direction.in_flight.back().is_none_or(|(at, _)| *at <= state.now);
+        link.cut != Some(Cut::Silent)
+            && !link.half_open
+            && (direction.reset || direction.closed && all_arrived)
     }
 }
 
-impl futures_lite::AsyncRead for End {
+impl futures_lite::AsyncRead for SimulatedStream {
     fn poll_read(self: Pin<&mut Self>, cx: &mut Context<'_>, buffer: &mut [u8]) -> Poll<io::Result<usize>> {
-        let mut s = lock(&self.state);
-        let link = s.link(self.hosts.1, self.hosts.0);
-        let mut way = lock(&self.read);
-        let over = way.reset || way.ended && way.under_way.is_empty();
-        if link.cut == Some(Cut::Silent) || link.half_open && over {
-            let again = s.now + LOOK;
-            s.wake_at(again, cx.waker().clone());
+        let mut state = lock(&self.state);
+        let link = state.link(self.peer_host, self.local_host);
+        let mut direction = lock(&self.read);
+        let ended = direction.reset || direction.closed && direction.in_flight.is_empty();
+        if link.cut == Some(Cut::Silent) || link.half_open && ended {
+            let next_poll = state.now + CUT_POLL_INTERVAL_MICROS;
+            state.wake_at(next_poll, cx.waker().clone());
             return Poll::Pending;
         }
-        if way.reset {
+        if direction.reset {
             return Poll::Ready(Err(io::ErrorKind::ConnectionReset.into()));
         }
-        let ended = way.ended;
-        match way.under_way.front_mut() {
-            Some((at, bytes)) if *at <= s.now => {
-                let n = bytes.len().min(buffer.len());
-                buffer[..n].copy_from_slice(&bytes[..n]);
-                bytes.drain(..n);
+        let closed = direction.closed;
+        match direction.in_flight.front_mut() {
+            Some((at, bytes)) if *at <= state.now => {
+                let len = bytes.len().min(buffer.len());
+                buffer[..len].copy_from_slice(&bytes[..len]);
+                bytes.drain(..len);
                 if bytes.is_empty() {
-                    way.under_way.pop_front();
+                    direction.in_flight.pop_front();
                 }
-                way.held -= n;
-                if let Some(w) = way.writer.take() {
-                    w.wake();
+                direction.in_flight_bytes -= len;
+                if let Some(writer) = direction.writer.take() {
+                    writer.wake();
                 }
-                Poll::Ready(Ok(n))
+                Poll::Ready(Ok(len))
             }
             Some((at, _)) => {
-                s.wake_at(*at, cx.waker().clone());
-                way.reader = Some(cx.waker().clone());
+                state.wake_at(*at, cx.waker().clone());
+                direction.reader = Some(cx.waker().clone());
                 Poll::Pending
             }
-            None if ended => Poll::Ready(Ok(0)),
+            None if closed => Poll::Ready(Ok(0)),
             None => {
-                way.reader = Some(cx.waker().clone());
+                direction.reader = Some(cx.waker().clone());
                 Poll::Pending
             }
         }
     }
 }
 
-impl futures_lite::AsyncWrite for End {
+impl futures_lite::AsyncWrite for SimulatedStream {
     fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
-        let mut s = lock(&self.state);
-        let mut way = lock(&self.write);
-        if way.reset || way.ended {
+        let mut state = lock(&self.state);
+        let mut direction = lock(&self.write);
+        if direction.reset || direction.closed {
             return Poll::Ready(Err(io::ErrorKind::BrokenPipe.into()));
         }
-        let n = bytes.len().min(WINDOW - way.held.min(WINDOW));
-        if n == 0 {
-            way.writer = Some(cx.waker().clone());
+        let len = bytes.len().min(WINDOW_BYTES - direction.in_flight_bytes.min(WINDOW_BYTES));
+        if len == 0 {
+            direction.writer = Some(cx.waker().clone());
             return Poll::Pending;
         }
-        // In order: nothing overtakes what was written before.
-        let last = way.under_way.back().map_or(0, |w| w.0);
-        let link = s.link(self.hosts.0, self.hosts.1);
-        let at = (s.now + link.late_on_stream(&mut s.rng)).max(last) + link.passing(n);
-        way.under_way.push_back((at, bytes[..n].to_vec()));
-        way.held += n;
-        if let Some(reader) = way.reader.take() {
-            s.wake_at(at, reader);
+        // Streams are not reordered: a write arrives after all earlier ones.
+        let last_arrival = direction.in_flight.back().map_or(0, |write| write.0);
+        let link = state.link(self.local_host, self.peer_host);
+        let arrival = state.now + link.sample_stream_delay(&mut state.rng);
+        let arrival = arrival.max(last_arrival) + link.transmission_time(len);
+        direction.in_flight.push_back((arrival, bytes[..len].to_vec()));
+        direction.in_flight_bytes += len;
+        if let Some(reader) = direction.reader.take() {
+            state.wake_at(arrival, reader);
         }
-        Poll::Ready(Ok(n))
+        Poll::Ready(Ok(len))
     }
 
     fn poll_flush(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
@@ -385,17 +407,17 @@
     }
 
     fn poll_close(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
-        let mut way = lock(&self.write);
-        way.ended = true;
-        way.wake();
+        let mut direction = lock(&self.write);
+        direction.closed = true;
+        direction.wake();
         Poll::Ready(Ok(()))
     }
 }
 
-impl Drop for End {
+impl Drop for SimulatedStream {
     fn drop(&mut self) {
         let mut write = lock(&self.write);
-        write.ended = true;
+        write.closed = true;
         write.wake();
         drop(write);
         let mut read = lock(&self.read);
@@ -404,65 +426,66 @@
     }
 }
 
-struct Accepts {
+struct SimulatedListener {
     state: Arc<Mutex<State>>,
     at: SocketAddr,
-    life: u64,
+    generation: u64,
 }
 
-impl Listener for Accepts {
+impl Listener for SimulatedListener {
     fn address(&self) -> SocketAddr {
         self.at
     }
 
     fn accept(&self) -> BoxFuture<'_, io::Result<Box<dyn Stream>>> {
         Box::pin(future::poll_fn(|cx| {
-            let mut s = lock(&self.state);
-            let Some(door) = s.doors.get_mut(&self.at).filter(|d| d.life == self.life) else {
+            let mut state = lock(&self.state);
+            let listener = state.listeners.get_mut(&self.at);
+            let Some(listener) = listener.filter(|l| l.generation == self.generation) else {
                 return Poll::Pending;
             };
-            if let Some(end) = door.waiting.pop_front() {
-                return Poll::Ready(Ok(Box::new(end) as Box<dyn Stream>));
+            if let Some(stream) = listener.pending.pop_front() {
+                return Poll::Ready(Ok(Box::new(stream) as Box<dyn Stream>));
             }
-            door.waker = Some(cx.waker().clone());
+            listener.waker = Some(cx.waker().clone());
             Poll::Pending
         }))
     }
 }
 
-impl Drop for Accepts {
+impl Drop for SimulatedListener {
     fn drop(&mut self) {
-        let mut s = lock(&self.state);
-        if s.doors.get(&self.at).is_some_and(|d| d.life == self.life) {
-            s.doors.remove(&self.at);
+        let mut state = lock(&self.state);
+        if state.listeners.get(&self.at).is_some_and(|l| l.generation == self.generation) {
+            state.listeners.remove(&self.at);
         }
     }
 }
 
-struct Post {
+struct SimulatedSocket {
     state: Arc<Mutex<State>>,
     at: SocketAddr,
-    life: u64,
+    generation: u64,
 }
 
-impl Datagrams for Post {
+impl Datagrams for SimulatedSocket {
     fn address(&self) -> SocketAddr {
         self.at
     }
 
     fn send<'a>(&'a self, bytes: &'a [u8], to: SocketAddr) -> BoxFuture<'a, io::Result<()>> {
         Box::pin(async move {
-            let mut s = lock(&self.state);
-            let link = s.link(host_at(self.at), host_at(to));
-            if s.rng.random::<f64>() < link.loss || link.cut.is_some() {
+            let mut state = lock(&self.state);
+            let link = state.link(host_at(self.at), host_at(to));
+            if state.rng.random::<f64>() < link.loss || link.cut.is_some() {
                 return Ok(());
             }
-            let copies = 1 + u32::from(s.rng.random::<f64>() < link.double);
+            let copies = 1 + u32::from(state.rng.random::<f64>() < link.double);
             for _ in 0..copies {
-                let at = s.now + link.late(&mut s.rng) + link.passing(bytes.len());
-                s.set += 1;
-                let key = (at, s.set);
-                s.letters.insert(key, (self.at, to, bytes.to_vec()));
+                let delay = link.sample_delay(&mut state.rng) + link.transmission_time(bytes.len());
+                state.sequence += 1;
+                let key = (state.now + delay, state.sequence);
+                state.datagrams.insert(key, (self.at, to, bytes.to_vec()));
             }
             Ok(())
         })
@@ -470,113 +493,121 @@
 
     fn receive<'a>(&'a self, buffer: &'a mut [u8]) -> BoxFuture<'a, io::Result<(usize, SocketAddr)>> {
         Box::pin(future::poll_fn(move |cx| {
-            let mut s = lock(&self.state);
-            let Some(b) = s.boxes.get_mut(&self.at).filter(|b| b.life == self.life) else {
+            let mut state = lock(&self.state);
+            let socket = state.sockets.get_mut(&self.at);
+            let Some(socket) = socket.filter(|s| s.generation == self.generation) else {
                 return Poll::Pending;
             };
-            if let Some((from, bytes)) = b.letters.pop_front() {
-                let n = bytes.len().min(buffer.len());
-                buffer[..n].copy_from_slice(&bytes[..n]);
-                return Poll::Ready(Ok((n, from)));
+            if let Some((from, bytes)) = socket.received.pop_front() {
+                let len = bytes.len().min(buffer.len());
+                buffer[..len].copy_from_slice(&bytes[..len]);
+                return Poll::Ready(Ok((len, from)));
             }
-            b.waker = Some(cx.waker().clone());
+            socket.waker = Some(cx.waker().clone());
             Poll::Pending
         }))
     }
 }
 
-impl Drop for Post {
+impl Drop for SimulatedSocket {
     fn drop(&mut self) {
-        let mut s = lock(&self.state);
-        if s.boxes.get(&self.at).is_some_and(|b| b.life == self.life) {
-            s.boxes.remove(&self.at);
+        let mut state = lock(&self.state);
+        if state.sockets.get(&self.at).is_some_and(|s| s.generation == self.generation) {
+            state.sockets.remove(&self.at);
         }
     }
 }
 
 // ---- files ----
 
+/// The files of one generation of a host.
 struct Disk {
     state: Arc<Mutex<State>>,
-    no: u32,
-    life: u64,
+    host: u32,
+    generation: u64,
 }
 
-struct Log {
+struct AppendFile {
     state: Arc<Mutex<State>>,
-    no: u32,
-    life: u64,
+    host: u32,
+    generation: u64,
     path: PathBuf,
 }
 
-/// The files of a life that is over are out of reach.
-fn alive(s: &State, no: u32, life: u64) -> io::Result<()> {
-    match s.lives.get(&no) {
-        Some(now) if *now == life => Ok(()),
-        _ => Err(io::Error::other("the machine is off")),
+/// Fails if this generation of the host was killed.
+fn check_running(state: &State, host: u32, generation: u64) -> io::Result<()> {
+    match state.generations.get(&host) {
+        Some(current) if *current == generation => Ok(()),
+        _ => Err(io::Error::other(format!("host {host} was killed"))),
     }
 }
 
-impl Append for Log {
+impl Append for AppendFile {
     fn append<'a>(&'a mut self, bytes: Vec<u8>) -> BoxFuture<'a, io::Result<()>> {
         Box::pin(async move {
-            let mut s = lock(&self.state);
-            alive(&s, self.no, self.life)?;
-            s.disks.entry((self.no, self.path.clone())).or_default().loose.extend(bytes);
+            let mut state = lock(&self.state);
+            check_running(&state, self.host, self.generation)?;
+            state.disks.entry((self.host, self.path.clone())).or_default().unsynced.extend(bytes);
             Ok(())
         })
     }
 
     fn sync<'a>(&'a mut self) -> BoxFuture<'a, io::Result<()>> {
         Box::pin(async move {
-            let mut s = lock(&self.state);
-            alive(&s, self.no, self.life)?;
-            let file = s.disks.entry((self.no, self.path.clone())).or_default();
-            let loose = std::mem::take(&mut file.loose);
-            file.safe.extend(loose);
+            let mut state = lock(&self.state);
+            check_running(&state, self.host, self.generation)?;
+            let file = state.disks.entry((self.host, self.path.clone())).or_default();
+            let unsynced = std::mem::take(&mut file.unsynced);
+            file.synced.extend(unsynced);
             Ok(())
         })
     }
 }
 
 impl Disk {
-    fn with<T>(&self, act: impl FnOnce(&mut State, u32) -> io::Result<T>) -> io::Result<T> {
-        let mut s = lock(&self.state);
-        alive(&s, self.no, self.life)?;
-        act(&mut s, self.no)
+    /// Calls `operation` with the state and the host's number, unless the host was killed.
+    fn with<T>(&self, operation: impl FnOnce(&mut State, u32) -> io::Result<T>) -> io::Result<T> {
+        let mut state = lock(&self.state);
+        check_running(&state, self.host, self.generation)?;
+        operation(&mut state, self.host)
     }
 }
 
 impl Files for Disk {
     fn append<'a>(&'a self, path: &'a Path, len: u64) -> BoxFuture<'a, io::Result<Box<dyn Append>>> {
         Box::pin(async move {
-            self.with(|s, no| {
-                let file = s.disks.entry((no, path.to_owned())).or_default();
-                let loose = std::mem::take(&mut file.loose);
-                file.safe.extend(loose);
-                file.safe.truncate(usize::try_from(len).unwrap_or(usize::MAX));
+            self.with(|state, host| {
+                let file = state.disks.entry((host, path.to_owned())).or_default();
+                let unsynced = std::mem::take(&mut file.unsynced);
+                file.synced.extend(unsynced);
+                file.synced.truncate(usize::try_from(len).unwrap_or(usize::MAX));
                 Ok(())
             })?;
-            let (state, no, life) = (self.state.clone(), self.no, self.life);
-            Ok(Box::new(Log { state, no, life, path: path.to_owned() }) as Box<dyn Append>)
+            let file = AppendFile {
+                state: self.state.clone(),
+                host: self.host,
+                generation: self.generation,
+                path: path.to_owned(),
+            };
+            Ok(Box::new(file) as Box<dyn Append>)
         })
     }
 
     fn names<'a>(&'a self, folder: &'a Path) -> BoxFuture<'a, io::Result<Vec<String>>> {
         Box::pin(async move {
-            self.with(|s, no| {
-                let here = s.disks.keys().filter(|k| k.0 == no && k.1.parent() == Some(folder));
-                Ok(here.filter_map(|k| Some(k.1.file_name()?.to_str()?.to_owned())).collect())
+            self.with(|state, host| {
+                let files = state.disks.keys().filter(|k| k.0 == host && k.1.parent() == Some(folder));
+                Ok(files.filter_map(|k| Some(k.1.file_name()?.to_str()?.to_owned())).collect())
             })
         })
     }
 
-    fn read<'a>(&'a self, path: &'a Path, most: u64) -> BoxFuture<'a, io::Result<Vec<u8>>> {
+    fn read<'a>(&'a self, path: &'a Path, max_len: u64) -> BoxFuture<'a, io::Result<Vec<u8>>> {
         Box::pin(async move {
-            self.with(|s, no| {
-                let file = s.disks.get(&(no, path.to_owned())).ok_or(io::ErrorKind::NotFound)?;
-                let bytes = [&file.safe[..], &file.loose].concat();
-                if bytes.len() as u64 > most {
+            self.with(|state, host| {
+                let file = state.disks.get(&(host, path.to_owned())).ok_or(io::ErrorKind::NotFound)?;
+                let bytes = [&file.synced[..], &file.unsynced].concat();
+                if bytes.len() as u64 > max_len {
                     return Err(io::ErrorKind::FileTooLarge.into());
                 }
                 Ok(bytes)
@@ -586,8 +617,10 @@
 
     fn replace<'a>(&'a self, path: &'a Path, bytes: Vec<u8>) -> BoxFuture<'a, io::Result<()>> {
         Box::pin(async move {
-            self.with(|s, no| {
-                s.disks.insert((no, path.to_owned()), Content { safe: bytes, loose: Vec::new() });
+            self.with(|state, host| {
+                state
+                    .disks
+                    .insert((host, path.to_owned()), FileContent { synced: bytes, unsynced: Vec::new() });
                 Ok(())
             })
         })
@@ -595,11 +628,11 @@
 
     fn create<'a>(&'a self, path: &'a Path, bytes: Vec<u8>) -> BoxFuture<'a, io::Result<bool>> {
         Box::pin(async move {
-            self.with(|s, no| {
-                let key = (no, path.to_owned());
-                let new = !s.disks.contains_key(&key);
+            self.with(|state, host| {
+                let key = (host, path.to_owned());
+                let new = !state.disks.contains_key(&key);
                 if new {
-                    s.disks.insert(key, Content { safe: bytes, loose: Vec::new() });
+                    state.disks.insert(key, FileContent { synced: bytes, unsynced: Vec::new() });
                 }
                 Ok(new)
             })
@@ -608,8 +641,8 @@
 
     fn remove<'a>(&'a self, path: &'a Path) -> BoxFuture<'a, io::Result<()>> {
         Box::pin(async move {
-            self.with(|s, no| {
-                s.disks.remove(&(no, path.to_owned()));
+            self.with(|state, host| {
+                state.disks.remove(&(host, path.to_owned()));
                 Ok(())
             })
         })
@@ -617,9 +650,9 @@
 
     fn stamp<'a>(&'a self, path: &'a Path) -> BoxFuture<'a, io::Result<(Micros, u64)>> {
         Box::pin(async move {
-            self.with(|s, no| {
-                let file = s.disks.get(&(no, path.to_owned())).ok_or(io::ErrorKind::NotFound)?;
-                Ok((0, (file.safe.len() + file.loose.len()) as u64))
+            self.with(|state, host| {
+                let file = state.disks.get(&(host, path.to_owned())).ok_or(io::ErrorKind::NotFound)?;
+                Ok((0, (file.synced.len() + file.unsynced.len()) as u64))
             })
         })
     }
@@ -629,41 +662,44 @@
 
 impl Runtime for Host {
     fn now(&self) -> Micros {
-        lock(&self.world.state).now + self.ahead
+        lock(&self.simulation.state).now + self.clock_ahead
     }
 
     fn sleep_until(&self, at: Micros) -> BoxFuture<'static, ()> {
-        let (state, at) = (self.world.state.clone(), at.saturating_sub(self.ahead));
+        let shared = self.simulation.state.clone();
+        let at = at.saturating_sub(self.clock_ahead);
         Box::pin(future::poll_fn(move |cx| {
-            let mut s = lock(&state);
-            if s.now >= at {
+            let mut state = lock(&shared);
+            if state.now >= at {
                 return Poll::Ready(());
             }
-            // Whoever polls last is woken; a waker of before wakes a task that looks and goes on waiting.
-            s.wake_at(at, cx.waker().clone());
+            // Wakers of earlier polls stay registered; the wakeups that they cause in addition are harmless.
+            state.wake_at(at, cx.waker().clone());
             Poll::Pending
         }))
     }
 
     fn spawn(&self, task: BoxFuture<'static, ()>) -> Task {
-        let death = self.death.clone();
-        self.world.executor.spawn(async move {
-            let dead = async move {
-                let _ = death.recv().await; // its other end is the power
+        let killed = self.killed.clone();
+        self.simulation.executor.spawn(async move {
+            let cancelled = async move {
+                let _ = killed.recv().await; // returns when the sender in `HostGuard` is dropped
             };
-            future::or(dead, task).await;
+            future::or(cancelled, task).await;
         })
     }
 
     fn listen(&self, at: SocketAddr) -> io::Result<Box<dyn Listener>> {
-        let mut s = lock(&self.world.state);
-        alive(&s, self.no, self.life)?;
-        let at = s.address(self.no, at);
-        if s.doors.contains_key(&at) {
+        let mut state = lock(&self.simulation.state);
+        check_running(&state, self.number, self.generation)?;
+        let at = state.bind_address(self.number, at);
+        if state.listeners.contains_key(&at) {
             return Err(io::ErrorKind::AddrInUse.into());
         }
-        s.doors.insert(at, Door { host: self.no, life: self.life, waiting: VecDeque::new(), waker: None });
-        Ok(Box::new(Accepts { state: self.world.state.clone(), at, life: self.life }))
+        let generation = self.generation;
+        let listener = ListenerState { host: self.number, generation, pending: VecDeque::new(), waker: None };
+        state.listeners.insert(at, listener);
+        Ok(Box::new(SimulatedListener { state: self.simulation.state.clone(), at, generation }))
     }
 
     fn connect_from(
@@ -671,63 +707,79 @@
         from: Option<IpAddr>,
         to: SocketAddr,
     ) -> BoxFuture<'static, io::Result<Box<dyn Stream>>> {
-        let (state, no, life) = (self.world.state.clone(), self.no, self.life);
-        let arrive = {
-            let mut s = lock(&state);
-            let delay = s.link(no, host_at(to)).late_on_stream(&mut s.rng);
-            s.now + delay
+        let shared = self.simulation.state.clone();
+        let client = self.number;
+        let generation = self.generation;
+        let arrival = {
+            let mut state = lock(&shared);
+            let delay = state.link(client, host_at(to)).sample_stream_delay(&mut state.rng);
+            state.now + delay
         };
-        let wait = self.sleep_until(arrive + self.ahead);
+        let wait = self.sleep_until(arrival + self.clock_ahead);
         Box::pin(async move {
             wait.await;
-            // Where a link is cut without a sign the connection hangs.
+            // A connection attempt hangs while the link is cut silently.
             future::poll_fn(|cx| {
-                let mut s = lock(&state);
-                if s.link(no, host_at(to)).cut != Some(Cut::Silent) {
+                let mut state = lock(&shared);
+                if state.link(client, host_at(to)).cut != Some(Cut::Silent) {
                     return Poll::Ready(());
                 }
-                let again = s.now + LOOK;
-                s.wake_at(again, cx.waker().clone());
+                let next_poll = state.now + CUT_POLL_INTERVAL_MICROS;
+                state.wake_at(next_poll, cx.waker().clone());
                 Poll::Pending
             })
             .await;
-            let mut s = lock(&state);
-            alive(&s, no, life)?;
-            if s.link(no, host_at(to)).cut == Some(Cut::Reset) {
+            let mut state = lock(&shared);
+            check_running(&state, client, generation)?;
+            if state.link(client, host_at(to)).cut == Some(Cut::Reset) {
                 return Err(io::ErrorKind::ConnectionReset.into());
             }
-            let near = s.address(no, SocketAddr::new(from.unwrap_or(address(no)), 0));
-            let Some(host) = s.doors.get(&to).map(|d| d.host) else {
+            let from = state.bind_address(client, SocketAddr::new(from.unwrap_or(address(client)), 0));
+            let Some(server) = state.listeners.get(&to).map(|l| l.host) else {
                 return Err(io::ErrorKind::ConnectionRefused.into());
             };
-            let (a, b) = (Arc::new(Mutex::new(Way::default())), Arc::new(Mutex::new(Way::default())));
-            s.ways.push((no, host, Arc::downgrade(&a)));
-            s.ways.push((no, host, Arc::downgrade(&b)));
-            if s.ways.len() % 256 == 0 {
-                s.ways.retain(|w| w.2.strong_count() > 0);
+            let to_server = Arc::new(Mutex::new(Direction::default()));
+            let to_client = Arc::new(Mutex::new(Direction::default()));
+            state.directions.push((client, server, Arc::downgrade(&to_server)));
+            state.directions.push((client, server, Arc::downgrade(&to_client)));
+            if state.directions.len() % 256 == 0 {
+                state.directions.retain(|d| d.2.strong_count() > 0);
             }
-            let (hosts, state2) = ((host, no), state.clone());
-            let far = End { state: state2, hosts, peer: near, read: a.clone(), write: b.clone() };
-            if let Some(door) = s.doors.get_mut(&to) {
-                door.waiting.push_back(far);
-                if let Some(waker) = door.waker.take() {
-                    waker.wake();
-                }
+            let server_end = SimulatedStream {
+                state: shared.clone(),
+                local_host: server,
+                peer_host: client,
+                peer: from,
+                read: to_server.clone(),
+                write: to_client.clone(),
+            };
+            if let Some(listener) = state.listeners.get_mut(&to) {
+                listener.pending.push_back(server_end);
+                listener.waker.take().into_iter().for_each(Waker::wake);
             }
-            let hosts = (no, host);
-            Ok(Box::new(End { state: state.clone(), hosts, peer: to, read: b, write: a }) as Box<dyn Stream>)
+            let client_end = SimulatedStream {
+                state: shared.clone(),
+                local_host: client,
+                peer_host: server,
+                peer: to,
+                read: to_client,
+                write: to_server,
+            };
+            Ok(Box::new(client_end) as Box<dyn Stream>)
         })
     }
 
     fn datagrams(&self, at: SocketAddr) -> io::Result<Box<dyn Datagrams>> {
-        let mut s = lock(&self.world.state);
-        alive(&s, self.no, self.life)?;
-        let at = s.address(self.no, at);
-        if s.boxes.contains_key(&at) {
+        let mut state = lock(&self.simulation.state);
+        check_running(&state, self.number, self.generation)?;
+        let at = state.bind_address(self.number, at);
+        if state.sockets.contains_key(&at) {
             return Err(io::ErrorKind::AddrInUse.into());
         }
-        s.boxes.insert(at, Mailbox { host: self.no, life: self.life, letters: VecDeque::new(), waker: None });
-        Ok(Box::new(Post { state: self.world.state.clone(), at, life: self.life }))
+        let generation = self.generation;
+        let socket = SocketState { host: self.number, generation, received: VecDeque::new(), waker: None };
+        state.sockets.insert(at, socket);
+        Ok(Box::new(SimulatedSocket { state: self.simulation.state.clone(), at, generation }))
     }
 
     fn files(&self) -> &dyn Files {
@@ -735,7 +787,7 @@
     }
 
     fn random(&self) -> u64 {
-        lock(&self.world.state).rng.random()
+        lock(&self.simulation.state).rng.random()
     }
 
     fn descriptors(&self) -> u64 {
--- a/crates/runtime/src/system.rs
+++ b/crates/runtime/src/system.rs
@@ -1,4 +1,4 @@
-//! The real world: sockets by async-io, tasks by async-executor, files on a pool of threads that may block.
+//! The runtime of the operating system: sockets by async-io, tasks by async-executor, files on a pool of blocking threads.
 
 use super::*;
 use async_executor::Executor;
@@ -12,10 +12,10 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// Connections that may wait to be accepted; the system may cut it to its own limit.
+/// Maximum number of connections that wait to be accepted; the system may lower it to its own limit.
 const BACKLOG: i32 = 4096;
 
-/// The system's runtime. Its tasks run in [`System::run`] and on the threads of [`System::threads`].
+/// The operating system's runtime. Its tasks run in [`System::run`] and on the threads of [`System::threads`].
 pub struct System {
     executor: Executor<'static>,
     start: Instant,
@@ -24,48 +24,48 @@
 }
 
 impl System {
-    /// A runtime whose clock begins at the system's time.
+    /// Creates a runtime whose clock starts at the system's time.
     pub fn new() -> Arc<System> {
         let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         let epoch = since.as_micros() as Micros;
         Arc::new(System { executor: Executor::new(), start: Instant::now(), epoch, files: Disk })
     }
 
-    /// Runs tasks on this thread until `main` ends.
+    /// Runs tasks on this thread until `main` completes.
     pub fn run<T>(self: &Arc<Self>, main: impl Future<Output = T>) -> T {
         async_io::block_on(self.executor.run(main))
     }
 
-    /// Starts threads that run tasks for as long as the process lives.
+    /// Starts `count` threads that run tasks until the process exits.
     pub fn threads(self: &Arc<Self>, count: usize) {
         for n in 0..count {
             let system = self.clone();
             let thread = std::thread::Builder::new().name(format!("chalkgap-{n}"));
-            // Without it there is one thread less; the ones that run take its tasks.
+            // If the thread cannot be started, the other threads run its tasks.
             let _ = thread.spawn(move || system.run(future::pending::<()>()));
         }
     }
 }
 
-struct Tcp {
+struct TcpConnection {
     stream: Async<TcpStream>,
     peer: SocketAddr,
 }
 
-impl Tcp {
+impl TcpConnection {
     fn boxed(stream: Async<TcpStream>, peer: SocketAddr) -> io::Result<Box<dyn Stream>> {
-        stream.get_ref().set_nodelay(true)?; // answers are small and whole
-        Ok(Box::new(Tcp { stream, peer }))
+        stream.get_ref().set_nodelay(true)?; // each message is written at once; Nagle's algorithm would only delay it
+        Ok(Box::new(TcpConnection { stream, peer }))
     }
 }
 
-impl AsyncRead for Tcp {
+impl AsyncRead for TcpConnection {
     fn poll_read(mut self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut [u8]) -> Poll<io::Result<usize>> {
         Pin::new(&mut self.stream).poll_read(cx, buf)
     }
 }
 
-impl AsyncWrite for Tcp {
+impl AsyncWrite for TcpConnection {
     fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
         Pin::new(&mut self.stream).poll_write(cx, buf)
     }
@@ -75,33 +75,33 @@
     }
 
     fn poll_close(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        // The stream's own only flushes: the write side would stay open until the socket is dropped.
+        // `Async::poll_close` only flushes; without the shutdown the write side would stay open until the socket is dropped.
         let flushed = Pin::new(&mut self.stream).poll_close(cx);
-        flushed.map(|f| f.and_then(|()| self.stream.get_ref().shutdown(Shutdown::Write)))
+        flushed.map(|result| result.and_then(|()| self.stream.get_ref().shutdown(Shutdown::Write)))
     }
 }
 
-impl Stream for Tcp {
+impl Stream for TcpConnection {
     fn peer(&self) -> SocketAddr {
         self.peer
     }
 
-    fn left(&self) -> bool {
+    fn peer_closed(&self) -> bool {
         use rustix::event::{poll, PollFd, PollFlags};
-        let mut asked = [PollFd::new(self.stream.get_ref(), PollFlags::RDHUP)];
-        let at_once = rustix::event::Timespec { tv_sec: 0, tv_nsec: 0 };
-        // A system that cannot say it says nothing: reading tells in the end.
-        let said = poll(&mut asked, Some(&at_once)).is_ok_and(|n| n > 0);
-        said && asked[0].revents().intersects(PollFlags::RDHUP | PollFlags::HUP | PollFlags::ERR)
+        let mut descriptors = [PollFd::new(self.stream.get_ref(), PollFlags::RDHUP)];
+        let no_wait = rustix::event::Timespec { tv_sec: 0, tv_nsec: 0 };
+        // An error of `poll` counts as not closed: a read reports the close in the end.
+        let ready = poll(&mut descriptors, Some(&no_wait)).is_ok_and(|count| count > 0);
+        ready && descriptors[0].revents().intersects(PollFlags::RDHUP | PollFlags::HUP | PollFlags::ERR)
     }
 }
 
-struct TcpDoor {
+struct TcpAcceptor {
     listener: Async<TcpListener>,
     address: SocketAddr,
 }
 
-impl Listener for TcpDoor {
+impl Listener for TcpAcceptor {
     fn address(&self) -> SocketAddr {
         self.address
     }
@@ -109,17 +109,17 @@
     fn accept(&self) -> BoxFuture<'_, io::Result<Box<dyn Stream>>> {
         Box::pin(async move {
             let (stream, peer) = self.listener.accept().await?;
-            Tcp::boxed(stream, peer)
+            TcpConnection::boxed(stream, peer)
         })
     }
 }
 
-struct Udp {
+struct UdpDatagrams {
     socket: Async<UdpSocket>,
     address: SocketAddr,
 }
 
-impl Datagrams for Udp {
+impl Datagrams for UdpDatagrams {
     fn address(&self) -> SocketAddr {
         self.address
     }
@@ -135,75 +135,84 @@
 
 struct Disk;
 
-/// Tells files apart that are written beside the same one at the same time.
-static BESIDE: AtomicU64 = AtomicU64::new(0);
+/// Makes the names of temporary files unique within the process.
+static TEMP_FILE_COUNTER: AtomicU64 = AtomicU64::new(0);
 
 fn replace(path: &Path, bytes: &[u8]) -> io::Result<()> {
-    whole(path, bytes, |beside| fs::rename(beside, path)).map(drop)
+    write_atomically(path, bytes, |temp| fs::rename(temp, path)).map(drop)
 }
 
-/// A link is made by one alone: the others find the name taken. What is there may be of a writer who crashed before its
-/// folder was synced: that is done here, whoever made it.
+/// Only one of several concurrent calls succeeds in creating the hard link; the others find the name in use. They sync the
+/// directory too, as the writer of the existing file may have crashed before it did.
 fn create(path: &Path, bytes: &[u8]) -> io::Result<bool> {
-    whole(path, bytes, |beside| match fs::hard_link(beside, path) {
-        Err(e) if e.kind() == io::ErrorKind::AlreadyExists => fs::remove_file(beside).map(|()| false),
-        made => made.and_then(|()| fs::remove_file(beside)).map(|()| true),
+    write_atomically(path, bytes, |temp| match fs::hard_link(temp, path) {
+        Err(e) if e.kind() == io::ErrorKind::AlreadyExists => fs::remove_file(temp).map(|()| false),
+        linked => linked.and_then(|()| fs::remove_file(temp)).map(|()| true),
     })
 }
 
-/// Writes a file beside another, synced, puts it in its place and syncs the folder.
-fn whole<T>(path: &Path, bytes: &[u8], place: impl FnOnce(&Path) -> io::Result<T>) -> io::Result<T> {
-    let mut beside = path.as_os_str().to_owned();
-    beside.push(format!(".{}.{}.new", std::process::id(), BESIDE.fetch_add(1, Ordering::Relaxed)));
-    let beside = PathBuf::from(beside);
-    let written = (|| {
-        let mut file = fs::File::create(&beside)?;
+/// Writes and syncs a temporary file beside `path`, moves it to `path` by `install` and syncs the directory.
+fn write_atomically<T>(
+    path: &Path,
+    bytes: &[u8],
+    install: impl FnOnce(&Path) -> io::Result<T>,
+) -> io::Result<T> {
+    let mut temp = path.as_os_str().to_owned();
+    let suffix = TEMP_FILE_COUNTER.fetch_add(1, Ordering::Relaxed);
+    temp.push(format!(".{}.{suffix}.new", std::process::id()));
+    let temp = PathBuf::from(temp);
+    let result = (|| {
+        let mut file = fs::File::create(&temp)?;
         file.write_all(bytes)?;
         file.sync_all()?;
-        let placed = place(&beside)?;
+        let installed = install(&temp)?;
         let folder = path.parent().filter(|p| !p.as_os_str().is_empty()).unwrap_or(Path::new("."));
         fs::File::open(folder)?.sync_all()?;
-        Ok(placed)
+        Ok(installed)
     })();
-    if written.is_err() {
-        let _ = fs::remove_file(&beside); // the error that counts is the one before
+    if result.is_err() {
+        let _ = fs::remove_file(&temp); // the first error is reported
     }
-    written
+    result
 }
 
-/// Locks a file. Its last owner in this process may have been dropped in the middle of a write, which ends first.
-fn alone(file: &fs::File) -> io::Result<()> {
+/// Locks a file exclusively. Retries for two seconds, as an earlier handle in this process may have been dropped while a
+/// write was running on another thread; the lock is released when that write ends.
+fn lock_exclusively(file: &fs::File) -> io::Result<()> {
     use rustix::fs::{flock, FlockOperation};
     for _ in 0..LOCK_TRIES {
         match flock(file, FlockOperation::NonBlockingLockExclusive) {
-            Err(e) if e == rustix::io::Errno::WOULDBLOCK => std::thread::sleep(Duration::from_millis(20)),
-            done => return Ok(done?),
+            Err(e) if e == rustix::io::Errno::WOULDBLOCK => std::thread::sleep(LOCK_RETRY_PAUSE),
+            result => return Ok(result?),
         }
     }
-    Err(io::Error::new(io::ErrorKind::ResourceBusy, "somebody else is writing to it"))
+    Err(io::Error::new(io::ErrorKind::ResourceBusy, "the file is locked by another writer"))
 }
 
-/// With pauses of 20 ms: two seconds.
+const LOCK_RETRY_PAUSE: Duration = Duration::from_millis(20);
+/// Attempts to lock a file: two seconds, with [`LOCK_RETRY_PAUSE`] between them.
 const LOCK_TRIES: usize = 100;
 
-/// The file and whether a write or sync of it has failed.
-struct Log(Option<fs::File>);
+/// An append-only file; `None` after a failed write or sync.
+struct AppendFile(Option<fs::File>);
 
-impl Log {
-    /// Does something with the file on a thread that may block. A file is never used again after an error: the system
-    /// may have dropped what it could not write, and would say that all is well the next time.
+impl AppendFile {
+    /// Runs an operation on the file on a blocking thread. The file is not used again after an error: the system may have
+    /// discarded the data that it failed to write, and a later sync would succeed without it.
     async fn with(
         &mut self,
-        act: impl FnOnce(&mut fs::File) -> io::Result<()> + Send + 'static,
+        operation: impl FnOnce(&mut fs::File) -> io::Result<()> + Send + 'static,
     ) -> io::Result<()> {
-        let Some(mut file) = self.0.take() else { return Err(io::Error::other("an earlier write failed")) };
-        let file = blocking::unblock(move || act(&mut file).map(|()| file)).await?;
+        let Some(mut file) = self.0.take() else {
+            return Err(io::Error::other("an earlier write or sync of the file failed"));
+        };
+        let file = blocking::unblock(move || operation(&mut file).map(|()| file)).await?;
         self.0 = Some(file);
         Ok(())
     }
 }
 
-impl Append for Log {
+impl Append for AppendFile {
     fn append<'a>(&'a mut self, bytes: Vec<u8>) -> BoxFuture<'a, io::Result<()>> {
         Box::pin(self.with(move |file| file.write_all(&bytes)))
     }
@@ -213,7 +222,7 @@
     }
 
     fn commit<'a>(&'a mut self, bytes: Vec<u8>) -> BoxFuture<'a, io::Result<()>> {
-        // One way to the other thread and back, not two.
+        // One round trip to the blocking thread instead of two.
         Box::pin(self.with(move |file| file.write_all(&bytes).and_then(|()| file.sync_data())))
     }
 }
@@ -223,14 +232,14 @@
         let path = path.to_owned();
         Box::pin(blocking::unblock(move || {
             let file = fs::OpenOptions::new().create(true).append(true).open(&path)?;
-            alone(&file)?;
+            lock_exclusively(&file)?;
             if file.metadata()?.len() > len {
                 file.set_len(len)?;
             }
             file.sync_all()?;
             let folder = path.parent().filter(|p| !p.as_os_str().is_empty()).unwrap_or(Path::new("."));
             fs::File::open(folder)?.sync_all()?;
-            Ok(Box::new(Log(Some(file))) as Box<dyn Append>)
+            Ok(Box::new(AppendFile(Some(file))) as Box<dyn Append>)
         }))
     }
 
@@ -240,21 +249,21 @@
             fs::create_dir_all(&folder)?;
             let mut names = Vec::new();
             for entry in fs::read_dir(&folder)? {
-                names.extend(entry?.file_name().into_string().ok()); // others are not ours
+                names.extend(entry?.file_name().into_string().ok()); // names that are not UTF-8 belong to other programs
             }
             names.sort();
             Ok(names)
         }))
     }
 
-    fn read<'a>(&'a self, path: &'a Path, most: u64) -> BoxFuture<'a, io::Result<Vec<u8>>> {
+    fn read<'a>(&'a self, path: &'a Path, max_len: u64) -> BoxFuture<'a, io::Result<Vec<u8>>> {
         let path = path.to_owned();
         Box::pin(blocking::unblock(move || {
             let mut bytes = Vec::new();
-            fs::File::open(path)?.take(most.saturating_add(1)).read_to_end(&mut bytes)?;
-            if bytes.len() as u64 > most {
-                let text = format!("the file has more than {most} bytes");
-                return Err(io::Error::new(io::ErrorKind::FileTooLarge, text));
+            fs::File::open(path)?.take(max_len.saturating_add(1)).read_to_end(&mut bytes)?;
+            if bytes.len() as u64 > max_len {
+                let message = format!("the file is longer than {max_len} bytes");
+                return Err(io::Error::new(io::ErrorKind::FileTooLarge, message));
             }
             Ok(bytes)
         }))
@@ -305,15 +314,15 @@
     }
 
     fn listen(&self, at: SocketAddr) -> io::Result<Box<dyn Listener>> {
-        // The standard library's line of 128 is soon full when clients reconnect together; who finds it full tries
-        // again a second later.
+        // The standard library's backlog of 128 overflows when many clients reconnect at once; a client whose connection
+        // does not fit retries a second later.
         let socket = Socket::new(Domain::for_address(at), Type::STREAM, Some(Protocol::TCP))?;
         socket.set_reuse_address(true)?;
         socket.bind(&at.into())?;
         socket.listen(BACKLOG)?;
         let listener = Async::new(TcpListener::from(socket))?;
         let address = listener.get_ref().local_addr()?;
-        Ok(Box::new(TcpDoor { listener, address }))
+        Ok(Box::new(TcpAcceptor { listener, address }))
     }
 
     fn connect_from(
@@ -322,21 +331,23 @@
         to: SocketAddr,
     ) -> BoxFuture<'static, io::Result<Box<dyn Stream>>> {
         Box::pin(async move {
-            let Some(from) = from else { return Tcp::boxed(Async::<TcpStream>::connect(to).await?, to) };
+            let Some(from) = from else {
+                return TcpConnection::boxed(Async::<TcpStream>::connect(to).await?, to);
+            };
             let socket = Socket::new(Domain::for_address(to), Type::STREAM, Some(Protocol::TCP))?;
             socket.bind(&SocketAddr::new(from, 0).into())?;
             socket.set_nonblocking(true)?;
             match socket.connect(&to.into()) {
-                Err(e) if e.raw_os_error() != Some(rustix::io::Errno::INPROGRESS.raw_os_error()) => {
-                    return Err(e)
+                Err(error) if error.raw_os_error() != Some(rustix::io::Errno::INPROGRESS.raw_os_error()) => {
+                    return Err(error)
                 }
                 _ => {}
             }
             let stream = Async::new(TcpStream::from(socket))?;
             stream.writable().await?;
             match stream.get_ref().take_error()? {
-                Some(e) => Err(e),
-                None => Tcp::boxed(stream, to),
+                Some(error) => Err(error),
+                None => TcpConnection::boxed(stream, to),
             }
         })
     }
@@ -344,7 +355,7 @@
     fn datagrams(&self, at: SocketAddr) -> io::Result<Box<dyn Datagrams>> {
         let socket = Async::<UdpSocket>::bind(at)?;
         let address = socket.get_ref().local_addr()?;
-        Ok(Box::new(Udp { socket, address }))
+        Ok(Box::new(UdpDatagrams { socket, address }))
     }
 
     fn files(&self) -> &dyn Files {
@@ -356,7 +367,7 @@
     }
 
     fn descriptors(&self) -> u64 {
-        // None: no limit.
+        // `None` is no limit.
         rustix::process::getrlimit(rustix::process::Resource::Nofile).current.unwrap_or(u64::MAX)
     }
 }
--- a/crates/runtime/tests/system.rs
+++ b/crates/runtime/tests/system.rs
@@ -1,4 +1,4 @@
-//! The real world: streams, files and alarms of the system.
+//! Streams, files and alarms on the operating system's runtime.
 
 use chalkgap_runtime::system::System;
 use chalkgap_runtime::{Alarm, Runtime};
@@ -8,16 +8,16 @@
 use std::{fs, io};
 
 #[test]
-fn streams_and_files() {
+fn streams_carry_bytes_and_files_are_replaced_and_created_atomically() {
     let system = System::new();
     system.clone().run(async move {
-        let door = system.listen(([127, 0, 0, 1], 0).into()).unwrap();
-        let mut near = system.connect(door.address()).await.unwrap();
-        let mut far = door.accept().await.unwrap();
-        near.write_all(b"word").await.unwrap();
-        let mut got = [0; 4];
-        far.read_exact(&mut got).await.unwrap();
-        assert_eq!(&got, b"word");
+        let listener = system.listen(([127, 0, 0, 1], 0).into()).unwrap();
+        let mut client = system.connect(listener.address()).await.unwrap();
+        let mut server = listener.accept().await.unwrap();
+        client.write_all(b"ping").await.unwrap();
+        let mut received = [0; 4];
+        server.read_exact(&mut received).await.unwrap();
+        assert_eq!(&received, b"ping");
 
         let folder = std::env::temp_dir().join(format!("chalkgap-runtime-{}", std::process::id()));
         fs::create_dir_all(&folder).unwrap();
@@ -25,20 +25,20 @@
         system.files().replace(&path, b"one".to_vec()).await.unwrap();
         system.files().replace(&path, b"two".to_vec()).await.unwrap();
         assert_eq!(system.files().read(&path, 3).await.unwrap(), b"two");
-        assert!(!system.files().create(&path, b"new".to_vec()).await.unwrap(), "there is one");
+        assert!(!system.files().create(&path, b"new".to_vec()).await.unwrap(), "the file exists");
         assert_eq!(system.files().read(&path, 3).await.unwrap(), b"two");
         assert!(system.files().create(&folder.join("new"), b"new".to_vec()).await.unwrap());
         assert_eq!(system.files().read(&folder.join("new"), 3).await.unwrap(), b"new");
         fs::remove_file(folder.join("new")).unwrap();
         let error = system.files().read(&path, 2).await.unwrap_err();
         assert_eq!(error.kind(), io::ErrorKind::FileTooLarge);
-        assert_eq!(fs::read_dir(&folder).unwrap().count(), 1, "nothing is left beside");
+        assert_eq!(fs::read_dir(&folder).unwrap().count(), 1, "temporary files are left");
         fs::remove_dir_all(folder).unwrap();
     });
 }
 
 #[test]
-fn an_alarm_moves_both_ways() {
+fn an_alarm_can_be_set_earlier_and_later() {
     let system = System::new();
     let mut alarm = Alarm::new(system.clone());
     system.clone().run(future::poll_fn(|cx| {
@@ -52,38 +52,38 @@
     assert!(system.now() >= at);
 }
 
-/// A side that was shut, or a stream that was reset, is known of without taking the bytes that came before; the other side can
-/// still be written to where only one was shut.
+/// `peer_closed` reports a shutdown or a reset by the peer without consuming the bytes received before it. After a shutdown the
+/// stream can still be written to.
 #[test]
-fn who_left_is_known_of_behind_unread_bytes() {
+fn a_close_by_the_peer_is_detected_behind_unread_bytes() {
     let system = System::new();
     system.clone().run(async move {
-        let door = system.listen(([127, 0, 0, 1], 0).into()).unwrap();
-        for shut in [true, false] {
-            let mut near = system.connect(door.address()).await.unwrap();
-            let mut far = door.accept().await.unwrap();
-            near.write_all(b"word").await.unwrap();
-            far.write_all(b"unread").await.unwrap();
+        let listener = system.listen(([127, 0, 0, 1], 0).into()).unwrap();
+        for shutdown in [true, false] {
+            let mut client = system.connect(listener.address()).await.unwrap();
+            let mut server = listener.accept().await.unwrap();
+            client.write_all(b"ping").await.unwrap();
+            server.write_all(b"unread").await.unwrap();
             system.sleep_until(system.now() + 20_000).await;
-            assert!(!far.left() && !near.left());
-            if shut {
-                near.close().await.unwrap();
+            assert!(!server.peer_closed() && !client.peer_closed());
+            if shutdown {
+                client.close().await.unwrap();
             } else {
-                drop(std::mem::replace(&mut near, system.connect(door.address()).await.unwrap()));
+                drop(std::mem::replace(&mut client, system.connect(listener.address()).await.unwrap()));
             }
             let end = system.now() + 5_000_000;
-            while !far.left() {
-                assert!(system.now() < end, "it is not known of");
+            while !server.peer_closed() {
+                assert!(system.now() < end, "the close was not detected within 5 s");
                 system.sleep_until(system.now() + 1000).await;
             }
-            if shut {
-                let mut got = [0; 4];
-                far.read_exact(&mut got).await.unwrap();
-                assert_eq!((&got, far.read(&mut [0; 1]).await.unwrap()), (b"word", 0));
-                far.write_all(b"well").await.unwrap();
-                let mut got = [0; 10];
-                near.read_exact(&mut got).await.unwrap();
-                assert_eq!(&got, b"unreadwell");
+            if shutdown {
+                let mut received = [0; 4];
+                server.read_exact(&mut received).await.unwrap();
+                assert_eq!((&received, server.read(&mut [0; 1]).await.unwrap()), (b"ping", 0));
+                server.write_all(b"pong").await.unwrap();
+                let mut received = [0; 10];
+                client.read_exact(&mut received).await.unwrap();
+                assert_eq!(&received, b"unreadpong");
             }
         }
     });
