--- a/crates/gateway/tests/fleet.rs
+++ b/crates/gateway/tests/fleet.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use chalkgap::fleet::FleetSnapshot;
-use chalkgap::runtime::simulated_runtime::{address, Cut, LinkFaults, Power, World, USUAL};
+use chalkgap::runtime::simulated_runtime::{address, Cut, HostGuard, LinkFaults, Simulation, DEFAULT_LINK};
 use chalkgap::runtime::{Micros, Runtime};
 use chalkgap::settings::{self, Peers, Settings};
 use chalkgap::Instance;
@@ -29,15 +29,15 @@
 }
 
 struct Fleet {
-    world: World,
+    world: Simulation,
     most: u16,
-    here: BTreeMap<u16, (Instance, Power)>,
+    here: BTreeMap<u16, (Instance, HostGuard)>,
     clock: std::sync::Arc<chalkgap::runtime::simulated_runtime::Host>,
-    _on: Power,
+    _on: HostGuard,
 }
 
 impl Fleet {
-    async fn start(world: World, count: u16) -> Fleet {
+    async fn start(world: Simulation, count: u16) -> Fleet {
         let (clock, on) = world.host(0, 0);
         let mut fleet = Fleet { world, most: count, here: BTreeMap::new(), clock, _on: on };
         for n in 0..count {
@@ -78,7 +78,7 @@
     fn cut(&self, weather: Option<LinkFaults>, apart: impl Fn(u16, u16) -> bool) {
         let all = || 0..self.most;
         for (a, b) in all().flat_map(|a| all().map(move |b| (a, b))).filter(|(a, b)| apart(*a, *b)) {
-            self.world.link(u32::from(a) + 1, u32::from(b) + 1, weather);
+            self.world.set_link(u32::from(a) + 1, u32::from(b) + 1, weather);
         }
     }
 }
@@ -91,8 +91,8 @@
 
 /// A fleet that starts at once, loses one to a kill and has it back, is cut in halves, and meets again.
 fn a_bad_quarter_of_an_hour(count: u16) {
-    let world = World::new(u64::from(count), 1_800_000_000 * SECOND);
-    world.weather(LinkFaults { loss: 0.02, delay: (500, 8000), ..USUAL });
+    let world = Simulation::new(u64::from(count), 1_800_000_000 * SECOND);
+    world.set_default_link(LinkFaults { loss: 0.02, delay: (500, 8000), ..DEFAULT_LINK });
     let inside = world.clone();
     let ended = world.run(async move {
         let mut fleet = Fleet::start(inside, count).await;
@@ -104,7 +104,7 @@
         let known = known.unwrap_or_else(|| panic!("not within {late}"));
         fleet.up(count / 2).await;
         let back = fleet.until(30 * SECOND, |v| agreed(v, count)).await.expect("it is back");
-        let silent = LinkFaults { cut: Some(Cut::Silent), ..USUAL };
+        let silent = LinkFaults { cut: Some(Cut::Silent), ..DEFAULT_LINK };
         fleet.cut(Some(silent), |a, b| (a < count / 2) != (b < count / 2));
         let most = 2 * late + u64::from(count) * SECOND / 8;
         let apart = fleet.until(most, |v| v.iter().all(|v| v.partition_status == "cut off")).await.expect("all know");
--- a/crates/gateway/tests/simulated_runtime.rs
+++ b/crates/gateway/tests/simulated_runtime.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use chalkgap::runtime::simulated_runtime::{address, LinkFaults, World, USUAL};
+use chalkgap::runtime::simulated_runtime::{address, LinkFaults, Simulation, DEFAULT_LINK};
 use chalkgap::runtime::Shared;
 use chalkgap::settings::{self, Settings};
 use chalkgap::Instance;
@@ -24,8 +24,8 @@
 /// Ten minutes of requests, one at a time, with a node that fails halfway now and then, an ingress that is killed in the
 /// middle and starts again from its disk. What clients and nodes saw, and how many entries the ledger has.
 fn ten_minutes(seed: u64) -> (Vec<Entry>, u64) {
-    let world = World::new(seed, 1_800_000_000_000_000);
-    world.weather(LinkFaults { delay: (100, 3000), ..USUAL });
+    let world = Simulation::new(seed, 1_800_000_000_000_000);
+    world.set_default_link(LinkFaults { delay: (100, 3000), ..DEFAULT_LINK });
     let (node_host, _node_on) = world.host(0, 0);
     let (client_host, _client_on) = world.host(2, 0);
     let journal = Journal::default();
--- a/crates/platform/tests/discovery.rs
+++ b/crates/platform/tests/discovery.rs
@@ -8,7 +8,7 @@
 use chalkgap_platform::endpoint_list::backend_id;
 use chalkgap_platform::endpoint_set::EndpointSet;
 use chalkgap_platform::request::ForwardedCommand;
-use chalkgap_runtime::simulated_runtime::{address, Power, World};
+use chalkgap_runtime::simulated_runtime::{address, HostGuard, Simulation};
 use chalkgap_runtime::{Micros, Runtime, Shared, Stream};
 use futures_lite::{future, AsyncReadExt, AsyncWriteExt};
 use std::net::SocketAddr;
@@ -139,11 +139,11 @@
 
 /// One who follows the agent at an address.
 fn follower(
-    world: &World,
+    world: &Simulation,
     no: u32,
     mode: Discovery,
     at: SocketAddr,
-) -> (Shared, Power, Sender<SocketAddr>, Receiver<DriverEvent<ForwardedCommand>>) {
+) -> (Shared, HostGuard, Sender<SocketAddr>, Receiver<DriverEvent<ForwardedCommand>>) {
     let (host, power) = world.host(no, 0);
     let runtime: Shared = host;
     let (moves, moved) = async_channel::bounded(4);
@@ -165,16 +165,16 @@
 /// A world with agents and one who follows them.
 struct Rig {
     runtime: Shared,
-    world: World,
+    world: Simulation,
     agents: Vec<(Handle, SocketAddr)>,
     others: Vec<Sender<SocketAddr>>,
     moves: Sender<SocketAddr>,
     input: Receiver<DriverEvent<ForwardedCommand>>,
-    power: Vec<Power>,
+    power: Vec<HostGuard>,
 }
 
 impl Rig {
-    fn new(world: &World, indent: bool, mode: Discovery) -> Rig {
+    fn new(world: &Simulation, indent: bool, mode: Discovery) -> Rig {
         let (mut agents, mut powers) = (Vec::new(), Vec::new());
         for no in 1..=2 {
             let (host, power) = world.host(no, 0);
@@ -267,7 +267,7 @@
     mode: Discovery,
     act: impl FnOnce(Rig) -> F + 'static,
 ) {
-    let world = World::new(seed, BEGIN);
+    let world = Simulation::new(seed, BEGIN);
     let inside = world.clone();
     let done = world.run(async move {
         let rig = Rig::new(&inside, indent, mode);
@@ -420,9 +420,9 @@
 fn a_reset_watch_is_opened_again_at_once() {
     play(5, false, |rig| async move {
         let cut = Some(chalkgap_runtime::link_faults::Cut::Reset);
-        let weather = chalkgap_runtime::simulated_runtime::USUAL;
-        rig.world.link(1, 3, Some(chalkgap_runtime::link_faults::LinkFaults { cut, ..weather }));
-        rig.world.link(1, 3, None);
+        let weather = chalkgap_runtime::simulated_runtime::DEFAULT_LINK;
+        rig.world.set_link(1, 3, Some(chalkgap_runtime::link_faults::LinkFaults { cut, ..weather }));
+        rig.world.set_link(1, 3, None);
         rig.agent().seq = 2;
         let took = rig.told(2).await;
         assert!(took <= 50_000 + ROUND, "{took} us");
@@ -432,7 +432,7 @@
 /// Where no list is held yet, a watch would give the changes to nothing: the whole list is asked for until it is there.
 #[test]
 fn changes_are_not_watched_before_a_complete_list() {
-    let world = World::new(9, BEGIN);
+    let world = Simulation::new(9, BEGIN);
     let inside = world.clone();
     let done = world.run(async move {
         let mut rig = Rig::new(&inside, false, Discovery::Poll);
@@ -454,7 +454,7 @@
 /// with 0.75 s for a call, and two calls for each, the last of six heard after 7 s and more.
 #[test]
 fn a_polled_service_gets_one_request_from_each_follower() {
-    let world = World::new(7, BEGIN);
+    let world = Simulation::new(7, BEGIN);
     let inside = world.clone();
     let done = world.run(async move {
         let mut rig = Rig::new(&inside, false, Discovery::Poll);
--- a/crates/testbed/src/network.rs
+++ b/crates/testbed/src/network.rs
@@ -4,7 +4,7 @@
 
 pub use chalkgap_runtime::link_faults::{Cut, LinkFaults};
 
-use chalkgap_runtime::link_faults::LOOK;
+use chalkgap_runtime::link_faults::CUT_POLL_INTERVAL_MICROS;
 use chalkgap_runtime::{Datagrams, Listener, Micros, Shared, Stream};
 use chalkgap_transport::while_alive;
 use futures_lite::{future, AsyncReadExt, AsyncWriteExt};
@@ -135,10 +135,10 @@
                     if begin > now + QUEUE {
                         continue;
                     }
-                    *at = begin + w.passing(n);
+                    *at = begin + w.transmission_time(n);
                 }
                 for _ in 0..1 + u32::from(rng.random::<f64>() < w.double) {
-                    let at = begin + w.passing(n) + w.late(&mut rng);
+                    let at = begin + w.transmission_time(n) + w.sample_delay(&mut rng);
                     let (socket, bytes, world2) = (socket.clone(), buffer[..n].to_vec(), world.clone());
                     let late = async move {
                         world2.sleep_until(at).await;
@@ -202,7 +202,7 @@
     let mut count = 0;
     loop {
         let Ok(stream) = listener.accept().await else {
-            runtime.sleep_until(runtime.now() + LOOK).await;
+            runtime.sleep_until(runtime.now() + CUT_POLL_INTERVAL_MICROS).await;
             continue;
         };
         count += 1;
@@ -214,7 +214,7 @@
                 let w = network.weather(Some(link.0), link.1, true);
                 match w.cut {
                     Some(Cut::Reset) => return,
-                    Some(Cut::Silent) => world.sleep_until(world.now() + LOOK).await,
+                    Some(Cut::Silent) => world.sleep_until(world.now() + CUT_POLL_INTERVAL_MICROS).await,
                     None => break,
                 }
             }
@@ -246,7 +246,7 @@
             if cut(a, b) || cut(b, a) {
                 return;
             }
-            runtime.sleep_until(runtime.now() + LOOK).await;
+            runtime.sleep_until(runtime.now() + CUT_POLL_INTERVAL_MICROS).await;
         }
     };
     let ended = async {
@@ -272,16 +272,16 @@
             if w.cut != Some(Cut::Silent) {
                 break w;
             }
-            runtime.sleep_until(runtime.now() + LOOK).await;
+            runtime.sleep_until(runtime.now() + CUT_POLL_INTERVAL_MICROS).await;
         };
         if n == 0 {
             while network.weather(Some(from), to, true).half_open {
-                runtime.sleep_until(runtime.now() + LOOK).await;
+                runtime.sleep_until(runtime.now() + CUT_POLL_INTERVAL_MICROS).await;
             }
             let _ = write.close().await; // it may have ended itself
             return;
         }
-        let late = w.late_on_stream(&mut rng) + w.passing(n);
+        let late = w.sample_stream_delay(&mut rng) + w.transmission_time(n);
         if late > 0 {
             runtime.sleep_until(runtime.now() + late).await;
         }
@@ -294,7 +294,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use chalkgap_runtime::simulated_runtime::World;
+    use chalkgap_runtime::simulated_runtime::Simulation;
 
     const LINK: (Party, Party) = (Party::Ingress(1), Party::Node(0));
 
@@ -315,7 +315,7 @@
 
     #[test]
     fn streams_are_cut_reset_slowed_and_held_for_open_by_link_and_direction() {
-        let world = World::new(1, 1_000_000);
+        let world = Simulation::new(1, 1_000_000);
         let (host, _on) = world.host(1, 0);
         let runtime: Shared = host;
         world
@@ -365,7 +365,7 @@
 
     #[test]
     fn datagrams_know_their_link_by_who_sends() {
-        let world = World::new(2, 1_000_000);
+        let world = Simulation::new(2, 1_000_000);
         let (host, _on) = world.host(1, 0);
         let runtime: Shared = host;
         world
--- a/crates/transport/src/pipe.rs
+++ b/crates/transport/src/pipe.rs
@@ -104,7 +104,7 @@
         let runtime = &self.runtime;
         let stream = &mut self.stream;
         let peer_left = async move {
-            while !stream.left() {
+            while !stream.peer_closed() {
                 runtime.sleep_until(runtime.now() + PEER_LEFT_CHECK_MICROS).await;
             }
             None
@@ -223,7 +223,7 @@
             if until.is_some_and(|until| until <= now) {
                 return Poll::Ready(Turn::Time);
             }
-            if self.stream.left() {
+            if self.stream.peer_closed() {
                 return Poll::Ready(Turn::Closed);
             }
             self.next_peer_check = None;
