--- a/crates/testbed/src/billing.rs
+++ b/crates/testbed/src/billing.rs
@@ -1,5 +1,5 @@
-//! A stand-in billing consumer: sequences of numbered batches, each number taken once, with faults on command. What it
-//! has outlives its process.
+//! A fake billing consumer: it accepts streams of numbered batches, each number once, with fault injection. The accepted
+//! batches outlive the consumer's process.
 
 use crate::lock;
 use async_channel::Sender;
@@ -17,39 +17,40 @@
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
 
-/// What is wrong with it; shares are of calls.
+/// The faults of a consumer. Shares are of calls, from 0 to 1.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Faults {
-    /// Turned away before anything was looked at.
+    /// Share of calls that are rejected without being processed.
     pub refuse: f64,
-    /// Taken for good, and no word of it.
+    /// Share of calls whose batch is stored although the call fails.
     pub silent: f64,
 }
 
-/// Its batches by stream, in the order of their numbers.
+/// The batches that a consumer accepted, by stream and in the order of their numbers.
 #[derive(Clone, Debug, Default)]
-pub struct Vault(Arc<Mutex<BTreeMap<String, Vec<Bytes>>>>);
+pub struct BatchStore(Arc<Mutex<BTreeMap<String, Vec<Bytes>>>>);
 
-impl Vault {
-    /// All that it has.
+impl BatchStore {
+    /// Returns all batches by stream.
     pub fn batches(&self) -> BTreeMap<String, Vec<Bytes>> {
         lock(&self.0).clone()
     }
 
-    /// Takes what comes next, and says what is there.
+    /// Stores a batch if its number is the next one of its stream. Returns the last stored number of the stream and the
+    /// batch that is stored under the requested number.
     pub fn hand(&self, hand: &Hand) -> Handed {
-        let mut all = lock(&self.0);
-        let list = all.entry(hand.stream.clone()).or_default();
-        if hand.number == list.len() as u64 + 1 {
-            list.push(hand.batch.clone());
+        let mut streams = lock(&self.0);
+        let batches = streams.entry(hand.stream.clone()).or_default();
+        if hand.number == batches.len() as u64 + 1 {
+            batches.push(hand.batch.clone());
         }
-        let at = (hand.number as usize).checked_sub(1);
-        let batch = at.and_then(|n| list.get(n)).cloned().unwrap_or_default();
-        Handed { last: list.len() as u64, batch }
+        let index = (hand.number as usize).checked_sub(1);
+        let batch = index.and_then(|index| batches.get(index)).cloned().unwrap_or_default();
+        Handed { last: batches.len() as u64, batch }
     }
 }
 
-/// A consumer that runs. Dropped, it is gone.
+/// A running consumer. Stopped when dropped.
 pub struct Consumer {
     address: SocketAddr,
     faults: Arc<Mutex<Faults>>,
@@ -57,33 +58,38 @@
 }
 
 impl Consumer {
-    /// Starts one.
+    /// Starts a consumer that listens at `at` and stores batches in `store`.
     ///
     /// # Errors
-    /// The address cannot be bound.
-    pub fn start(runtime: Shared, at: SocketAddr, vault: Vault, seed: u64) -> io::Result<Consumer> {
+    /// Returns the system's error if the address cannot be bound.
+    pub fn start(runtime: Shared, at: SocketAddr, store: BatchStore, seed: u64) -> io::Result<Consumer> {
         let listener = runtime.listen(at)?;
         let address = listener.address();
         let (kill, killed) = async_channel::bounded(1);
         let faults = Arc::new(Mutex::new(Faults::default()));
-        let state = Arc::new(Mutex::new(SmallRng::seed_from_u64(seed)));
-        let wrong = faults.clone();
+        let shared_rng = Arc::new(Mutex::new(SmallRng::seed_from_u64(seed)));
+        let shared_faults = faults.clone();
         let handler: Handler = Arc::new(move |path, message| {
-            let (wrong, mut rng) = (lock(&wrong).clone(), lock(&state));
-            let refuse = rng.random::<f64>() < wrong.refuse;
-            let silent = rng.random::<f64>() < wrong.silent;
-            let vault = vault.clone();
+            let faults = lock(&shared_faults).clone();
+            let mut rng = lock(&shared_rng);
+            let refuse = rng.random::<f64>() < faults.refuse;
+            let silent = rng.random::<f64>() < faults.silent;
+            let store = store.clone();
             Box::pin(async move {
                 if path != HAND {
                     return Err(Status::new(Code::Unimplemented, format!("expected {HAND}")));
                 }
                 if refuse {
-                    return Err(Status::new(Code::Unavailable, "told to refuse"));
+                    return Err(Status::new(Code::Unavailable, "injected fault: batch not processed"));
                 }
-                let broken = |e: prost::DecodeError| Status::new(Code::InvalidArgument, e.to_string());
-                let handed = vault.hand(&Hand::decode(message).map_err(broken)?);
+                let invalid =
+                    |error: prost::DecodeError| Status::new(Code::InvalidArgument, error.to_string());
+                let handed = store.hand(&Hand::decode(message).map_err(invalid)?);
                 if silent {
-                    return Err(Status::new(Code::Unavailable, "told to say nothing of what it took"));
+                    return Err(Status::new(
+                        Code::Unavailable,
+                        "injected fault: batch stored without a confirmation",
+                    ));
                 }
                 Ok(grpc::frame(&handed))
             })
@@ -94,12 +100,12 @@
         Ok(Consumer { address, faults, _kill: kill })
     }
 
-    /// Where it listens.
+    /// Returns the address that it listens at.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Changes what is wrong with it.
+    /// Replaces its faults.
     pub fn faults(&self, faults: Faults) {
         *lock(&self.faults) = faults;
     }
--- a/crates/testbed/src/client.rs
+++ b/crates/testbed/src/client.rs
@@ -1,4 +1,4 @@
-//! A fake client of the rate limit service: one connection to one gateway, many calls at once.
+//! A fake client of the rate limit service: one connection to a gateway, with concurrent calls.
 
 use crate::journal::{Answer, Journal, Seen, CALL_ENTRY};
 use async_channel::{Receiver, Sender};
@@ -16,10 +16,10 @@
 use std::io;
 use std::net::SocketAddr;
 
-/// Calls that may wait for the connection's task.
+/// Maximum number of calls that wait for the connection's task.
 const MAX_PENDING_CALLS: usize = 1000;
 const MAX_RESPONSE_BYTES: usize = 4 << 20;
-/// How long after its deadline a client still waits, so that a late answer is seen. The auditor judges by the times.
+/// How long a client waits after a call's deadline, so that the journal contains late answers. The auditor compares the times.
 const LATE_ANSWER_MICROS: Micros = 300_000;
 const CLOSE_TIMEOUT_MICROS: Micros = 100_000;
 
@@ -28,20 +28,20 @@
 pub struct Request {
     /// Unique over all requests of all clients.
     pub call: u64,
-    /// The account in whose name it comes.
+    /// The account that it is charged to.
     pub account: String,
-    /// Its class.
+    /// The request class.
     pub class: String,
-    /// Quota units.
+    /// Number of quota units.
     pub units: u32,
-    /// Its idempotency key.
+    /// The idempotency key.
     pub key: Option<String>,
-    /// How long the client waits. The gateway is told.
+    /// How long the client waits, in microseconds. Sent to the gateway as the call's timeout.
     pub timeout: Micros,
 }
 
 impl Request {
-    /// Its entry in the journal when it is sent.
+    /// Returns the journal entry for sending it at `now` to the gateway of this number.
     pub(crate) fn seen(&self, gateway: u16, now: Micros) -> Seen {
         Seen::Asked {
             call: self.call,
@@ -67,14 +67,14 @@
     }
 }
 
-/// How a call ended, and what came with it.
+/// The result of a call.
 #[derive(Clone, Debug)]
 pub struct Outcome {
-    /// As the journal has it.
+    /// The result as it is noted in the journal.
     pub answer: Answer,
-    /// The response, where one came.
+    /// The response message, if there was one.
     pub response: Option<RateLimitResponse>,
-    /// The status's text, where it failed.
+    /// The gRPC status message, or the reason of a reset; empty if there is none.
     pub message: String,
 }
 
@@ -117,10 +117,10 @@
 }
 
 impl Client {
-    /// Connects to the gateway of this number, at an address.
+    /// Connects to gateway number `gateway` at the address `to`.
     ///
     /// # Errors
-    /// There is no connection.
+    /// Returns the system's error if the connection fails.
     pub async fn connect(
         runtime: Shared,
         to: SocketAddr,
@@ -146,12 +146,12 @@
         Ok(Client { runtime, journal, gateway, calls })
     }
 
-    /// Whether the connection is gone.
+    /// Returns whether the connection is closed.
     pub fn closed(&self) -> bool {
         self.calls.is_closed()
     }
 
-    /// Makes a call and waits for its end.
+    /// Makes a call and waits for its result. Notes both in the journal.
     pub async fn call(&self, request: &Request) -> Outcome {
         let message = grpc::frame(&request.message());
         let now = self.runtime.now();
@@ -231,11 +231,11 @@
         for call in self.waiting {
             let _ = call.outcome.try_send(Outcome::without_response(Answer::NotTaken));
         }
-        // Polled once: what can be written at once is, and nobody waits for the rest.
+        // Polled once: writes what the socket accepts now and discards the rest.
         let _ = future::poll_once(self.pipe.close(self.runtime.now() + CLOSE_TIMEOUT_MICROS)).await;
     }
 
-    /// Ends calls whose deadline passed a while ago.
+    /// Resets the calls whose deadline passed at least [`LATE_ANSWER_MICROS`] ago.
     fn give_up(&mut self) {
         let now = self.runtime.now();
         let late = self.open.iter().filter(|(_, call)| call.gives_up_at() <= now);
@@ -265,7 +265,8 @@
                 }
             }
             Event::Reset { stream, code, .. } => {
-                // A server that needs no more of the request says so after its answer: then the call is closed already.
+                // After its answer a server may reset the stream to stop the request (RFC 9113, section 8.1); the call is no
+                // longer open then.
                 if let Some(call) = self.open.remove(&stream) {
                     let refused = code == Code::REFUSED_STREAM;
                     let answer = if refused { Answer::NotTaken } else { Answer::Broken };
@@ -277,7 +278,7 @@
         }
     }
 
-    /// Opens streams for calls that wait, as far as the gateway permits.
+    /// Opens streams for pending calls, up to the gateway's limit on concurrent streams.
     fn open_waiting(&mut self) {
         while self.pipe.conn.greeted() && self.pipe.conn.can_open().is_ok() {
             let Some(NewCall { message, deadline, outcome }) = self.waiting.pop_front() else { return };
--- a/crates/testbed/src/flood.rs
+++ b/crates/testbed/src/flood.rs
@@ -1,4 +1,4 @@
-//! Clients that mean harm, or are just too many: connections from many addresses of the loopback net.
+//! A flood of client connections from many loopback addresses, to test a gateway's limits on connections.
 
 use chalkgap_runtime::{Micros, Shared, Stream, Task};
 use chalkgap_wire::http2::{Code, Config, Connection, Event};
@@ -7,121 +7,129 @@
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::sync::{Arc, Mutex, PoisonError};
 
-/// How a knock at an ingress's door ended.
+/// The result of a probe connection to an ingress.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Knock {
-    /// Let in: its SETTINGS were acknowledged.
-    In,
-    /// Told to keep away (GOAWAY, ENHANCE_YOUR_CALM).
-    Told,
-    /// Closed without a word.
+pub enum ProbeOutcome {
+    /// The ingress accepted the connection: it answered a PING.
+    Accepted,
+    /// The ingress rejected the connection by GOAWAY with ENHANCE_YOUR_CALM.
+    Rejected,
+    /// The connection failed or was closed without a GOAWAY.
     Closed,
-    /// Neither, for two seconds.
-    Hanging,
+    /// The ingress neither answered nor closed the connection within two seconds.
+    TimedOut,
 }
 
-/// Connects from an address, greets, and sees what comes of it; the time is that from the connection on.
-pub async fn knock(
+const PROBE_TIMEOUT_MICROS: Micros = 2_000_000;
+
+/// Opens an HTTP/2 connection from the address `from` to an ingress and sends a PING. Returns the outcome, the microseconds
+/// that it took, and the stream unless it is closed or rejected.
+pub async fn probe(
     runtime: &Shared,
     from: Option<IpAddr>,
     to: SocketAddr,
-) -> (Knock, Micros, Option<Box<dyn Stream>>) {
-    let begun = runtime.now();
+) -> (ProbeOutcome, Micros, Option<Box<dyn Stream>>) {
+    let start = runtime.now();
     let Ok(mut stream) = runtime.connect_from(from, to).await else {
-        return (Knock::Closed, runtime.now() - begun, None);
+        return (ProbeOutcome::Closed, runtime.now() - start, None);
     };
     let mut conn = Connection::client(Config::default());
     conn.ping();
-    let hello = conn.output().split();
-    let _ = stream.write_all(&hello).await; // closed already: the read says so
+    let preface = conn.output().split();
+    let _ = stream.write_all(&preface).await; // if the connection is closed, the read reports it
     let mut buffer = [0; 1000];
     loop {
-        let late = async {
-            runtime.sleep_until(begun + 2_000_000).await;
+        let timeout = async {
+            runtime.sleep_until(start + PROBE_TIMEOUT_MICROS).await;
             None
         };
-        let read = future::or(async { Some(stream.read(&mut buffer).await.unwrap_or(0)) }, late).await;
-        let took = runtime.now() - begun;
+        let read = future::or(async { Some(stream.read(&mut buffer).await.unwrap_or(0)) }, timeout).await;
+        let took = runtime.now() - start;
         match read {
-            None => return (Knock::Hanging, took, Some(stream)),
-            Some(0) => return (Knock::Closed, took, None),
+            None => return (ProbeOutcome::TimedOut, took, Some(stream)),
+            Some(0) => return (ProbeOutcome::Closed, took, None),
             Some(n) => drop(conn.receive(0, &buffer[..n])),
         }
         while let Some(event) = conn.event() {
             match event {
-                Event::GoAway(Code::ENHANCE_YOUR_CALM) => return (Knock::Told, took, None),
-                // A refusal sends its word with its SETTINGS, before it could answer this.
-                Event::Pong => return (Knock::In, took, Some(stream)),
+                Event::GoAway(Code::ENHANCE_YOUR_CALM) => return (ProbeOutcome::Rejected, took, None),
+                // An ingress that rejects the connection sends GOAWAY together with its SETTINGS, and so before any PONG.
+                Event::Pong => return (ProbeOutcome::Accepted, took, Some(stream)),
                 _ => {}
             }
         }
     }
 }
 
-/// What a flood has seen.
+/// The results of a flood.
 #[derive(Clone, Debug, Default)]
-pub struct Seen {
-    /// Let in.
-    pub entered: u64,
-    /// Told to keep away.
-    pub told: u64,
-    /// Closed without a word.
+pub struct Results {
+    /// Number of connections that were accepted.
+    pub accepted: u64,
+    /// Number of connections that were rejected by GOAWAY.
+    pub rejected: u64,
+    /// Number of connections that failed or were closed without a GOAWAY.
     pub closed: u64,
-    /// Left hanging.
-    pub hanging: u64,
-    /// How long each refusal took.
+    /// Number of connections that timed out.
+    pub timed_out: u64,
+    /// How long each rejected or closed connection took, in microseconds.
     pub refusals: Vec<Micros>,
 }
 
-/// A flood.
+/// The parameters of a flood.
 #[derive(Clone, Copy, Debug)]
 pub struct Plan {
-    /// Where to.
+    /// The address of the ingress.
     pub to: SocketAddr,
-    /// From so many addresses, 127.16.0.1 and on, each in a /24 of its own.
+    /// Number of source addresses, from 127.16.0.1 on, each in a /24 of its own.
     pub addresses: u32,
-    /// Connections a second.
+    /// Number of new connections per second.
     pub per_second: f64,
-    /// Connections that are held, idle; the oldest goes for a new one.
+    /// Maximum number of accepted connections that are held idle; the oldest is closed when a new one exceeds it.
     pub hold: usize,
-    /// When it ends.
+    /// When the flood stops opening connections.
     pub until: Micros,
 }
 
-/// The n-th address of a flood.
-pub fn address(n: u32) -> IpAddr {
-    Ipv4Addr::from(0x7f10_0001 + ((n % 0xef00) << 8)).into()
+/// Returns the source address of the given index.
+pub fn address(index: u32) -> IpAddr {
+    Ipv4Addr::from(0x7f10_0001 + ((index % 0xef00) << 8)).into()
 }
 
-/// Starts a flood; it ends by itself, at the latest when its plan says so.
-pub fn start(runtime: &Shared, plan: Plan) -> (Task, Arc<Mutex<Seen>>) {
-    let seen = Arc::new(Mutex::new(Seen::default()));
-    let (world, result) = (runtime.clone(), seen.clone());
+/// Starts a flood. The task completes at the time `plan.until`; the results are updated while it runs.
+pub fn start(runtime: &Shared, plan: Plan) -> (Task, Arc<Mutex<Results>>) {
+    let results = Arc::new(Mutex::new(Results::default()));
+    let shared_results = results.clone();
+    let flood_runtime = runtime.clone();
     let held: Arc<Mutex<VecDeque<Box<dyn Stream>>>> = Arc::default();
     let task = runtime.spawn(Box::pin(async move {
-        let (begun, mut n) = (world.now(), 0u32);
-        while world.now() < plan.until {
-            let due = begun + (f64::from(n) * 1e6 / plan.per_second) as Micros;
-            if due > world.now() {
-                world.sleep_until(due).await;
+        let runtime = flood_runtime;
+        let start = runtime.now();
+        let mut started = 0u32;
+        while runtime.now() < plan.until {
+            let due = start + (f64::from(started) * 1e6 / plan.per_second) as Micros;
+            if due > runtime.now() {
+                runtime.sleep_until(due).await;
             }
-            let (from, world2, result, held) =
-                (address(n % plan.addresses.max(1)), world.clone(), result.clone(), held.clone());
-            n += 1;
-            let one = async move {
-                let (end, took, stream) = knock(&world2, Some(from), plan.to).await;
-                let mut seen = result.lock().unwrap_or_else(PoisonError::into_inner);
-                match end {
-                    Knock::In => seen.entered += 1,
-                    Knock::Told => seen.told += 1,
-                    Knock::Closed => seen.closed += 1,
-                    Knock::Hanging => seen.hanging += 1,
+            let from = address(started % plan.addresses.max(1));
+            let probe_runtime = runtime.clone();
+            let results = shared_results.clone();
+            let held = held.clone();
+            started += 1;
+            let connection = async move {
+                let (outcome, took, stream) = probe(&probe_runtime, Some(from), plan.to).await;
+                let mut results = results.lock().unwrap_or_else(PoisonError::into_inner);
+                match outcome {
+                    ProbeOutcome::Accepted => results.accepted += 1,
+                    ProbeOutcome::Rejected => results.rejected += 1,
+                    ProbeOutcome::Closed => results.closed += 1,
+                    ProbeOutcome::TimedOut => results.timed_out += 1,
                 }
-                if matches!(end, Knock::Told | Knock::Closed) {
-                    seen.refusals.push(took);
+                if matches!(outcome, ProbeOutcome::Rejected | ProbeOutcome::Closed) {
+                    results.refusals.push(took);
                 }
-                drop(seen);
-                if let Some(stream) = stream.filter(|_| end == Knock::In) {
+                drop(results);
+                if let Some(stream) = stream.filter(|_| outcome == ProbeOutcome::Accepted) {
                     let mut held = held.lock().unwrap_or_else(PoisonError::into_inner);
                     held.push_back(stream);
                     while held.len() > plan.hold {
@@ -129,8 +137,8 @@
                     }
                 }
             };
-            world.spawn(Box::pin(one)).detach();
+            runtime.spawn(Box::pin(connection)).detach();
         }
     }));
-    (task, seen)
+    (task, results)
 }
--- a/crates/testbed/src/journal.rs
+++ b/crates/testbed/src/journal.rs
@@ -1,149 +1,152 @@
-//! What clients and nodes sent and received, with times.
+//! The journal: events at clients, nodes, the registry and the ingresses' processes, with times.
 
 use chalkgap_runtime::Micros;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
 
-/// The descriptor entry by which a client's call is known at the nodes. Ingresses pass it on unread.
+/// Name of the descriptor entry that carries a client's call number to the nodes. Ingresses forward it unchanged.
 pub const CALL_ENTRY: &str = "call";
 
-/// How a call ended, as its client saw it.
+/// The result of a call, as its client observed it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Answer {
-    /// OK.
+    /// The call was answered with OK.
     Served,
-    /// OVER_LIMIT, with the pause that was told.
+    /// The call was answered with OVER_LIMIT.
     Refused {
-        /// Microseconds; 0 for no advice.
+        /// Time in microseconds after which the client may retry; 0 if the answer has none.
         pause: Micros,
     },
-    /// A gRPC status.
+    /// The call failed with a gRPC status.
     Failed {
-        /// Its number.
+        /// The status code.
         code: u32,
     },
-    /// The connection broke, or none came about: no answer.
+    /// The connection broke or could not be opened, so that no answer arrived.
     Broken,
-    /// It was never sent, or the ingress stated that it did not look at it (REFUSED_STREAM, GOAWAY).
+    /// The call was never sent, or the ingress stated that it did not process it (REFUSED_STREAM, GOAWAY).
     NotTaken,
-    /// The client's time ran out, and a while more: it waits no longer.
+    /// The client stopped waiting, some time after the deadline.
     Left,
 }
 
-/// One thing that was seen outside of the ingresses.
+/// An event that was observed outside of the ingresses.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Seen {
     /// A client sent a call to an ingress.
     Asked {
-        /// The call, unique over all tries.
+        /// Number of the call, unique over all attempts of all clients.
         call: u64,
-        /// The ingress, by number.
+        /// Number of the ingress.
         ingress: u16,
-        /// Whose.
+        /// The account that the call is charged to.
         account: String,
-        /// The class.
+        /// The request class.
         class: String,
-        /// Units.
+        /// Number of quota units.
         units: u32,
-        /// The key that the client gave.
+        /// The client's idempotency key.
         key: Option<String>,
         /// When the client stops waiting.
         deadline: Micros,
     },
     /// A call ended at its client.
     Answered {
-        /// The call.
+        /// Number of the call.
         call: u64,
-        /// How.
+        /// The result.
         answer: Answer,
     },
-    /// A node received an attempt and hands it to its work.
+    /// A node received an attempt and did not refuse it.
     Arrived {
-        /// The node.
+        /// Address of the node.
         node: SocketAddr,
-        /// The node's cell.
+        /// Name of the node's cell.
         cell: String,
-        /// The call.
+        /// Number of the call.
         call: u64,
-        /// The ingress's name for the request; its number comes first.
+        /// The ingress's name for the request, which starts with the ingress's number.
         request: String,
-        /// The key that came along.
+        /// The idempotency key that the attempt carries.
         key: Option<String>,
     },
-    /// An attempt that had arrived was done: its effect is there. Not written for repeats that were dropped.
+    /// A node completed an attempt, so that its effect exists. Not noted for duplicates that the node dropped.
     Ran {
-        /// The node.
+        /// Address of the node.
         node: SocketAddr,
-        /// The call.
+        /// Number of the call.
         call: u64,
-        /// The key that came along.
+        /// The idempotency key that the attempt carries.
         key: Option<String>,
     },
-    /// A cold node was sent too much and fell over.
+    /// A node was overloaded during its slow start and stopped serving.
     Fell {
-        /// The node.
+        /// Address of the node.
         node: SocketAddr,
     },
-    /// An ingress was told that a node takes nothing new, or takes work again.
+    /// The registry sent an ingress the state of a node.
     Told {
-        /// The ingress.
+        /// Number of the ingress.
         ingress: u16,
-        /// The node.
+        /// Address of the node.
         node: SocketAddr,
-        /// It takes work.
+        /// Whether the node accepts new work.
         ready: bool,
     },
-    /// An ingress broke the protocol towards a client: a second answer, or a frame that has no place.
+    /// An ingress violated the protocol towards a client, such as by a second answer or an invalid frame.
     Broke {
-        /// The ingress.
+        /// Number of the ingress.
         ingress: u16,
-        /// What the client found.
+        /// Description of the violation.
         what: String,
     },
-    /// An ingress's process was stopped, and went on at `until`.
+    /// An ingress's process was suspended until `until`.
     Stalled {
-        /// The ingress.
+        /// Number of the ingress.
         ingress: u16,
-        /// When it went on.
+        /// When the process was resumed.
         until: Micros,
     },
-    /// An ingress was killed.
+    /// An ingress's process was killed.
     Killed {
-        /// The ingress.
+        /// Number of the ingress.
         ingress: u16,
     },
 }
 
-/// An entry: when, and what.
+/// A journal entry: the time and the event.
 pub type Entry = (Micros, Seen);
 
-/// A journal that many write to.
+/// A journal that is shared by several writers.
 #[derive(Clone, Default)]
-pub struct Journal(Arc<Mutex<Vec<Entry>>>, bool);
+pub struct Journal {
+    entries: Arc<Mutex<Vec<Entry>>>,
+    disabled: bool,
+}
 
 impl Journal {
-    /// A journal that keeps nothing, for load without end.
-    pub fn nowhere() -> Journal {
-        Journal(Arc::default(), true)
+    /// Creates a journal that discards all entries, for load of unlimited duration.
+    pub fn disabled() -> Journal {
+        Journal { entries: Arc::default(), disabled: true }
     }
 
-    /// Writes an entry.
+    /// Adds an entry.
     pub fn note(&self, at: Micros, seen: Seen) {
-        if !self.1 {
+        if !self.disabled {
             self.lock().push((at, seen));
         }
     }
 
-    /// All entries so far, by time.
+    /// Returns all entries so far, ordered by time.
     pub fn entries(&self) -> Vec<Entry> {
-        let mut list = self.lock().clone();
-        list.sort_by_key(|e| e.0);
-        list
+        let mut entries = self.lock().clone();
+        entries.sort_by_key(|entry| entry.0);
+        entries
     }
 
     fn lock(&self) -> std::sync::MutexGuard<'_, Vec<Entry>> {
-        // A writer that panicked has written whole entries all the same.
-        self.0.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
+        // Poisoning is ignored: an entry is added by a single push, so that the list is consistent after a panic.
+        self.entries.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
     }
 }
--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -1,13 +1,13 @@
-//! Fakes of everything that a gateway meets, over the same public protocols, for tests, drills and trials by hand.
+//! Fakes of everything that a gateway communicates with, over the same public protocols, for tests, drills and manual trials.
 //!
-//! - [`node`]: a backend that can be told to fail
-//! - [`registry`]: pushes endpoint lists
+//! - [`node`]: a backend with fault injection
+//! - [`registry`]: a registry that pushes endpoint lists
 //! - [`client`], [`mqtt`]: clients of the rate limit service and of MQTT
 //! - [`billing`]: a billing consumer
-//! - [`flood`]: more clients than there is capacity for
-//! - [`network`]: links that are cut, lossy, late and slow
+//! - [`flood`]: more client connections than a gateway accepts
+//! - [`network`]: links that are cut, lossy, delayed or slow
 //! - [`rogue`]: a gateway that breaks one rule, to test the auditor
-//! - [`journal`]: what passed on all their sockets. It is all that an auditor sees; no counter of a gateway is in it.
+//! - [`journal`]: what the fakes sent and received. The auditor reads only the journal and no counters of a gateway.
 
 pub mod billing;
 pub mod client;
@@ -21,7 +21,7 @@
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
-/// Locks a mutex; what a thread that panicked left behind is taken as it is.
+/// Locks a mutex and ignores poisoning.
 pub(crate) fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/crates/testbed/src/mqtt.rs
+++ b/crates/testbed/src/mqtt.rs
@@ -1,4 +1,4 @@
-//! A stand-in MQTT 5 client: one connection to one ingress, many publishes at once, each with QoS 1 or 2.
+//! A fake MQTT 5 client: one connection to an ingress, with concurrent publishes of QoS 1 or 2.
 
 use crate::client::{Outcome, Request};
 use crate::journal::{Answer, Journal, Seen, CALL_ENTRY};
@@ -12,16 +12,16 @@
 use std::io;
 use std::net::SocketAddr;
 
-/// A client's side of a connection: packets, and nothing else.
+/// The client side of a connection: encodes and decodes packets and has no session state.
 #[derive(Default)]
-pub struct Half {
+pub struct PacketConnection {
     input: BytesMut,
     output: BytesMut,
-    /// What came.
+    /// Received packets that were not processed yet.
     pub packets: VecDeque<Packet>,
 }
 
-impl Machine for Half {
+impl Machine for PacketConnection {
     type Error = Error;
 
     fn receive(&mut self, _: Micros, bytes: &[u8]) -> Result<(), Error> {
@@ -37,19 +37,20 @@
     }
 }
 
-impl Half {
-    /// Writes a packet.
+impl PacketConnection {
+    /// Encodes a packet to the output.
     pub fn send(&mut self, packet: &Packet) {
         encode(packet, Version::V5, &mut self.output);
     }
 
-    /// A connection that begins: CONNECT is written. `expiry`: seconds that its session is to be kept.
-    pub fn hello(client: &str, expiry: u32) -> Half {
-        let mut half = Half::default();
-        let properties = (expiry > 0).then_some(Property::SessionExpiry(expiry)).into_iter().collect();
-        half.send(&Packet::Connect(Box::new(Connect {
+    /// Creates a connection whose output starts with CONNECT. `session_expiry` is in seconds; 0 asks for a clean start.
+    pub fn with_connect(client: &str, session_expiry: u32) -> PacketConnection {
+        let mut connection = PacketConnection::default();
+        let expiry = (session_expiry > 0).then_some(Property::SessionExpiry(session_expiry));
+        let properties = expiry.into_iter().collect();
+        connection.send(&Packet::Connect(Box::new(Connect {
             version: Version::V5,
-            clean_start: expiry == 0,
+            clean_start: session_expiry == 0,
             keep_alive: 60,
             properties: Properties(properties),
             client: client.into(),
@@ -57,16 +58,23 @@
             user: None,
             password: None,
         })));
-        half
+        connection
     }
 }
 
+/// A publish that has no packet identifier yet.
 struct Command {
     publish: Publish,
-    until: Micros,
+    deadline: Micros,
     reply: Sender<Answer>,
 }
 
+/// A publish that waits for its answer.
+struct OpenPublish {
+    reply: Sender<Answer>,
+    deadline: Micros,
+}
+
 /// A connection to an ingress.
 pub struct Client {
     runtime: Shared,
@@ -76,10 +84,10 @@
 }
 
 impl Client {
-    /// Connects to ingress `ingress` at an address, and is let in.
+    /// Connects to ingress number `ingress` at the address `to` and waits for a successful CONNACK.
     ///
     /// # Errors
-    /// There is no connection, or it is not let in.
+    /// Returns the system's error if the connection fails, or `ConnectionRefused` if it ends before a successful CONNACK.
     pub async fn connect(
         runtime: Shared,
         to: SocketAddr,
@@ -88,156 +96,169 @@
     ) -> io::Result<Client> {
         let stream = runtime.connect(to).await?;
         let (commands, receiver) = async_channel::bounded(1000);
-        let (_keep, signal) = async_channel::bounded(1);
-        let pipe = Pipe::new(runtime.clone(), stream, Half::hello("", 0), receiver.clone(), signal);
-        let (ready, is_ready) = async_channel::bounded(1);
+        let (_signal_sender, signal) = async_channel::bounded(1);
+        let pipe = Pipe::new(
+            runtime.clone(),
+            stream,
+            PacketConnection::with_connect("", 0),
+            receiver.clone(),
+            signal,
+        );
+        let (ready, connected) = async_channel::bounded(1);
         let task = run(runtime.clone(), pipe, receiver, ingress, journal.clone(), ready);
         runtime.spawn(Box::pin(task)).detach();
-        match is_ready.recv().await {
+        match connected.recv().await {
             Ok(()) => Ok(Client { runtime, journal, ingress, commands }),
             Err(_) => Err(io::ErrorKind::ConnectionRefused.into()),
         }
     }
 
-    /// Whether the connection is gone.
+    /// Returns whether the connection is closed.
     pub fn closed(&self) -> bool {
         self.commands.is_closed()
     }
 
-    /// Publishes and waits for the answer. Each third call goes with QoS 2.
-    pub async fn call(&self, ask: &Request) -> Outcome {
+    /// Publishes a request and waits for the answer. Notes both in the journal. Every third call uses QoS 2.
+    pub async fn call(&self, request: &Request) -> Outcome {
         let user = |key: &str, value: String| Property::User(key.into(), value);
-        let mut list = vec![
-            user(CALL_ENTRY, ask.call.to_string()),
-            user("units", ask.units.to_string()),
-            user("timeout-ms", (ask.timeout / 1000).to_string()),
+        let mut properties = vec![
+            user(CALL_ENTRY, request.call.to_string()),
+            user("units", request.units.to_string()),
+            user("timeout-ms", (request.timeout / 1000).to_string()),
         ];
-        list.extend(ask.key.iter().map(|k| user("key", k.clone())));
-        let qos = if ask.call % 3 == 0 { QoS::ExactlyOnce } else { QoS::AtLeastOnce };
-        let topic = format!("requests/{}/{}", ask.account, ask.class);
-        let publish = Publish { qos, topic, properties: Properties(list), ..Publish::default() };
+        properties.extend(request.key.iter().map(|key| user("key", key.clone())));
+        let qos = if request.call % 3 == 0 { QoS::ExactlyOnce } else { QoS::AtLeastOnce };
+        let topic = format!("requests/{}/{}", request.account, request.class);
+        let publish = Publish { qos, topic, properties: Properties(properties), ..Publish::default() };
         let now = self.runtime.now();
-        self.journal.note(now, ask.seen(self.ingress, now));
+        self.journal.note(now, request.seen(self.ingress, now));
         let (reply, answer) = async_channel::bounded(1);
-        let command = Command { publish, until: now + ask.timeout, reply };
+        let command = Command { publish, deadline: now + request.timeout, reply };
         let answer = match self.commands.send(command).await {
             Ok(()) => answer.recv().await.unwrap_or(Answer::Broken),
             Err(_) => Answer::NotTaken,
         };
-        self.journal.note(self.runtime.now(), Seen::Answered { call: ask.call, answer: answer.clone() });
+        self.journal.note(self.runtime.now(), Seen::Answered { call: request.call, answer: answer.clone() });
         Outcome { answer, response: None, message: String::new() }
     }
 }
 
-/// How long past its time a client still looks for an answer, to see a late one. The auditor judges by the times.
-const LOOK: Micros = 300_000;
+/// How long a client waits after a call's deadline, so that the journal contains late answers. The auditor compares the times.
+const LATE_ANSWER_MICROS: Micros = 300_000;
 
 #[expect(clippy::too_many_lines, reason = "not split yet, see docs/ROADMAP.md")]
 async fn run(
     runtime: Shared,
-    mut pipe: Pipe<Command, Half>,
+    mut pipe: Pipe<Command, PacketConnection>,
     commands: Receiver<Command>,
     ingress: u16,
     journal: Journal,
     ready: Sender<()>,
 ) {
-    let mut open: BTreeMap<u16, (Sender<Answer>, Micros)> = BTreeMap::new();
+    let mut open: BTreeMap<u16, OpenPublish> = BTreeMap::new();
     let mut waiting: VecDeque<Command> = VecDeque::new();
-    // Identifiers whose answer nobody waits for any more, or whose flow goes on.
+    // Packet identifiers that are in use although no call waits for an answer: the call timed out, or the QoS 2 exchange is
+    // not complete.
     let mut busy: BTreeMap<u16, ()> = BTreeMap::new();
-    let (mut next, mut most, mut stated) = (0u16, 0usize, false);
-    'all: loop {
-        let until = open.values().map(|o| o.1 + LOOK).min();
+    let mut last_id = 0u16;
+    // The server's Receive Maximum; 0 until CONNACK.
+    let mut receive_maximum = 0usize;
+    // The server disconnected with SERVER_BUSY, after answering all publishes that it processed.
+    let mut server_busy = false;
+    'connection: loop {
+        let until = open.values().map(|publish| publish.deadline + LATE_ANSWER_MICROS).min();
         match pipe.turn(until, true).await {
-            Turn::Command(c) => waiting.push_back(c),
+            Turn::Command(command) => waiting.push_back(command),
             Turn::Read | Turn::Signal => {}
             Turn::Time => {
                 let now = runtime.now();
-                let late: Vec<u16> = open.iter().filter(|o| o.1 .1 + LOOK <= now).map(|o| *o.0).collect();
+                let late = open.iter().filter(|(_, publish)| publish.deadline + LATE_ANSWER_MICROS <= now);
+                let late: Vec<u16> = late.map(|(id, _)| *id).collect();
                 for id in late {
-                    if let Some((reply, _)) = open.remove(&id) {
-                        let _ = reply.try_send(Answer::Left);
+                    if let Some(publish) = open.remove(&id) {
+                        let _ = publish.reply.try_send(Answer::Left);
                         busy.insert(id, ());
                     }
                 }
             }
-            Turn::ProtocolError(e) => {
-                journal.note(runtime.now(), Seen::Broke { ingress, what: e.to_string() });
+            Turn::ProtocolError(error) => {
+                journal.note(runtime.now(), Seen::Broke { ingress, what: error.to_string() });
                 break;
             }
             Turn::Closed => break,
         }
         while let Some(packet) = pipe.conn.packets.pop_front() {
             match packet {
-                Packet::ConnAck(c) if c.code == reason::SUCCESS => {
-                    let max =
-                        c.properties
-                            .find(|p| if let Property::ReceiveMaximum(n) = p { Some(*n) } else { None });
-                    most = usize::from(max.unwrap_or(u16::MAX));
+                Packet::ConnAck(ack) if ack.code == reason::SUCCESS => {
+                    let max = ack.properties.find(|property| match property {
+                        Property::ReceiveMaximum(max) => Some(*max),
+                        _ => None,
+                    });
+                    receive_maximum = usize::from(max.unwrap_or(u16::MAX));
                     let _ = ready.try_send(());
                 }
-                Packet::PubAck(a) => answered(&a, &mut open, &mut busy, ingress, &journal, &runtime),
-                Packet::PubRec(a) => {
-                    answered(&a, &mut open, &mut busy, ingress, &journal, &runtime);
-                    if a.code < 0x80 {
-                        busy.insert(a.packet, ());
-                        pipe.conn.send(&Packet::PubRel(Ack { packet: a.packet, ..Ack::default() }));
+                Packet::PubAck(ack) => answered(&ack, &mut open, &mut busy, ingress, &journal, &runtime),
+                Packet::PubRec(ack) => {
+                    answered(&ack, &mut open, &mut busy, ingress, &journal, &runtime);
+                    if ack.code < 0x80 {
+                        busy.insert(ack.packet, ());
+                        pipe.conn.send(&Packet::PubRel(Ack { packet: ack.packet, ..Ack::default() }));
                     }
                 }
-                Packet::PubComp(a) => drop(busy.remove(&a.packet)),
-                Packet::Disconnect(r) => {
-                    // It answers all that it has taken before it says that it has no room.
-                    stated = r.code == reason::SERVER_BUSY;
-                    break 'all;
+                Packet::PubComp(ack) => drop(busy.remove(&ack.packet)),
+                Packet::Disconnect(disconnect) => {
+                    server_busy = disconnect.code == reason::SERVER_BUSY;
+                    break 'connection;
                 }
-                _ => break 'all,
+                _ => break 'connection,
             }
         }
-        while most > 0 && open.len() + busy.len() < most {
-            let Some(c) = waiting.pop_front() else { break };
+        while receive_maximum > 0 && open.len() + busy.len() < receive_maximum {
+            let Some(command) = waiting.pop_front() else { break };
             loop {
-                next = next.checked_add(1).unwrap_or(1);
-                if !open.contains_key(&next) && !busy.contains_key(&next) {
+                last_id = last_id.checked_add(1).unwrap_or(1);
+                if !open.contains_key(&last_id) && !busy.contains_key(&last_id) {
                     break;
                 }
             }
-            pipe.conn.send(&Packet::Publish(Publish { packet: next, ..c.publish }));
-            open.insert(next, (c.reply, c.until));
+            pipe.conn.send(&Packet::Publish(Publish { packet: last_id, ..command.publish }));
+            open.insert(last_id, OpenPublish { reply: command.reply, deadline: command.deadline });
         }
     }
     commands.close();
     waiting.extend(std::iter::from_fn(|| commands.try_recv().ok()));
-    for c in waiting {
-        let _ = c.reply.try_send(Answer::NotTaken);
+    for command in waiting {
+        let _ = command.reply.try_send(Answer::NotTaken);
     }
-    for (reply, _) in open.into_values() {
-        let _ = reply.try_send(if stated { Answer::NotTaken } else { Answer::Broken });
+    for publish in open.into_values() {
+        let _ = publish.reply.try_send(if server_busy { Answer::NotTaken } else { Answer::Broken });
     }
 }
 
+/// Reports the answer that a PUBACK or PUBREC carries to its call.
 fn answered(
-    a: &Ack,
-    open: &mut BTreeMap<u16, (Sender<Answer>, Micros)>,
+    ack: &Ack,
+    open: &mut BTreeMap<u16, OpenPublish>,
     busy: &mut BTreeMap<u16, ()>,
     ingress: u16,
     journal: &Journal,
     runtime: &Shared,
 ) {
-    let pause = a.properties.find(|p| match p {
-        Property::User(k, v) if k == "retry-after-ms" => v.parse::<u64>().ok(),
+    let pause_ms = ack.properties.find(|property| match property {
+        Property::User(key, value) if key == "retry-after-ms" => value.parse::<u64>().ok(),
         _ => None,
     });
-    let answer = match a.code {
+    let answer = match ack.code {
         reason::SUCCESS => Answer::Served,
-        reason::QUOTA_EXCEEDED => Answer::Refused { pause: pause.unwrap_or(0) * 1000 },
+        reason::QUOTA_EXCEEDED => Answer::Refused { pause: pause_ms.unwrap_or(0) * 1000 },
         reason::IMPLEMENTATION_SPECIFIC => Answer::Failed { code: 14 },
         _ => Answer::Failed { code: 3 },
     };
-    match open.remove(&a.packet) {
-        Some((reply, _)) => drop(reply.try_send(answer)),
-        None if busy.remove(&a.packet).is_some() => {}
+    match open.remove(&ack.packet) {
+        Some(publish) => drop(publish.reply.try_send(answer)),
+        None if busy.remove(&ack.packet).is_some() => {}
         None => {
-            let what = format!("an answer to {}, which is not open", a.packet);
+            let what = format!("answer to packet identifier {}, which is not in use", ack.packet);
             journal.note(runtime.now(), Seen::Broke { ingress, what });
         }
     }
--- a/crates/testbed/src/network.rs
+++ b/crates/testbed/src/network.rs
@@ -1,6 +1,6 @@
-//! A stand-in for the network: every link, by pair and direction, may be cut, lossy, late, slow or half-open, for
-//! datagrams and for streams. What goes over it is moved by relays on loopback: one for each receiver of datagrams, who
-//! knows senders by their addresses, and one for each pair that streams go between.
+//! A fake network: every link, by pair of parties and direction, may be cut, lossy, delayed, slow or half-open, for datagrams
+//! and for streams. Traffic passes relays on loopback: a [`Relay`] for each receiver of datagrams, which identifies senders by
+//! their addresses, and a [`StreamRelay`] for each pair of parties with streams.
 
 pub use chalkgap_runtime::link_faults::{Cut, LinkFaults};
 
@@ -15,41 +15,43 @@
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-/// A slow link's queue; datagrams that would wait longer are lost.
-const QUEUE: Micros = 1_000_000;
+/// Maximum time that a datagram waits in the queue of a slow link; datagrams that would wait longer are dropped.
+const MAX_QUEUE_MICROS: Micros = 1_000_000;
 
-/// A place that links go between.
+/// An end of a link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Party {
     /// An ingress, by number.
     Ingress(u16),
     /// A node, by number.
     Node(usize),
-    /// The roster.
-    Roster,
+    /// The registry that pushes endpoint lists.
+    Registry,
 }
 
 #[derive(Default)]
 struct State {
-    usual: LinkFaults,
+    /// Faults for datagrams of the links that are not in `links`.
+    default_faults: LinkFaults,
+    /// Faults by sender and receiver.
     links: HashMap<(Party, Party), LinkFaults>,
-    /// Whose datagrams come from where.
+    /// Senders of datagrams by their addresses.
     senders: HashMap<SocketAddr, Party>,
-    /// Datagrams that were handed to relays, and their bytes, by sender and first byte.
+    /// Number of datagrams that relays received, and their bytes, by sender and first byte.
     sent: HashMap<(Party, u8), (u64, u64)>,
 }
 
-/// All links.
+/// The faults of all links.
 #[derive(Clone, Default)]
 pub struct Network {
     state: Arc<Mutex<State>>,
 }
 
 impl Network {
-    /// A network on which all links of datagrams are alike to begin with; streams pass at once.
-    pub fn new(usual: LinkFaults) -> Network {
+    /// Creates a network whose links have `default_faults` for datagrams and no faults for streams.
+    pub fn new(default_faults: LinkFaults) -> Network {
         let network = Network::default();
-        network.lock().usual = usual;
+        network.lock().default_faults = default_faults;
         network
     }
 
@@ -57,49 +59,49 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// What the links do that nobody has set.
-    pub fn usual(&self) -> LinkFaults {
-        self.lock().usual
+    /// Returns the faults for datagrams of the links that have none of their own.
+    pub fn default_faults(&self) -> LinkFaults {
+        self.lock().default_faults
     }
 
-    /// Changes a link in one direction; none: it is like the others again.
-    pub fn set(&self, from: Party, to: Party, weather: Option<LinkFaults>) {
-        let mut s = self.lock();
-        match weather {
-            Some(w) => s.links.insert((from, to), w),
-            None => s.links.remove(&(from, to)),
+    /// Replaces the faults of a link in one direction; `None` restores the default.
+    pub fn set(&self, from: Party, to: Party, faults: Option<LinkFaults>) {
+        let mut state = self.lock();
+        match faults {
+            Some(faults) => state.links.insert((from, to), faults),
+            None => state.links.remove(&(from, to)),
         };
     }
 
-    /// Datagrams from this address are that one's.
-    pub fn sends_from(&self, address: SocketAddr, party: Party) {
+    /// Registers the address that a party sends datagrams from.
+    pub fn register_sender(&self, address: SocketAddr, party: Party) {
         self.lock().senders.insert(address, party);
     }
 
-    /// Datagrams that each party has sent, and their bytes, by what is in their first byte.
+    /// Returns the number of datagrams that were sent, and their bytes, by sender and first byte.
     pub fn sent(&self) -> HashMap<(Party, u8), (u64, u64)> {
         self.lock().sent.clone()
     }
 
-    /// A link as it is now; `stream`: what is usual for datagrams alone is not in it.
-    fn weather(&self, from: Option<Party>, to: Party, stream: bool) -> LinkFaults {
-        let s = self.lock();
-        let link = from.and_then(|f| s.links.get(&(f, to)).copied());
-        link.unwrap_or_else(|| if stream { LinkFaults::default() } else { s.usual })
+    /// Returns the present faults of a link. The default faults apply to datagrams only, not to a `stream`.
+    fn faults(&self, from: Option<Party>, to: Party, stream: bool) -> LinkFaults {
+        let state = self.lock();
+        let link = from.and_then(|from| state.links.get(&(from, to)).copied());
+        link.unwrap_or_else(|| if stream { LinkFaults::default() } else { state.default_faults })
     }
 }
 
-/// The way of datagrams to one party.
+/// A relay of datagrams to one party. Stopped when dropped.
 pub struct Relay {
     address: SocketAddr,
     _kill: async_channel::Sender<()>,
 }
 
 impl Relay {
-    /// Starts a way to `party`, which receives at `to`.
+    /// Starts a relay to `party`, which receives datagrams at `to`.
     ///
     /// # Errors
-    /// No socket can be bound.
+    /// Returns the system's error if no socket can be bound.
     pub fn start(
         runtime: Shared,
         network: Network,
@@ -110,41 +112,45 @@
         let socket: Arc<dyn Datagrams> = Arc::from(runtime.datagrams(([127, 0, 0, 1], 0).into())?);
         let address = socket.address();
         let (kill, killed) = async_channel::bounded::<()>(1);
-        let world = runtime.clone();
+        let relay_runtime = runtime.clone();
         let task = async move {
-            let (mut rng, mut buffer) = (SmallRng::seed_from_u64(seed), [0; 2000]);
-            // When each slow link is free again.
-            let mut free: HashMap<Party, Micros> = HashMap::new();
+            let runtime = relay_runtime;
+            let mut rng = SmallRng::seed_from_u64(seed);
+            let mut buffer = [0; 2000];
+            // When each slow link has transmitted its queue.
+            let mut free_at: HashMap<Party, Micros> = HashMap::new();
             loop {
-                let Ok((n, source)) = socket.receive(&mut buffer).await else { continue };
+                let Ok((len, source)) = socket.receive(&mut buffer).await else { continue };
                 let from = network.lock().senders.get(&source).copied();
                 if let Some(from) = from {
                     let mut state = network.lock();
                     let sent = state.sent.entry((from, buffer[0])).or_default();
-                    *sent = (sent.0 + 1, sent.1 + n as u64);
+                    *sent = (sent.0 + 1, sent.1 + len as u64);
                 }
-                let w = network.weather(from, party, false);
-                if w.cut.is_some() || rng.random::<f64>() < w.loss {
+                let faults = network.faults(from, party, false);
+                if faults.cut.is_some() || rng.random::<f64>() < faults.loss {
                     continue;
                 }
-                let now = world.now();
+                let now = runtime.now();
                 let mut begin = now;
-                if let (Some(from), true) = (from, w.rate > 0) {
-                    let at = free.entry(from).or_insert(now);
-                    begin = now.max(*at);
-                    if begin > now + QUEUE {
+                if let (Some(from), true) = (from, faults.rate > 0) {
+                    let free_at = free_at.entry(from).or_insert(now);
+                    begin = now.max(*free_at);
+                    if begin > now + MAX_QUEUE_MICROS {
                         continue;
                     }
-                    *at = begin + w.transmission_time(n);
+                    *free_at = begin + faults.transmission_time(len);
                 }
-                for _ in 0..1 + u32::from(rng.random::<f64>() < w.double) {
-                    let at = begin + w.transmission_time(n) + w.sample_delay(&mut rng);
-                    let (socket, bytes, world2) = (socket.clone(), buffer[..n].to_vec(), world.clone());
-                    let late = async move {
-                        world2.sleep_until(at).await;
-                        let _ = socket.send(&bytes, to).await; // nobody there: lost
+                for _ in 0..1 + u32::from(rng.random::<f64>() < faults.double) {
+                    let at = begin + faults.transmission_time(len) + faults.sample_delay(&mut rng);
+                    let socket = socket.clone();
+                    let bytes = buffer[..len].to_vec();
+                    let timer = runtime.clone();
+                    let delivery = async move {
+                        timer.sleep_until(at).await;
+                        let _ = socket.send(&bytes, to).await; // after an error the datagram is lost
                     };
-                    world.spawn(Box::pin(late)).detach();
+                    runtime.spawn(Box::pin(delivery)).detach();
                 }
             }
         };
@@ -152,40 +158,39 @@
         Ok(Relay { address, _kill: kill })
     }
 
-    /// Where datagrams for the party go.
+    /// Returns the address to which datagrams for the party are sent.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 }
 
-/// The way of streams from one party to another.
-pub struct Way {
+/// A relay of the streams from one party to another. Stopped when dropped.
+pub struct StreamRelay {
     address: SocketAddr,
     _kill: async_channel::Sender<()>,
 }
 
-impl Way {
-    /// Starts a way for the streams that `link.0` opens to `link.1`, which listens at `to`.
+impl StreamRelay {
+    /// Starts a relay for the streams that `link.0` opens to `link.1`, which listens at `to`.
     ///
     /// # Errors
-    /// No socket can be bound.
+    /// Returns the system's error if no socket can be bound.
     pub fn start(
         runtime: Shared,
         network: Network,
         link: (Party, Party),
         to: SocketAddr,
         seed: u64,
-    ) -> io::Result<Way> {
+    ) -> io::Result<StreamRelay> {
         let listener = runtime.listen(([127, 0, 0, 1], 0).into())?;
         let address = listener.address();
         let (kill, killed) = async_channel::bounded::<()>(1);
-        let (world, alive) = (runtime.clone(), killed.clone());
-        let task = accept(world, network, link, to, seed, (listener, alive));
+        let task = accept(runtime.clone(), network, link, to, seed, (listener, killed.clone()));
         runtime.spawn(Box::pin(while_alive(killed, task))).detach();
-        Ok(Way { address, _kill: kill })
+        Ok(StreamRelay { address, _kill: kill })
     }
 
-    /// Where the streams are opened to.
+    /// Returns the address to which streams are opened.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
@@ -197,7 +202,7 @@
     link: (Party, Party),
     to: SocketAddr,
     seed: u64,
-    (listener, alive): (Box<dyn Listener>, async_channel::Receiver<()>),
+    (listener, killed): (Box<dyn Listener>, async_channel::Receiver<()>),
 ) {
     let mut count = 0;
     loop {
@@ -206,44 +211,48 @@
             continue;
         };
         count += 1;
-        let (world, network, seed) = (runtime.clone(), network.clone(), seed ^ count << 20);
+        let task_runtime = runtime.clone();
+        let network = network.clone();
+        let seed = seed ^ count << 20;
         let task = async move {
-            // Where a link is cut without a sign, a connection that is tried hangs, as on a real one: here it has been
-            // taken, and says nothing.
+            let runtime = task_runtime;
+            // While the link is cut silently, a real connection attempt would hang. The relay has accepted the connection
+            // already, so it leaves it idle instead.
             loop {
-                let w = network.weather(Some(link.0), link.1, true);
-                match w.cut {
+                match network.faults(Some(link.0), link.1, true).cut {
                     Some(Cut::Reset) => return,
-                    Some(Cut::Silent) => world.sleep_until(world.now() + CUT_POLL_INTERVAL_MICROS).await,
+                    Some(Cut::Silent) => {
+                        runtime.sleep_until(runtime.now() + CUT_POLL_INTERVAL_MICROS).await;
+                    }
                     None => break,
                 }
             }
-            if let Ok(there) = world.connect(to).await {
-                carry(&world, &network, link, stream, there, seed).await;
+            if let Ok(target) = runtime.connect(to).await {
+                relay(&runtime, &network, link, stream, target, seed).await;
             }
         };
-        runtime.spawn(Box::pin(while_alive(alive.clone(), task))).detach();
+        runtime.spawn(Box::pin(while_alive(killed.clone(), task))).detach();
     }
 }
 
-/// Carries bytes both ways until both sides have ended, or the link is reset. Dropping both is the reset.
-async fn carry(
+/// Relays bytes in both directions until both have ended or the link is reset. A reset drops both streams.
+async fn relay(
     runtime: &Shared,
     network: &Network,
-    (a, b): (Party, Party),
-    here: Box<dyn Stream>,
-    there: Box<dyn Stream>,
+    (source, target): (Party, Party),
+    source_stream: Box<dyn Stream>,
+    target_stream: Box<dyn Stream>,
     seed: u64,
 ) {
-    let (from_here, to_here) = futures_lite::io::split(here);
-    let (from_there, to_there) = futures_lite::io::split(there);
-    let out = pump(runtime, network, (a, b), from_here, to_there, seed);
-    let back = pump(runtime, network, (b, a), from_there, to_here, seed + 1);
-    let both = future::zip(out, back);
+    let (from_source, to_source) = futures_lite::io::split(source_stream);
+    let (from_target, to_target) = futures_lite::io::split(target_stream);
+    let forward = copy(runtime, network, (source, target), from_source, to_target, seed);
+    let backward = copy(runtime, network, (target, source), from_target, to_source, seed + 1);
+    let both = future::zip(forward, backward);
     let reset = async {
         loop {
-            let cut = |f, t| network.weather(Some(f), t, true).cut == Some(Cut::Reset);
-            if cut(a, b) || cut(b, a) {
+            let is_reset = |from, to| network.faults(Some(from), to, true).cut == Some(Cut::Reset);
+            if is_reset(source, target) || is_reset(target, source) {
                 return;
             }
             runtime.sleep_until(runtime.now() + CUT_POLL_INTERVAL_MICROS).await;
@@ -255,7 +264,8 @@
     future::or(ended, reset).await;
 }
 
-async fn pump(
+/// Copies bytes in one direction of a stream with the faults of the link, until the end of the stream or an error.
+async fn copy(
     runtime: &Shared,
     network: &Network,
     (from, to): (Party, Party),
@@ -266,26 +276,26 @@
     let mut rng = SmallRng::seed_from_u64(seed);
     let mut buffer = vec![0; 16 << 10];
     loop {
-        let n = read.read(&mut buffer).await.unwrap_or(0);
-        let w = loop {
-            let w = network.weather(Some(from), to, true);
-            if w.cut != Some(Cut::Silent) {
-                break w;
+        let len = read.read(&mut buffer).await.unwrap_or(0);
+        let faults = loop {
+            let faults = network.faults(Some(from), to, true);
+            if faults.cut != Some(Cut::Silent) {
+                break faults;
             }
             runtime.sleep_until(runtime.now() + CUT_POLL_INTERVAL_MICROS).await;
         };
-        if n == 0 {
-            while network.weather(Some(from), to, true).half_open {
+        if len == 0 {
+            while network.faults(Some(from), to, true).half_open {
                 runtime.sleep_until(runtime.now() + CUT_POLL_INTERVAL_MICROS).await;
             }
-            let _ = write.close().await; // it may have ended itself
+            let _ = write.close().await; // fails if the receiver closed the stream first
             return;
         }
-        let late = w.sample_stream_delay(&mut rng) + w.transmission_time(n);
-        if late > 0 {
-            runtime.sleep_until(runtime.now() + late).await;
+        let delay = faults.sample_stream_delay(&mut rng) + faults.transmission_time(len);
+        if delay > 0 {
+            runtime.sleep_until(runtime.now() + delay).await;
         }
-        if write.write_all(&buffer[..n]).await.is_err() {
+        if write.write_all(&buffer[..len]).await.is_err() {
             return;
         }
     }
@@ -298,112 +308,122 @@
 
     const LINK: (Party, Party) = (Party::Ingress(1), Party::Node(0));
 
-    /// Reads some, or gives up after a while.
+    /// Reads once; returns `None` if no bytes arrive within `wait`.
     async fn read(
         runtime: &Shared,
         stream: &mut Box<dyn Stream>,
         wait: Micros,
     ) -> Option<io::Result<Vec<u8>>> {
         let mut buffer = [0; 64];
-        let sleep = async {
+        let timeout = async {
             runtime.sleep_until(runtime.now() + wait).await;
             None
         };
-        let got = async { Some(stream.read(&mut buffer).await) };
-        Some(future::or(got, sleep).await?.map(|n| buffer[..n].to_vec()))
+        let result = async { Some(stream.read(&mut buffer).await) };
+        Some(future::or(result, timeout).await?.map(|len| buffer[..len].to_vec()))
     }
 
     #[test]
-    fn streams_are_cut_reset_slowed_and_held_for_open_by_link_and_direction() {
-        let world = Simulation::new(1, 1_000_000);
-        let (host, _on) = world.host(1, 0);
+    fn streams_are_cut_reset_slowed_and_half_open_by_link_and_direction() {
+        let simulation = Simulation::new(1, 1_000_000);
+        let (host, _guard) = simulation.host(1, 0);
         let runtime: Shared = host;
-        world
+        simulation
             .run(async move {
                 let listener = runtime.listen(([127, 0, 0, 1], 0).into()).unwrap();
                 let network = Network::default();
-                let way = Way::start(runtime.clone(), network.clone(), LINK, listener.address(), 7).unwrap();
-                let mut near = runtime.connect(way.address()).await.unwrap();
+                let relay = StreamRelay::start(runtime.clone(), network.clone(), LINK, listener.address(), 7)
+                    .unwrap();
+                let mut near = runtime.connect(relay.address()).await.unwrap();
                 let mut far = listener.accept().await.unwrap();
-                let set = |from, to, w| network.set(from, to, Some(w));
-                let (there, back) = (LINK, (LINK.1, LINK.0));
-                set(there.0, there.1, LinkFaults { cut: Some(Cut::Silent), ..LinkFaults::default() });
+                let set = |link: (Party, Party), faults| network.set(link.0, link.1, Some(faults));
+                let back = (LINK.1, LINK.0);
+                set(LINK, LinkFaults { cut: Some(Cut::Silent), ..LinkFaults::default() });
                 near.write_all(b"up").await.unwrap();
                 far.write_all(b"down").await.unwrap();
                 assert_eq!(read(&runtime, &mut near, 1_000_000).await.unwrap().unwrap(), b"down");
-                assert!(read(&runtime, &mut far, 60_000_000).await.is_none(), "nothing, and nothing says so");
-                network.set(there.0, there.1, None);
+                assert!(
+                    read(&runtime, &mut far, 60_000_000).await.is_none(),
+                    "a silent cut passed bytes or an end"
+                );
+                network.set(LINK.0, LINK.1, None);
                 assert_eq!(
                     read(&runtime, &mut far, 1_000_000).await.unwrap().unwrap(),
                     b"up",
-                    "nothing was lost"
+                    "bytes sent during the cut arrive after it"
                 );
-                set(back.0, back.1, LinkFaults { rate: 1000, ..LinkFaults::default() });
-                let begun = runtime.now();
+                set(back, LinkFaults { rate: 1000, ..LinkFaults::default() });
+                let start = runtime.now();
                 far.write_all(&[7; 50]).await.unwrap();
                 assert_eq!(read(&runtime, &mut near, 1_000_000).await.unwrap().unwrap().len(), 50);
-                assert!((50_000..80_000).contains(&(runtime.now() - begun)), "50 bytes at 1,000 a second");
-                set(back.0, back.1, LinkFaults { half_open: true, ..LinkFaults::default() });
+                assert!((50_000..80_000).contains(&(runtime.now() - start)), "50 bytes at 1000 bytes/s");
+                set(back, LinkFaults { half_open: true, ..LinkFaults::default() });
                 drop(far);
-                assert!(read(&runtime, &mut near, 60_000_000).await.is_none(), "held for open");
+                assert!(
+                    read(&runtime, &mut near, 60_000_000).await.is_none(),
+                    "a half-open link passed the end of the stream"
+                );
                 network.set(back.0, back.1, None);
                 assert!(
                     matches!(read(&runtime, &mut near, 1_000_000).await, Some(Ok(end)) if end.is_empty())
                 );
-                let mut near = runtime.connect(way.address()).await.unwrap();
+                let mut near = runtime.connect(relay.address()).await.unwrap();
                 let _far = listener.accept().await.unwrap();
-                set(there.0, there.1, LinkFaults { cut: Some(Cut::Reset), ..LinkFaults::default() });
-                let ends = |got: Option<io::Result<Vec<u8>>>| {
-                    matches!(got, Some(Err(_))) || matches!(got, Some(Ok(b)) if b.is_empty())
+                set(LINK, LinkFaults { cut: Some(Cut::Reset), ..LinkFaults::default() });
+                let ended = |result: Option<io::Result<Vec<u8>>>| {
+                    matches!(result, Some(Err(_))) || matches!(result, Some(Ok(bytes)) if bytes.is_empty())
                 };
-                assert!(ends(read(&runtime, &mut near, 1_000_000).await), "what is there ends");
-                let mut new = runtime.connect(way.address()).await.unwrap();
-                assert!(ends(read(&runtime, &mut new, 1_000_000).await), "and what is new");
+                assert!(ended(read(&runtime, &mut near, 1_000_000).await), "the stream survived the reset");
+                let mut new = runtime.connect(relay.address()).await.unwrap();
+                assert!(ended(read(&runtime, &mut new, 1_000_000).await), "a new stream stays open");
             })
-            .expect("it came to its end");
+            .expect("the simulation stopped early");
     }
 
     #[test]
-    fn datagrams_know_their_link_by_who_sends() {
-        let world = Simulation::new(2, 1_000_000);
-        let (host, _on) = world.host(1, 0);
+    fn the_link_of_a_datagram_is_identified_by_its_sender() {
+        let simulation = Simulation::new(2, 1_000_000);
+        let (host, _guard) = simulation.host(1, 0);
         let runtime: Shared = host;
-        world
+        simulation
             .run(async move {
                 let socket = || runtime.datagrams(([127, 0, 0, 1], 0).into()).unwrap();
-                let (a, b, c) = (socket(), socket(), socket());
+                let a = socket();
+                let b = socket();
+                let receiver = socket();
                 let network = Network::default();
                 let party = Party::Ingress(2);
-                let relay = Relay::start(runtime.clone(), network.clone(), party, c.address(), 7).unwrap();
-                network.sends_from(a.address(), Party::Ingress(0));
-                network.sends_from(b.address(), Party::Ingress(1));
+                let relay =
+                    Relay::start(runtime.clone(), network.clone(), party, receiver.address(), 7).unwrap();
+                network.register_sender(a.address(), Party::Ingress(0));
+                network.register_sender(b.address(), Party::Ingress(1));
                 let cut = LinkFaults { cut: Some(Cut::Silent), ..LinkFaults::default() };
                 network.set(Party::Ingress(0), party, Some(cut));
-                network.set(party, Party::Ingress(1), Some(cut)); // the other way: of no concern
+                network.set(party, Party::Ingress(1), Some(cut)); // the other direction does not matter
                 for n in 0..10 {
                     a.send(&[1, n], relay.address()).await.unwrap();
                     b.send(&[2, n], relay.address()).await.unwrap();
                 }
-                let mut got = Vec::new();
+                let mut senders = Vec::new();
                 let end = runtime.now() + 1_000_000;
                 let mut buffer = [0; 8];
                 loop {
-                    let late = async {
+                    let timeout = async {
                         runtime.sleep_until(end).await;
                         None
                     };
-                    match future::or(async { c.receive(&mut buffer).await.ok() }, late).await {
-                        Some(_) => got.push(buffer[0]),
+                    match future::or(async { receiver.receive(&mut buffer).await.ok() }, timeout).await {
+                        Some(_) => senders.push(buffer[0]),
                         None => break,
                     }
                 }
-                assert_eq!(got, [2; 10]);
+                assert_eq!(senders, [2; 10]);
                 assert_eq!(
                     network.sent()[&(Party::Ingress(0), 1)],
                     (10, 20),
-                    "what was sent, arrived or not"
+                    "lost datagrams are not counted"
                 );
             })
-            .expect("it came to its end");
+            .expect("the simulation stopped early");
     }
 }
--- a/crates/testbed/src/node/engine.rs
+++ b/crates/testbed/src/node/engine.rs
@@ -8,7 +8,7 @@
 use rand_distr::{Distribution, LogNormal};
 use std::collections::VecDeque;
 
-/// Spread of the work of one class: the standard deviation of its logarithm.
+/// Standard deviation of the logarithm of the work of a class.
 const WORK_SPREAD: f64 = 0.3;
 
 struct RecentWork {
@@ -20,11 +20,11 @@
     pub machine: Machine,
     pub faults: Faults,
     pub started_at: Micros,
-    /// It was sent too much in its slow start; it stays down.
+    /// The node received too much work during its slow start and has failed permanently.
     pub overloaded: bool,
     busy_cores: usize,
     queue: VecDeque<Sender<()>>,
-    /// Work that arrived in the overload window, while in slow start.
+    /// Work that arrived within the overload window during the slow start.
     recent_work: VecDeque<RecentWork>,
     random: SmallRng,
 }
@@ -44,18 +44,18 @@
         }
     }
 
-    /// Requests that wait for a core.
+    /// Returns the number of requests that wait for a core.
     pub fn queued(&self) -> usize {
         self.queue.len()
     }
 
-    /// Whether an event of this probability happens.
+    /// Returns true with the given probability.
     pub fn chance(&mut self, probability: f64) -> bool {
         probability > 0.0 && self.random.random::<f64>() < probability
     }
 
-    /// A request arrives. Returns how long it will take on a core, in microseconds, and sets `overloaded` if it is too
-    /// much for a node in slow start.
+    /// Accounts for an arriving request. Returns the microseconds that it takes on a core, and sets `overloaded` if it is too
+    /// much work for a node in slow start.
     pub fn arrive(&mut self, class: &str, now: Micros) -> f64 {
         let mean = self.machine.work.get(class).copied().unwrap_or(0.0);
         let spread =
@@ -70,7 +70,8 @@
         work * self.faults.slow.max(1.0) / capacity_share
     }
 
-    /// Signals on the returned channel when a core is free for the caller, who gives it back by [`Engine::release_core`].
+    /// Queues the caller for a core. The returned channel receives a message when the caller owns one, which it has to return
+    /// by [`Engine::release_core`].
     pub fn request_core(&mut self) -> Receiver<()> {
         let (turn, core) = async_channel::bounded(1);
         if self.busy_cores < self.machine.cores {
@@ -82,7 +83,7 @@
         core
     }
 
-    /// Gives a core to the first in the queue, if there is one.
+    /// Returns a core, and passes it to the first caller in the queue if there is one.
     pub fn release_core(&mut self) {
         match self.queue.pop_front() {
             Some(next) => drop(next.try_send(())),
--- a/crates/testbed/src/node/execution_log.rs
+++ b/crates/testbed/src/node/execution_log.rs
@@ -1,4 +1,4 @@
-//! A node's own account of what it ran: the truth that billing is compared with.
+//! A node's record of the requests that it executed, with which billing is compared.
 
 use crate::lock;
 use chalkgap_runtime::Micros;
@@ -6,41 +6,41 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::{Arc, Mutex};
 
-/// What a request used at a node.
+/// The usage of a request at a node.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Used {
-    /// The account.
+pub struct Usage {
+    /// The account that the request is charged to.
     pub account: String,
-    /// Quota units.
+    /// Number of quota units.
     pub units: u64,
-    /// When the gateway wrote its ledger entry, as it says; 0 where it does not.
+    /// When the gateway wrote its ledger entry, according to the request; 0 if the request does not state it.
     pub entered: Micros,
 }
 
 #[derive(Debug, Default)]
 struct Executions {
-    completed: BTreeMap<String, Used>,
+    completed: BTreeMap<String, Usage>,
     running: BTreeSet<String>,
-    /// Requests that were reported as never run, and so must not run any more.
+    /// Requests that were reported as never executed, and so must not be executed later.
     barred: BTreeSet<String>,
 }
 
-/// Executions by the name of the request, shared by the incarnations of a node.
+/// The executions of a node by the name of the request. Shared by the successive processes of the node.
 #[derive(Clone, Debug, Default)]
 pub struct ExecutionLog(Arc<Mutex<Executions>>);
 
 impl ExecutionLog {
-    /// All requests that ran to their end, by name.
-    pub fn completed(&self) -> BTreeMap<String, Used> {
+    /// Returns the usage of all completed requests, by name.
+    pub fn completed(&self) -> BTreeMap<String, Usage> {
         lock(&self.0).completed.clone()
     }
 
-    /// A process starts: what ran in the one before has died with it.
+    /// Marks the start of a new process: requests that were running in the previous one were lost with it.
     pub(super) fn restart(&self) {
         lock(&self.0).running.clear();
     }
 
-    /// Begins a request; false if it was reported as never run.
+    /// Begins a request; returns false if it was reported as never executed.
     pub(super) fn begin(&self, request: &str) -> bool {
         let mut executions = lock(&self.0);
         let permitted = !executions.barred.contains(request);
@@ -50,8 +50,8 @@
         permitted
     }
 
-    /// Completes a request, so that its effect exists; false if it was reported as never run.
-    pub(super) fn complete(&self, request: &str, usage: Used) -> bool {
+    /// Completes a request, so that its effect exists; returns false if it was reported as never executed.
+    pub(super) fn complete(&self, request: &str, usage: Usage) -> bool {
         let mut executions = lock(&self.0);
         executions.running.remove(request);
         let permitted = !executions.barred.contains(request);
@@ -61,7 +61,7 @@
         permitted
     }
 
-    /// Whether a request ran. One that has not is barred from running later.
+    /// Returns whether a request was executed. A request that was not is barred from being executed later.
     pub(super) fn look_up(&self, request: &str) -> Fate {
         let mut executions = lock(&self.0);
         if executions.completed.contains_key(request) {
--- a/crates/testbed/src/node/faults.rs
+++ b/crates/testbed/src/node/faults.rs
@@ -1,26 +1,26 @@
-//! What can be wrong with a node.
+//! Fault injection for a node.
 
 /// The faults of a node. Shares are of attempts, from 0 to 1.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Faults {
     /// Connections are closed at once.
     pub refuse: bool,
-    /// Connections are accepted and never written to, not even SETTINGS.
+    /// Connections are accepted, but nothing is written to them, not even SETTINGS.
     pub mute: bool,
     /// Attempts are accepted and never answered.
     pub hang: bool,
-    /// Share of attempts that fail at once, without having run.
+    /// Share of attempts that fail at once, without being executed.
     pub fail: f64,
-    /// The only class that fails so; `None` for all.
+    /// Limits `fail` to this class; `None` applies it to all classes.
     pub fail_class: Option<String>,
-    /// Share of attempts whose response breaks off in the middle, after they ran.
+    /// Share of attempts that are executed but whose response is truncated by a stream reset.
     pub halfway: f64,
-    /// Multiplies the time that work takes; 0 and 1 change nothing.
+    /// Factor on the time that work takes; values below 1 count as 1.
     pub slow: f64,
     /// Usage lookups are answered with "unknown".
     pub forgets: bool,
-    /// Share of attempts that cost more ...
+    /// Share of attempts whose work is multiplied by `tail_cost`.
     pub tail: f64,
-    /// ... by this factor.
+    /// Factor on the work of the attempts that `tail` selects; values below 1 count as 1.
     pub tail_cost: f64,
 }
--- a/crates/testbed/src/node/machine.rs
+++ b/crates/testbed/src/node/machine.rs
@@ -1,33 +1,34 @@
-//! What a node can do.
+//! The parameters of a node.
 
 use super::{Cell, ExecutionLog};
 use chalkgap_runtime::Micros;
 use std::collections::HashMap;
 
-/// The capacity and the surroundings of a node.
+/// The capacity of a node, and the state that it shares with other nodes and processes.
 #[derive(Clone, Debug)]
 pub struct Machine {
-    /// Requests that run at once.
+    /// Number of requests that are executed concurrently.
     pub cores: usize,
-    /// Divides the work of every request.
+    /// Speed of a core; the work of every request is divided by it.
     pub speed: f64,
-    /// Mean work by class, in microseconds of one core; a class that is absent costs nothing.
+    /// Mean work by class, in microseconds of one core at speed 1; a class that is absent takes no time.
     pub work: HashMap<String, f64>,
-    /// Share of the capacity at the start of the process.
+    /// Share of the full capacity at the start of the slow start.
     pub slow_start_min_capacity: f64,
-    /// When the full capacity is reached; 0 starts with all of it.
+    /// Duration of the slow start, after which the full capacity is available; 0 disables the slow start.
     pub slow_start_window: Micros,
-    /// More than this multiple of its present capacity ...
+    /// A node in slow start fails permanently if the work that arrives within `overload_window` exceeds this multiple of its present
+    /// capacity.
     pub overload_factor: f64,
-    /// ... over this time brings a node in its slow start down.
+    /// Time over which arriving work is compared with the capacity.
     pub overload_window: Micros,
-    /// Requests that may wait for a core; more are refused unseen, by REFUSED_STREAM.
+    /// Maximum number of requests that wait for a core; more are refused by REFUSED_STREAM.
     pub queue: usize,
-    /// The cell whose memory of idempotency keys it shares.
+    /// The cell whose idempotency keys the node shares.
     pub cell: Cell,
-    /// What it ran. Outlives its process, as a disk would.
+    /// The node's executions. They outlive its process, as files on a disk do.
     pub executions: ExecutionLog,
-    /// Seed of its work times and faults.
+    /// Seed of the random work times and faults.
     pub seed: u64,
 }
 
--- a/crates/testbed/src/node/mod.rs
+++ b/crates/testbed/src/node/mod.rs
@@ -1,5 +1,5 @@
-//! A fake backend: cores that work in order of arrival, a slow start in which too much work brings it down, a cell that
-//! deduplicates by idempotency key, load reports, and faults on command.
+//! A fake backend: cores that process requests in order of arrival, a slow start in which an overload makes it fail permanently,
+//! deduplication by idempotency key within a cell, load reports, and fault injection.
 
 mod cell;
 mod engine;
@@ -19,11 +19,11 @@
 use std::sync::{Arc, Mutex};
 
 pub use cell::Cell;
-pub use execution_log::{ExecutionLog, Used};
+pub use execution_log::{ExecutionLog, Usage};
 pub use faults::Faults;
 pub use machine::Machine;
 
-/// A running node. Dropped, it is killed.
+/// A running node. Killed when dropped.
 pub struct Node {
     address: SocketAddr,
     engine: Arc<Mutex<Engine>>,
@@ -32,10 +32,10 @@
 }
 
 impl Node {
-    /// Starts a node.
+    /// Starts a node that listens at `at`.
     ///
     /// # Errors
-    /// The address cannot be bound.
+    /// Returns the system's error if the address cannot be bound.
     pub fn start(runtime: Shared, at: SocketAddr, machine: Machine, journal: Journal) -> io::Result<Node> {
         let listener = runtime.listen(at)?;
         machine.executions.restart();
@@ -48,12 +48,12 @@
         Ok(Node { address, engine, drain: Some(drain_sender), kill: Some(kill_sender) })
     }
 
-    /// Where it listens.
+    /// Returns the address that it listens at.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// When its process started.
+    /// Returns the time at which it was started.
     pub fn started_at(&self) -> Micros {
         lock(&self.engine).started_at
     }
@@ -63,12 +63,12 @@
         lock(&self.engine).faults = faults;
     }
 
-    /// Drains: connections are told to go away and finish what they have; new connections are accepted.
+    /// Drains the node: sends GOAWAY on all connections, whose open requests are completed. New connections are accepted.
     pub fn drain(&mut self) {
         self.drain = None;
     }
 
-    /// Kills the node: all connections break.
+    /// Kills the node: its tasks are cancelled and all connections are closed.
     pub fn kill(&mut self) {
         self.kill = None;
     }
--- a/crates/testbed/src/node/server.rs
+++ b/crates/testbed/src/node/server.rs
@@ -1,7 +1,7 @@
-//! The node's sockets: gRPC calls in, executions, responses out.
+//! The node's gRPC server: receives calls, executes them and sends the responses.
 
 use super::engine::Engine;
-use super::Used;
+use super::Usage;
 use crate::journal::{Journal, Seen, CALL_ENTRY};
 use crate::lock;
 use async_channel::{Receiver, Sender};
@@ -22,19 +22,19 @@
 const MAX_STREAMS: u32 = 1000;
 const MAX_MESSAGE_BYTES: usize = 1 << 20;
 const ACCEPT_BACKOFF_MICROS: Micros = 10_000;
-/// How long a mute node holds a connection.
+/// How long a mute node keeps a connection open.
 const MUTE_MICROS: Micros = 60_000_000;
 const CLOSE_TIMEOUT_MICROS: Micros = 1_000_000;
 
-/// What all tasks of a node share.
+/// The state that all tasks of a node share.
 pub(super) struct Context {
     pub runtime: Shared,
     pub journal: Journal,
     pub engine: Arc<Mutex<Engine>>,
     pub address: SocketAddr,
-    /// Its other end is dropped to drain.
+    /// Closed when the node starts to drain.
     pub drain: Receiver<()>,
-    /// Its other end is dropped to kill all tasks.
+    /// Closed when the node is killed.
     pub kill: Receiver<()>,
 }
 
@@ -66,12 +66,13 @@
     }
 }
 
+/// Keeps a connection open without reading or writing.
 async fn hold(runtime: Shared, stream: Box<dyn Stream>) {
     runtime.sleep_until(runtime.now() + MUTE_MICROS).await;
     drop(stream);
 }
 
-/// The end of a call, for its connection.
+/// The response to a call, sent to the task of its connection.
 struct Finished {
     stream: u32,
     response: Response,
@@ -79,27 +80,27 @@
 
 enum Response {
     Complete(Done),
-    /// The message breaks off in the middle.
+    /// Half of the message, followed by a stream reset.
     Truncated(Done),
     Failed,
     UsageLookup(Answer),
 }
 
-/// A call whose message is not complete.
+/// A call whose request message is incomplete.
 struct IncomingCall {
     fields: Vec<Field>,
     body: Deframer,
 }
 
-/// A gateway's attempt, as it arrived.
+/// A gateway's attempt, as received.
 struct Attempt {
     class: String,
     key: Option<String>,
-    /// The client's call, for the journal.
+    /// Number of the client's call, for the journal.
     call: u64,
     /// The gateway's name for the request.
     request: String,
-    usage: Used,
+    usage: Usage,
 }
 
 impl Attempt {
@@ -116,19 +117,20 @@
             key: text(intake::KEY),
             call: call.and_then(|entry| entry.value.parse().ok()).unwrap_or_default(),
             request: text(intake::REQUEST).unwrap_or_default(),
-            usage: Used { account: work.account.clone(), units: work.units.into(), entered },
+            usage: Usage { account: work.account.clone(), units: work.units.into(), entered },
         }
     }
 }
 
-/// What becomes of an attempt when it arrives.
+/// What the node does with an arriving attempt.
 enum Arrival {
-    /// It was not looked at: the queue is full.
+    /// Refuses it without processing, as the queue is full.
     Refused,
-    /// It is never answered.
+    /// Never answers it.
     Unanswered,
+    /// Responds at once.
     Finished(Response),
-    /// It runs as soon as it has a core.
+    /// Executes it as soon as it has a core.
     Accepted(Execution),
 }
 
@@ -174,8 +176,8 @@
         let truncated = engine.chance(faults.halfway);
         let key = attempt.key.as_ref();
         if let Some(first) = key.and_then(|key| cell.first_request(key, &attempt.request, now)) {
-            // A duplicate of another request used nothing. One of the same request may: nobody knows here how the
-            // first attempt ended.
+            // A duplicate from another request used no units. A repeat of the same request may have used some: the node does
+            // not know how its first attempt ended.
             let units = (first != attempt.request).then_some(0);
             let done = Done { body: Bytes::from_static(b"known"), units, repeat: true };
             return Arrival::Finished(Response::Complete(done));
@@ -186,9 +188,9 @@
         Arrival::Accepted(Execution { core: engine.request_core(), micros, truncated })
     }
 
-    /// Runs an accepted attempt to its end.
+    /// Executes an accepted attempt.
     async fn execute(&self, attempt: Attempt, execution: Execution) -> Response {
-        let _ = execution.core.recv().await; // the queue never drops a sender unused
+        let _ = execution.core.recv().await; // cannot fail: the queue keeps each sender until it sends
         if execution.micros >= 1.0 {
             self.runtime.sleep_until(self.runtime.now() + execution.micros as Micros).await;
         }
@@ -296,7 +298,7 @@
                 let finished = self.finished.clone();
                 spawn(&self.context, async move {
                     let response = context.execute(attempt, execution).await;
-                    let _ = finished.send(Finished { stream, response }).await; // closed: the caller has left
+                    let _ = finished.send(Finished { stream, response }).await; // fails only if the connection is closed
                 });
             }
         }
@@ -307,7 +309,7 @@
         let load = orca::format(&orca::Load { queue: Some(queued), ..orca::Load::default() });
         let load = Field::new(orca::TRAILER, load);
         let connection = &mut self.pipe.conn;
-        // Fails only where the gateway has reset the call.
+        // Fails only if the gateway has reset the call.
         let _ = match response {
             Response::UsageLookup(answer) => send_message(connection, stream, grpc::frame(&answer), load),
             Response::Complete(done) => send_message(connection, stream, grpc::frame(&done), load),
@@ -317,13 +319,13 @@
                 let sent = connection
                     .headers(stream, response_headers(), false)
                     .and_then(|()| connection.data(stream, half, false));
-                connection.output(); // the half is written before the reset
+                connection.output(); // moves the half message to the output before the reset
                 connection.reset(stream, Code::INTERNAL_ERROR);
                 sent
             }
             Response::Failed => {
                 let mut fields = response_headers();
-                fields.extend(Status::new(grpc::Code::Internal, "told to fail").fields());
+                fields.extend(Status::new(grpc::Code::Internal, "injected fault").fields());
                 fields.push(load);
                 connection.headers(stream, fields, true)
             }
--- a/crates/testbed/src/registry.rs
+++ b/crates/testbed/src/registry.rs
@@ -15,13 +15,13 @@
 use std::sync::{Arc, Mutex};
 
 const ACCEPT_BACKOFF_MICROS: Micros = 10_000;
-/// Lists that may wait for a watcher that does not read.
+/// Maximum number of lists that wait for a watcher that does not read.
 const MAX_PENDING_LISTS: usize = 100;
 const MAX_REQUEST_BYTES: usize = 1000;
-/// A node's state in a list that means that it accepts work.
+/// The state value of a listed node that accepts work.
 const READY: u32 = 0;
 
-/// Where gateways find nodes that they do not reach directly: by gateway and listed address, the address to advertise.
+/// The address to advertise by gateway and listed address, for nodes that a gateway reaches through a relay.
 pub type AdvertisedAddresses = HashMap<(u16, String), String>;
 
 #[derive(Default)]
@@ -32,7 +32,7 @@
 }
 
 impl State {
-    /// The list as a gateway gets it.
+    /// Returns the list with the addresses that are advertised to a gateway.
     fn advertise(&self, list: &List, gateway: u16) -> List {
         let mut list = list.clone();
         for node in &mut list.nodes {
@@ -44,7 +44,7 @@
     }
 }
 
-/// A running registry. Dropped, it is gone.
+/// A running registry. Stopped when dropped.
 pub struct Registry {
     address: SocketAddr,
     state: Arc<Mutex<State>>,
@@ -52,10 +52,10 @@
 }
 
 impl Registry {
-    /// Starts a registry with an empty list. What it pushes is noted in the journal.
+    /// Starts a registry with an empty list. Notes the lists that it pushes in the journal.
     ///
     /// # Errors
-    /// The address cannot be bound.
+    /// Returns the system's error if the address cannot be bound.
     pub fn start(runtime: Shared, at: SocketAddr, journal: Journal) -> io::Result<Registry> {
         let listener = runtime.listen(at)?;
         let (kill_sender, kill) = async_channel::bounded::<()>(1);
@@ -66,13 +66,13 @@
         Ok(Registry { address, state, _kill: kill_sender })
     }
 
-    /// Where it listens.
+    /// Returns the address that it listens at.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Advertises nodes at other addresses than their own, such as those of a network between them and a gateway. The
-    /// journal has the nodes' own addresses.
+    /// Replaces the addresses that nodes are advertised at, such as those of relays between a gateway and the nodes. The
+    /// journal contains the nodes' own addresses.
     pub fn advertise(&self, addresses: Arc<AdvertisedAddresses>) {
         lock(&self.state).advertised = addresses;
     }
@@ -83,7 +83,7 @@
         state.list.revision += 1;
         state.list.nodes = nodes;
         let list = state.list.clone();
-        // A watcher that does not read is dropped; it gets the list when it calls again.
+        // A watcher whose queue is full is removed; it receives the list when it opens a new watch.
         state.watchers.retain(|watcher| watcher.try_send(list.clone()).is_ok());
     }
 }
@@ -108,7 +108,7 @@
         }
     }
 
-    /// Notes a list before it is sent: from then on the gateway may know it.
+    /// Notes a list in the journal. Called before the list is sent, as the gateway may know it from then on.
     fn note(&self, gateway: u16, list: &List) {
         let now = self.runtime.now();
         for listed in &list.nodes {
@@ -123,9 +123,9 @@
     server: Server,
     pipe: Pipe<List>,
     watcher: Sender<List>,
-    /// Watches whose request is not complete, by stream.
+    /// Watch calls whose request message is incomplete, by stream.
     incoming: BTreeMap<u32, Deframer>,
-    /// The gateways that watch, by stream.
+    /// Numbers of the watching gateways, by stream.
     watching: BTreeMap<u32, u16>,
 }
 
@@ -154,7 +154,7 @@
         }
     }
 
-    /// Sends a list to all gateways that watch; `None` if a stream does not take it.
+    /// Sends a list to all watching gateways; returns `None` if a stream does not accept it.
     fn push(&mut self, list: &List) -> Option<()> {
         for (stream, gateway) in &self.watching {
             self.server.note(*gateway, list);
@@ -188,14 +188,14 @@
     }
 
     fn watch(&mut self, stream: u32, gateway: u16) {
-        // Locked over all of it, so that no list is set between the one that is sent and the registration.
+        // The lock is held throughout, so that no list is set between the one that is sent and the registration.
         let mut state = lock(&self.server.state);
         self.server.note(gateway, &state.list);
         let list = state.advertise(&state.list, gateway);
         let fields =
             vec![Field::constant(":status", "200"), Field::constant("content-type", "application/grpc")];
         let connection = &mut self.pipe.conn;
-        // Fails only where the gateway has reset the call.
+        // Fails only if the gateway has reset the call.
         let _ = connection
             .headers(stream, fields, false)
             .and_then(|()| connection.data(stream, grpc::frame(&list), false));
--- a/crates/testbed/src/rogue.rs
+++ b/crates/testbed/src/rogue.rs
@@ -1,5 +1,5 @@
-//! A gateway that breaks one rule on purpose, to test the auditor: it serves the rate limit service and forwards calls to
-//! nodes without any decision.
+//! A gateway that violates one rule on purpose, to test the auditor. It serves the rate limit service and forwards all calls
+//! to nodes, without any admission decision.
 
 use crate::journal::CALL_ENTRY;
 use async_channel::Sender;
@@ -16,20 +16,20 @@
 use std::io;
 use std::net::SocketAddr;
 
-/// Verdicts that may wait for their connection.
-const MAX_PENDING_VERDICTS: usize = 100;
+/// Maximum number of answers that wait for the task of their connection.
+const MAX_PENDING_ANSWERS: usize = 100;
 const MAX_REQUEST_BYTES: usize = 100_000;
 const DEFAULT_TIMEOUT_MICROS: Micros = 1_000_000;
 const ATTEMPT_TIMEOUT_MICROS: Micros = 1_000_000;
-/// How late [`Defect::Late`] answers.
+/// How long after the deadline [`Defect::Late`] answers.
 const LATE_BY_MICROS: Micros = 50_000;
-/// Attempts of [`Defect::Floods`].
+/// Number of attempts per call of [`Defect::Floods`].
 const FLOOD_ATTEMPTS: usize = 40;
 
-/// The rule that it breaks.
+/// The rule that a rogue gateway violates.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Defect {
-    /// None.
+    /// No rule is violated.
     None,
     /// Each call gets a second answer.
     AnswersTwice,
@@ -37,20 +37,20 @@
     Drops,
     /// Calls are answered after their deadline.
     Late,
-    /// Each call goes to two nodes.
+    /// Each call is forwarded to two nodes.
     SendsTwice,
-    /// Calls are forwarded and then rejected.
+    /// Calls are forwarded and then answered with OVER_LIMIT.
     RefusesWhatRan,
-    /// Each call goes to the first node forty times.
+    /// Each call is forwarded to the first node forty times.
     Floods,
     /// Calls are answered as served and never forwarded.
     Invents,
 }
 
-/// Starts a rogue gateway and returns its address. It runs for as long as the runtime does.
+/// Starts a rogue gateway and returns its address. It runs until the runtime stops.
 ///
 /// # Errors
-/// No address can be bound.
+/// Returns the system's error if no address can be bound.
 pub fn start(runtime: Shared, nodes: Vec<SocketAddr>, defect: Defect) -> io::Result<SocketAddr> {
     let listener = runtime.listen(([127, 0, 0, 1], 0).into())?;
     let address = listener.address();
@@ -72,13 +72,13 @@
     defect: Defect,
 }
 
-/// The answer to a call, for its connection.
+/// The answer to a call, sent to the task of its connection.
 struct Answer {
     stream: u32,
     verdict: Verdict,
 }
 
-/// A call whose message is not complete.
+/// A call whose request message is incomplete.
 struct IncomingCall {
     body: Deframer,
     deadline: Micros,
@@ -89,13 +89,13 @@
     pipe: Pipe<Answer>,
     answers: Sender<Answer>,
     incoming: HashMap<u32, IncomingCall>,
-    /// Held, as no signal is to be reported.
+    /// Kept open, so that the pipe reports no signal.
     _signal_sender: Sender<()>,
 }
 
 impl ServerConnection {
     fn new(gateway: Rogue, stream: Box<dyn Stream>) -> Self {
-        let (answers, commands) = async_channel::bounded(MAX_PENDING_VERDICTS);
+        let (answers, commands) = async_channel::bounded(MAX_PENDING_ANSWERS);
         let (signal_sender, signal) = async_channel::bounded(1);
         let connection = Connection::server(Config::default());
         let pipe = Pipe::new(gateway.runtime.clone(), stream, connection, commands, signal);
@@ -140,7 +140,7 @@
         let answers = self.answers.clone();
         let forward = async move {
             if let Some(verdict) = gateway.forward(&request, deadline).await {
-                let _ = answers.send(Answer { stream, verdict }).await; // closed: the client has left
+                let _ = answers.send(Answer { stream, verdict }).await; // fails only if the connection is closed
             }
         };
         self.gateway.runtime.spawn(Box::pin(forward)).detach();
@@ -153,13 +153,14 @@
             vec![Field::constant(":status", "200"), Field::constant("content-type", "application/grpc")];
         let trailers = vec![Field::constant("grpc-status", "0")];
         let connection = &mut self.pipe.conn;
-        // Fails only where the client has reset the call.
+        // Fails only if the client has reset the call.
         let _ = connection
             .headers(stream, fields, false)
             .and_then(|()| connection.data(stream, grpc::frame(&response), false))
             .and_then(|()| connection.headers(stream, trailers, true));
         if self.gateway.defect == Defect::AnswersTwice {
-            // HEADERS with END_STREAM on the same stream again, past the state machine: `:status: 200`.
+            // A second HEADERS frame with END_STREAM and `:status: 200`, written directly as the HTTP/2 connection would not
+            // send it.
             let mut frame = vec![0, 0, 1, 1, 0x5];
             frame.extend_from_slice(&stream.to_be_bytes());
             frame.push(0x88);
@@ -169,7 +170,7 @@
 }
 
 impl Rogue {
-    /// Forwards a call as the defect wants it, and returns the answer if there is to be one.
+    /// Forwards a call according to the defect, and returns the answer, or `None` if the call is not to be answered.
     async fn forward(&self, request: &RateLimitRequest, deadline: Micros) -> Option<Verdict> {
         let entries = request.descriptors.first().map(|descriptor| descriptor.entries.clone());
         let entries = entries.unwrap_or_default();
@@ -193,7 +194,7 @@
         };
         for number in 0..attempts {
             let index = if self.defect == Defect::Floods { 0 } else { number % self.nodes.len() };
-            // A node that is gone answers nothing.
+            // Ignores nodes that cannot be reached.
             let _ = attempt(&self.runtime, self.nodes[index], &class, &work, &name).await;
         }
         match self.defect {
@@ -208,7 +209,7 @@
     }
 }
 
-/// One attempt on a connection of its own; ends with the node's answer.
+/// Sends one attempt on a new connection and waits for the node's answer, at most [`ATTEMPT_TIMEOUT_MICROS`].
 async fn attempt(runtime: &Shared, node: SocketAddr, class: &str, work: &Work, name: &str) -> io::Result<()> {
     let stream = runtime.connect(node).await?;
     let (_commands, no_commands) = async_channel::bounded::<()>(1);
