--- a/crates/cli/src/tools.rs
+++ b/crates/cli/src/tools.rs
@@ -43,7 +43,7 @@
     let system = System::new();
     system.clone().run(async move {
         let runtime: Arc<System> = system.clone();
-        let client = match Client::connect(runtime, args.address, 0, Journal::nowhere()).await {
+        let client = match Client::connect(runtime, args.address, 0, Journal::disabled()).await {
             Ok(client) => client,
             Err(e) => return fail(Exit::NoAnswer, format!("{}: {e}", args.address)),
         };
@@ -142,7 +142,7 @@
                     };
                     machine.work.insert(class, ms * 1000.0);
                 }
-                let node = match Node::start(system.clone(), listen, machine, Journal::nowhere()) {
+                let node = match Node::start(system.clone(), listen, machine, Journal::disabled()) {
                     Ok(node) => node,
                     Err(e) => return fail(Exit::System, format!("{listen}: {e}")),
                 };
@@ -152,7 +152,7 @@
                 Exit::Good
             }
             Standin::Roster { listen, file } => {
-                let roster = match Registry::start(system.clone(), listen, Journal::nowhere()) {
+                let roster = match Registry::start(system.clone(), listen, Journal::disabled()) {
                     Ok(roster) => roster,
                     Err(e) => return fail(Exit::System, format!("{listen}: {e}")),
                 };
--- a/crates/cli/tests/descriptors.rs
+++ b/crates/cli/tests/descriptors.rs
@@ -2,7 +2,7 @@
 
 use chalkgap::runtime::{system::System, Shared};
 use chalkgap_testbed::client::{Client, Request};
-use chalkgap_testbed::flood::{self, knock, Knock, Plan};
+use chalkgap_testbed::flood::{self, probe, Plan, ProbeOutcome};
 use chalkgap_testbed::journal::{Answer, Journal};
 use rustix::process::{prlimit, Pid, Resource, Rlimit};
 use std::io::{BufRead, BufReader};
@@ -80,7 +80,7 @@
 async fn known(runtime: &Shared, to: SocketAddr, n: u64) -> u64 {
     let mut served = 0;
     for call in 0..n {
-        let Ok(client) = Client::connect(runtime.clone(), to, 0, Journal::nowhere()).await else { continue };
+        let Ok(client) = Client::connect(runtime.clone(), to, 0, Journal::disabled()).await else { continue };
         let (account, class) = ("one".to_owned(), "sig-check".to_owned());
         let ask = Request { call, account, class, units: 1, key: None, timeout: 2_000_000 };
         served += u64::from(client.call(&ask).await.answer == Answer::Served);
@@ -135,12 +135,12 @@
         assert_eq!(known(&runtime, to, 30).await, 30, "with a lower limit");
         task.await;
         let seen = seen.lock().unwrap().clone();
-        assert!(seen.told + seen.closed > 300, "{:?}", (seen.entered, seen.told, seen.closed));
-        assert_eq!(seen.hanging, 0, "every one of them got in or was refused");
+        assert!(seen.rejected + seen.closed > 300, "{:?}", (seen.accepted, seen.rejected, seen.closed));
+        assert_eq!(seen.timed_out, 0, "every one of them got in or was refused");
         // Below what is set aside, nobody new gets in, and all are told at once; raised again, they do.
         prlimit(Some(pid), Resource::Nofile, limit(40)).unwrap();
         daemon.sees();
-        assert_ne!(knock(&runtime, None, to).await.0, Knock::Hanging);
+        assert_ne!(probe(&runtime, None, to).await.0, ProbeOutcome::TimedOut);
         prlimit(Some(pid), Resource::Nofile, limit(140)).unwrap();
         daemon.sees();
         assert_eq!(known(&runtime, to, 5).await, 5, "raised again");
--- a/crates/fault-injection/benches/admission.rs
+++ b/crates/fault-injection/benches/admission.rs
@@ -10,7 +10,7 @@
 use chalkgap_admission::KnownClientLimits;
 use chalkgap_admission::{Admission, Caps, ConnId, DescriptorBudget, KnownClients};
 use chalkgap_testbed::client::{Client, Request};
-use chalkgap_testbed::flood::{self, knock, Knock, Plan};
+use chalkgap_testbed::flood::{self, probe, Plan, ProbeOutcome};
 use chalkgap_testbed::journal::{Answer, Journal};
 use chalkgap_testbed::node::{Machine, Node};
 use std::io::{BufRead, BufReader};
@@ -41,7 +41,7 @@
             system.clone(),
             ([127, 0, 0, 1], 0).into(),
             Machine { cores: 1000, ..Machine::default() },
-            Journal::nowhere(),
+            Journal::disabled(),
         )
         .unwrap();
         let settings = settings::read("bench", SETTINGS.into(), &[("clients".into(), clients)]).unwrap();
@@ -97,7 +97,7 @@
 /// A known client's calls, a thousand a second for some seconds, each fiftieth on a connection of its own. The share
 /// that was served, and the times of the calls, sorted.
 async fn calls(runtime: &Shared, to: SocketAddr, seconds: f64) -> (f64, Vec<u64>) {
-    let shared = Arc::new(Client::connect(runtime.clone(), to, 0, Journal::nowhere()).await.unwrap());
+    let shared = Arc::new(Client::connect(runtime.clone(), to, 0, Journal::disabled()).await.unwrap());
     let times = Arc::new(Mutex::new((0u64, Vec::new())));
     let (begun, count) = (runtime.now(), (seconds * 1000.0) as u64);
     let mut tasks = Vec::new();
@@ -117,7 +117,7 @@
                 timeout: 3_000_000,
             };
             let answer = if call % 50 == 0 {
-                match Client::connect(world.clone(), to, 0, Journal::nowhere()).await {
+                match Client::connect(world.clone(), to, 0, Journal::disabled()).await {
                     Ok(client) => client.call(&ask).await.answer,
                     Err(_) => Answer::NotTaken,
                 }
@@ -221,7 +221,7 @@
             refusals.len(),
             at(&refusals, 0.5),
             at(&refusals, 0.99),
-            seen.hanging,
+            seen.timed_out,
             if rate == 0.0 { 0.0 } else { each }
         );
     }
@@ -234,7 +234,9 @@
             let before = server.memory();
             let mut held = Vec::new();
             for n in 0..sockets {
-                if let (Knock::In, _, Some(stream)) = knock(&runtime, Some(flood::address(n)), to).await {
+                if let (ProbeOutcome::Accepted, _, Some(stream)) =
+                    probe(&runtime, Some(flood::address(n)), to).await
+                {
                     held.push(stream);
                 }
             }
--- a/crates/fault-injection/benches/ingress.rs
+++ b/crates/fault-injection/benches/ingress.rs
@@ -11,7 +11,7 @@
 use chalkgap::Instance;
 use chalkgap_core as core;
 use chalkgap_testbed::journal::Journal;
-use chalkgap_testbed::mqtt::Half;
+use chalkgap_testbed::mqtt::PacketConnection;
 use chalkgap_testbed::node::{Machine, Node};
 use chalkgap_transport::{Pipe, Turn};
 use chalkgap_wire::grpc;
@@ -107,7 +107,7 @@
     let work = HashMap::from([("c".to_owned(), work)]);
     let machine = Machine { cores: 100_000, work, ..Machine::default() };
     let at = ([127, 0, 0, 1], 0).into();
-    let node = Node::start(system.clone(), at, machine, Journal::nowhere()).unwrap();
+    let node = Node::start(system.clone(), at, machine, Journal::disabled()).unwrap();
     println!("{}", node.address());
     system.run(std::future::pending::<()>());
 }
@@ -296,7 +296,7 @@
     let stream = runtime.connect(to).await.unwrap();
     let (_commands, none) = async_channel::bounded::<()>(1);
     let (_keep, signal) = async_channel::bounded(1);
-    let mut pipe = Pipe::new(runtime.clone(), stream, Half::hello("", 0), none, signal);
+    let mut pipe = Pipe::new(runtime.clone(), stream, PacketConnection::with_connect("", 0), none, signal);
     let mut open: HashMap<u16, u64> = HashMap::new();
     let (mut load, mut next, mut ready) = (Load::default(), 0u16, false);
     let topic = format!("r/{account}");
@@ -377,7 +377,7 @@
                 let stream = runtime.connect(to).await.unwrap();
                 let (commands, none) = async_channel::bounded::<()>(1);
                 let (keep, signal) = async_channel::bounded(1);
-                let half = Half::hello(&format!("idle-{n}"), 3600);
+                let half = PacketConnection::with_connect(&format!("idle-{n}"), 3600);
                 let mut pipe = Pipe::new(runtime.clone(), stream, half, none, signal);
                 while pipe.conn.packets.is_empty() {
                     assert!(matches!(pipe.turn(None, true).await, Turn::Read), "let in");
--- a/crates/fault-injection/src/drill/mod.rs
+++ b/crates/fault-injection/src/drill/mod.rs
@@ -12,9 +12,9 @@
 use chalkgap::runtime::{Micros, Shared};
 use chalkgap::settings::{self, Group, Repeat, Settings, SettingsError};
 use chalkgap::StartError;
-use chalkgap_testbed::billing::{self, Consumer, Vault};
+use chalkgap_testbed::billing::{self, BatchStore, Consumer};
 use chalkgap_testbed::journal::Journal;
-use chalkgap_testbed::network::{LinkFaults, Network, Party, Relay, Way};
+use chalkgap_testbed::network::{LinkFaults, Network, Party, Relay, StreamRelay};
 use chalkgap_testbed::node::{Cell, ExecutionLog, Faults, Machine};
 use chalkgap_testbed::registry::Registry;
 use processes::{end, free_port, free_udp, Life, NodeSlot, Slot};
@@ -85,7 +85,7 @@
     network: Network,
     relays: Mutex<Vec<Relay>>,
     /// Ways of streams; held, as they go when they are dropped.
-    _ways: Vec<Way>,
+    _ways: Vec<StreamRelay>,
     /// What was done to the fleet, and what its processes wrote down of each other.
     acts: Mutex<Vec<(Micros, Act)>>,
     lines: Arc<Mutex<Vec<Line>>>,
@@ -95,7 +95,7 @@
     running: AtomicU64,
     deadlines: HashMap<String, Micros>,
     /// The billing consumer and what it has, where ingresses have ledgers.
-    billing: Option<(Consumer, Vault)>,
+    billing: Option<(Consumer, BatchStore)>,
 }
 
 /// Where an ingress is told that a node is, by its number and the node's own address.
@@ -175,7 +175,7 @@
             let party = Party::Ingress(n);
             let relay = Relay::start(runtime.clone(), network.clone(), party, to, day.seed ^ u64::from(n));
             relays.push(relay.map_err(io_error("a way between ingresses"))?);
-            network.sends_from(to, party);
+            network.register_sender(to, party);
             peers.push(to);
         }
         let addresses: Vec<SocketAddr> = relays.iter().map(Relay::address).collect();
@@ -183,7 +183,7 @@
         let mut billing = None;
         let mut ledgers = BTreeMap::new();
         if day.settings.get("ledger").is_some() {
-            let vault = Vault::default();
+            let vault = BatchStore::default();
             let at = ([127, 0, 0, 1], 0).into();
             let consumer = Consumer::start(runtime.clone(), at, vault.clone(), day.seed);
             let consumer = consumer.map_err(io_error("the billing consumer"))?;
@@ -202,7 +202,13 @@
                 return Ok(at);
             }
             let link = (Party::Ingress(from), to);
-            let way = Way::start(runtime.clone(), network.clone(), link, at, day.seed ^ u64::from(from) << 8);
+            let way = StreamRelay::start(
+                runtime.clone(),
+                network.clone(),
+                link,
+                at,
+                day.seed ^ u64::from(from) << 8,
+            );
             let way = way.map_err(io_error("a way of streams"))?;
             let address = way.address();
             ways.push(way);
@@ -259,7 +265,7 @@
                 ledger["export"] = serde_json::json!({"to": {"grpc": consumer.address()}, "every_ms": 100,
                     "takeover_ms": 2000});
             }
-            let list = way(n, Party::Roster, roster.address())?;
+            let list = way(n, Party::Registry, roster.address())?;
             let nodes = serde_json::json!({"source": {"roster": {"address": list}}, "cache": cache});
             map.insert("nodes".into(), nodes);
             let accounts = map.entry("accounts").or_insert_with(|| serde_json::json!({}));
--- a/crates/fault-injection/src/drill/processes.rs
+++ b/crates/fault-injection/src/drill/processes.rs
@@ -199,7 +199,7 @@
         let seed = self.day.seed ^ u64::from(n) << 32;
         let relay = Relay::start(self.runtime.clone(), self.network.clone(), party, datagrams, seed);
         let relay = relay.map_err(io_error("a way between ingresses"))?;
-        self.network.sends_from(datagrams, party);
+        self.network.register_sender(datagrams, party);
         let first = {
             let mut slots = lock(&self.slots);
             let slot = &mut slots[usize::from(n)];
--- a/crates/fault-injection/src/drill/troubles.rs
+++ b/crates/fault-injection/src/drill/troubles.rs
@@ -79,7 +79,7 @@
                 pairs.extend(from.iter().map(|f| (Party::Ingress(*f), Party::Ingress(*to))));
             }
         }
-        let services = t.nodes.iter().map(|n| Party::Node(*n)).chain(t.roster.then_some(Party::Roster));
+        let services = t.nodes.iter().map(|n| Party::Node(*n)).chain(t.roster.then_some(Party::Registry));
         for service in services {
             for n in parts.first().into_iter().flatten() {
                 pairs.push((Party::Ingress(*n), service));
@@ -96,7 +96,7 @@
         for (from, to) in pairs {
             let between = matches!((from, to), (Party::Ingress(_), Party::Ingress(_)));
             // What is usual is the network's between ingresses; streams to nodes and the roster pass at once.
-            let mut weather = if between { self.network.usual() } else { LinkFaults::default() };
+            let mut weather = if between { self.network.default_faults() } else { LinkFaults::default() };
             change(&mut weather);
             self.network.set(*from, *to, Some(weather));
         }
@@ -310,7 +310,7 @@
                     task.await;
                     let seen = lock(&seen).clone();
                     let (entered, told, closed, hanging) =
-                        (seen.entered, seen.told, seen.closed, seen.hanging);
+                        (seen.accepted, seen.rejected, seen.closed, seen.timed_out);
                     tracing::info!(entered, told, closed, hanging, "drill: flood over");
                 }
             }
--- a/crates/fault-injection/src/ledger.rs
+++ b/crates/fault-injection/src/ledger.rs
@@ -2,7 +2,7 @@
 
 use chalkgap_ledger::entry::Batch;
 use chalkgap_ledger::Periods;
-use chalkgap_testbed::node::Used;
+use chalkgap_testbed::node::Usage;
 use prost::Message;
 use serde::Serialize;
 use std::collections::{BTreeMap, BTreeSet};
@@ -51,7 +51,7 @@
 }
 
 /// What nodes counted: each request once, wherever and however often it ran.
-pub fn counted(tallies: impl IntoIterator<Item = BTreeMap<String, Used>>, periods: Periods) -> Units {
+pub fn counted(tallies: impl IntoIterator<Item = BTreeMap<String, Usage>>, periods: Periods) -> Units {
     let mut requests = BTreeMap::new();
     tallies.into_iter().for_each(|tally| requests.extend(tally));
     let mut sums = Units::new();
--- a/crates/fault-injection/src/ledger/tests.rs
+++ b/crates/fault-injection/src/ledger/tests.rs
@@ -1,8 +1,8 @@
 use super::*;
 use chalkgap_ledger::entry::Line;
 
-fn used(account: &str, units: u64, entered: u64) -> Used {
-    Used { account: account.into(), units, entered }
+fn used(account: &str, units: u64, entered: u64) -> Usage {
+    Usage { account: account.into(), units, entered }
 }
 
 #[test]
--- a/crates/gateway/tests/admission.rs
+++ b/crates/gateway/tests/admission.rs
@@ -6,7 +6,7 @@
 use chalkgap::runtime::{BoxFuture, Listener, Runtime, Shared, Stream};
 use chalkgap::Instance;
 use chalkgap_testbed::client::Client;
-use chalkgap_testbed::flood::{self, knock, Knock};
+use chalkgap_testbed::flood::{self, probe, ProbeOutcome};
 use chalkgap_testbed::journal::Answer;
 use chalkgap_testbed::node::Machine;
 use chalkgap_wire::http2::{Config, Connection, Event, PREFACE};
@@ -25,15 +25,15 @@
     from: impl Fn(u32) -> Option<IpAddr>,
     to: SocketAddr,
     n: u32,
-) -> (Vec<Box<dyn Stream>>, Vec<Knock>) {
+) -> (Vec<Box<dyn Stream>>, Vec<ProbeOutcome>) {
     let (mut held, mut refused) = (Vec::new(), Vec::new());
     for i in 0..n {
-        match knock(runtime, from(i), to).await {
-            (Knock::In, _, stream) => held.extend(stream),
+        match probe(runtime, from(i), to).await {
+            (ProbeOutcome::Accepted, _, stream) => held.extend(stream),
             (end, ..) => refused.push(end),
         }
     }
-    assert!(!refused.contains(&Knock::Hanging), "nobody is left hanging");
+    assert!(!refused.contains(&ProbeOutcome::TimedOut), "nobody is left hanging");
     (held, refused)
 }
 
@@ -47,7 +47,7 @@
         let (held, refused) = knocks(&s.runtime, |_| None, to, 30).await;
         assert_eq!(held.len(), 9, "the good client has the tenth");
         assert!(
-            refused.iter().filter(|k| **k == Knock::Told).count() >= 8,
+            refused.iter().filter(|k| **k == ProbeOutcome::Rejected).count() >= 8,
             "told while words last: {refused:?}"
         );
         assert_eq!(s.ingress.counts().connections_refused, 21);
@@ -234,8 +234,8 @@
             let ingress = Instance::start(settings(), Arc::new(world)).await.unwrap();
             let to = ingress.grpc_address();
             let begun = system.now();
-            let (end, ..) = knock(&(system.clone() as Shared), None, to).await;
-            assert_eq!((end, ingress.counts().accept_failed), (Knock::In, 4), "errno {errno}");
+            let (end, ..) = probe(&(system.clone() as Shared), None, to).await;
+            assert_eq!((end, ingress.counts().accept_failed), (ProbeOutcome::Accepted, 4), "errno {errno}");
             assert!(system.now() - begun >= 100_000, "it rested in between");
         });
     }
@@ -261,6 +261,6 @@
         task.await;
         pause(&s.runtime, 100).await;
         let seen = seen.lock().unwrap().clone();
-        assert!(seen.told + seen.closed > 100 && seen.hanging == 0, "{seen:?}");
+        assert!(seen.rejected + seen.closed > 100 && seen.timed_out == 0, "{seen:?}");
     });
 }
--- a/crates/gateway/tests/ledger/main.rs
+++ b/crates/gateway/tests/ledger/main.rs
@@ -10,7 +10,7 @@
 use chalkgap::settings::{Export, ExportTo, Ledger, LedgerGroup, OnFailure, Period, Settings};
 use chalkgap::Instance;
 use chalkgap_ledger::entry::Batch;
-use chalkgap_testbed::billing::{Consumer, Faults as Wrong, Vault};
+use chalkgap_testbed::billing::{BatchStore, Consumer, Faults as Wrong};
 use chalkgap_testbed::client::Client;
 use chalkgap_testbed::journal::{Answer, Journal, Seen};
 use chalkgap_testbed::node::{ExecutionLog, Faults, Machine, Node};
@@ -86,7 +86,7 @@
     sums
 }
 
-fn in_vault(vault: &Vault) -> BTreeMap<(String, u64), i64> {
+fn in_vault(vault: &BatchStore) -> BTreeMap<(String, u64), i64> {
     let batches = vault.batches();
     billed(batches.values().flatten().map(|b| Batch::decode(b.clone()).unwrap()))
 }
@@ -131,7 +131,7 @@
     run(|system| async move {
         let system: Shared = system;
         let folder = Directory::new();
-        let vault = Vault::default();
+        let vault = BatchStore::default();
         let consumer = Consumer::start(system.clone(), port(), vault.clone(), seed).unwrap();
         consumer.faults(Wrong { refuse: 0.2, silent: 0.2 });
         let tallies: Vec<ExecutionLog> = (0..3).map(|_| ExecutionLog::default()).collect();
@@ -334,7 +334,7 @@
 fn an_unknown_end_is_presumed_and_corrected_later() {
     run(|system| async move {
         let folder = Directory::new();
-        let vault = Vault::default();
+        let vault = BatchStore::default();
         let consumer = Consumer::start(system.clone(), port(), vault.clone(), 1).unwrap();
         let mut settings = settings();
         let mut ledger = ledger(&folder, "0", Some(ExportTo::Grpc(consumer.address())));
@@ -357,7 +357,7 @@
     run(|system| async move {
         let system: Shared = system;
         let folder = Directory::new();
-        let vault = Vault::default();
+        let vault = BatchStore::default();
         let consumer = Consumer::start(system.clone(), port(), vault.clone(), 1).unwrap();
         let mut settings = settings();
         let ledger = ledger(&folder, "0", Some(ExportTo::Grpc(consumer.address())));
