--- a/crates/runtime/src/link_faults.rs
+++ b/crates/runtime/src/link_faults.rs
@@ -12,7 +12,8 @@
 /// How a link is cut.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Cut {
-    /// Traffic is dropped without an error: streams and connection attempts hang, datagrams are lost.
+    /// Nothing is delivered and no error is reported: streams and connection attempts hang until the link is restored, and
+    /// datagrams are lost.
     Silent,
     /// Streams are reset, new streams fail at once, and datagrams are lost.
     Reset,
--- a/crates/runtime/src/simulated_runtime.rs
+++ b/crates/runtime/src/simulated_runtime.rs
@@ -40,7 +40,7 @@
 /// One direction of a stream.
 #[derive(Default)]
 struct Direction {
-    /// Written and not yet read, each with its arrival time.
+    /// Writes that were not read yet, each with its arrival time.
     in_flight: VecDeque<(Micros, Vec<u8>)>,
     /// Number of bytes in `in_flight`.
     in_flight_bytes: usize,
@@ -60,7 +60,7 @@
 
 struct ListenerState {
     host: u32,
-    /// Generation of the host that bound it. A listener of an earlier generation that is dropped late does not unbind it.
+    /// Generation of the host that bound it: dropping a listener of an earlier generation does not remove this one.
     generation: u64,
     /// Streams that wait to be accepted.
     pending: VecDeque<SimulatedStream>,
--- a/crates/runtime/src/system.rs
+++ b/crates/runtime/src/system.rs
@@ -193,7 +193,7 @@
 /// Attempts to lock a file: two seconds, with [`LOCK_RETRY_PAUSE`] between them.
 const LOCK_TRIES: usize = 100;
 
-/// An append-only file; `None` after a failed write or sync.
+/// An append-only file; `None` while a write or sync runs, and after one that failed or was cancelled.
 struct AppendFile(Option<fs::File>);
 
 impl AppendFile {
@@ -204,7 +204,7 @@
         operation: impl FnOnce(&mut fs::File) -> io::Result<()> + Send + 'static,
     ) -> io::Result<()> {
         let Some(mut file) = self.0.take() else {
-            return Err(io::Error::other("an earlier write or sync of the file failed"));
+            return Err(io::Error::other("an earlier write or sync of the file failed or was cancelled"));
         };
         let file = blocking::unblock(move || operation(&mut file).map(|()| file)).await?;
         self.0 = Some(file);
--- a/crates/testbed/src/node/machine.rs
+++ b/crates/testbed/src/node/machine.rs
@@ -17,8 +17,8 @@
     pub slow_start_min_capacity: f64,
     /// Duration of the slow start, after which the full capacity is available; 0 disables the slow start.
     pub slow_start_window: Micros,
-    /// A node in slow start fails permanently if the work that arrives within `overload_window` exceeds this multiple of its present
-    /// capacity.
+    /// A node in slow start fails permanently if the work that arrives within `overload_window` exceeds this multiple of its
+    /// present capacity.
     pub overload_factor: f64,
     /// Time over which arriving work is compared with the capacity.
     pub overload_window: Micros,
--- a/crates/testbed/src/node/mod.rs
+++ b/crates/testbed/src/node/mod.rs
@@ -1,5 +1,5 @@
-//! A fake backend: cores that process requests in order of arrival, a slow start in which an overload makes it fail permanently,
-//! deduplication by idempotency key within a cell, load reports, and fault injection.
+//! A fake backend: cores that process requests in order of arrival, a slow start in which an overload makes it fail
+//! permanently, deduplication by idempotency key within a cell, load reports, and fault injection.
 
 mod cell;
 mod engine;
