--- a/crates/gateway/tests/admission.rs
+++ b/crates/gateway/tests/admission.rs
@@ -6,7 +6,7 @@
 use chalkgap::runtime::{BoxFuture, Listener, Runtime, Shared, Stream};
 use chalkgap::Instance;
 use chalkgap_testbed::client::Client;
-use chalkgap_testbed::flood::{self, knock, Knock};
+use chalkgap_testbed::flood::{self, probe, ProbeOutcome};
 use chalkgap_testbed::journal::Answer;
 use chalkgap_testbed::node::Machine;
 use chalkgap_wire::http2::{Config, Connection, Event, PREFACE};
@@ -26,16 +26,16 @@
     from: impl Fn(u32) -> Option<IpAddr>,
     to: SocketAddr,
     n: u32,
-) -> (Vec<Box<dyn Stream>>, Vec<Knock>) {
+) -> (Vec<Box<dyn Stream>>, Vec<ProbeOutcome>) {
     let mut accepted = Vec::new();
     let mut refused = Vec::new();
     for i in 0..n {
-        match knock(runtime, from(i), to).await {
-            (Knock::In, _, stream) => accepted.extend(stream),
+        match probe(runtime, from(i), to).await {
+            (ProbeOutcome::Accepted, _, stream) => accepted.extend(stream),
             (outcome, ..) => refused.push(outcome),
         }
     }
-    assert!(!refused.contains(&Knock::Hanging), "a connection was neither accepted nor closed");
+    assert!(!refused.contains(&ProbeOutcome::TimedOut), "a connection was neither accepted nor closed");
     (accepted, refused)
 }
 
@@ -50,7 +50,7 @@
         let (accepted, refused) = open_connections(&fixture.runtime, |_| None, address, 30).await;
         assert_eq!(accepted.len(), 9, "the fixture's client has the tenth");
         assert!(
-            refused.iter().filter(|k| **k == Knock::Told).count() >= 8,
+            refused.iter().filter(|k| **k == ProbeOutcome::Rejected).count() >= 8,
             "refused with a reply: {refused:?}"
         );
         assert_eq!(fixture.ingress.counts().connections_refused, 21);
@@ -255,8 +255,12 @@
             let ingress = Instance::start(settings(), Arc::new(runtime)).await.unwrap();
             let address = ingress.grpc_address();
             let started = system.now();
-            let (outcome, ..) = knock(&(system.clone() as Shared), None, address).await;
-            assert_eq!((outcome, ingress.counts().accept_failed), (Knock::In, 4), "errno {errno}");
+            let (outcome, ..) = probe(&(system.clone() as Shared), None, address).await;
+            assert_eq!(
+                (outcome, ingress.counts().accept_failed),
+                (ProbeOutcome::Accepted, 4),
+                "errno {errno}"
+            );
             assert!(system.now() - started >= 100_000, "accepts were retried without a delay");
         });
     }
@@ -290,6 +294,6 @@
         task.await;
         sleep_ms(&fixture.runtime, 100).await;
         let seen = flood_counts.lock().unwrap().clone();
-        assert!(seen.told + seen.closed > 100 && seen.hanging == 0, "{seen:?}");
+        assert!(seen.rejected + seen.closed > 100 && seen.timed_out == 0, "{seen:?}");
     });
 }
--- a/crates/gateway/tests/fleet.rs
+++ b/crates/gateway/tests/fleet.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use chalkgap::fleet::FleetSnapshot;
-use chalkgap::runtime::simulated_runtime::{address, Cut, LinkFaults, Power, World, USUAL};
+use chalkgap::runtime::simulated_runtime::{address, Cut, HostGuard, LinkFaults, Simulation, DEFAULT_LINK};
 use chalkgap::runtime::{Micros, Runtime};
 use chalkgap::settings::{self, Peers, Settings};
 use chalkgap::Instance;
@@ -32,16 +32,16 @@
 }
 
 struct Fleet {
-    world: World,
+    world: Simulation,
     size: u16,
-    running: BTreeMap<u16, (Instance, Power)>,
+    running: BTreeMap<u16, (Instance, HostGuard)>,
     /// A host without an ingress, which keeps the test's time.
     clock: std::sync::Arc<chalkgap::runtime::simulated_runtime::Host>,
-    _clock_power: Power,
+    _clock_power: HostGuard,
 }
 
 impl Fleet {
-    async fn start(world: World, count: u16) -> Fleet {
+    async fn start(world: Simulation, count: u16) -> Fleet {
         let (clock, clock_power) = world.host(0, 0);
         let mut fleet =
             Fleet { world, size: count, running: BTreeMap::new(), clock, _clock_power: clock_power };
@@ -89,7 +89,7 @@
     fn set_link_faults(&self, faults: Option<LinkFaults>, affected: impl Fn(u16, u16) -> bool) {
         let all = || 0..self.size;
         for (a, b) in all().flat_map(|a| all().map(move |b| (a, b))).filter(|(a, b)| affected(*a, *b)) {
-            self.world.link(u32::from(a) + 1, u32::from(b) + 1, faults);
+            self.world.set_link(u32::from(a) + 1, u32::from(b) + 1, faults);
         }
     }
 }
@@ -102,8 +102,8 @@
 
 /// A fleet starts at once, one ingress is killed and restarted, and a partition splits the fleet in halves and heals.
 fn kill_restart_and_partition(count: u16) {
-    let world = World::new(u64::from(count), 1_800_000_000 * SECOND);
-    world.weather(LinkFaults { loss: 0.02, delay: (500, 8000), ..USUAL });
+    let world = Simulation::new(u64::from(count), 1_800_000_000 * SECOND);
+    world.set_default_link(LinkFaults { loss: 0.02, delay: (500, 8000), ..DEFAULT_LINK });
     let fleet_world = world.clone();
     let completed = world.run(async move {
         let mut fleet = Fleet::start(fleet_world, count).await;
@@ -122,7 +122,7 @@
             .wait_until(30 * SECOND, |views| agreed(views, count))
             .await
             .expect("the restarted ingress is in all views");
-        let silent_cut = LinkFaults { cut: Some(Cut::Silent), ..USUAL };
+        let silent_cut = LinkFaults { cut: Some(Cut::Silent), ..DEFAULT_LINK };
         fleet.set_link_faults(Some(silent_cut), |a, b| (a < count / 2) != (b < count / 2));
         let timeout = 2 * max_detection_time + u64::from(count) * SECOND / 8;
         let partition_detected = fleet
--- a/crates/gateway/tests/ledger/main.rs
+++ b/crates/gateway/tests/ledger/main.rs
@@ -10,7 +10,7 @@
 use chalkgap::settings::{Export, ExportTo, Ledger, LedgerGroup, OnFailure, Period, Settings};
 use chalkgap::Instance;
 use chalkgap_ledger::entry::Batch;
-use chalkgap_testbed::billing::{Consumer, Faults as ConsumerFaults, Vault};
+use chalkgap_testbed::billing::{BatchStore, Consumer, Faults as ConsumerFaults};
 use chalkgap_testbed::client::Client;
 use chalkgap_testbed::journal::{Answer, Journal, Seen};
 use chalkgap_testbed::node::{ExecutionLog, Faults, Machine, Node};
@@ -87,7 +87,7 @@
 }
 
 /// Units by account and period that the consumer has received.
-fn units_billed(vault: &Vault) -> BTreeMap<(String, u64), i64> {
+fn units_billed(vault: &BatchStore) -> BTreeMap<(String, u64), i64> {
     let batches = vault.batches();
     units_in_batches(batches.values().flatten().map(|bytes| Batch::decode(bytes.clone()).unwrap()))
 }
@@ -134,7 +134,7 @@
     run(|system| async move {
         let system: Shared = system;
         let folder = Directory::new();
-        let vault = Vault::default();
+        let vault = BatchStore::default();
         let consumer = Consumer::start(system.clone(), free_address(), vault.clone(), seed).unwrap();
         consumer.faults(ConsumerFaults { refuse: 0.2, silent: 0.2 });
         let execution_logs: Vec<ExecutionLog> = (0..3).map(|_| ExecutionLog::default()).collect();
@@ -353,7 +353,7 @@
 fn an_unknown_outcome_is_presumed_and_corrected_later() {
     run(|system| async move {
         let folder = Directory::new();
-        let vault = Vault::default();
+        let vault = BatchStore::default();
         let consumer = Consumer::start(system.clone(), free_address(), vault.clone(), 1).unwrap();
         let mut settings = settings();
         let mut ledger = ledger_settings(&folder, "0", Some(ExportTo::Grpc(consumer.address())));
@@ -386,7 +386,7 @@
     run(|system| async move {
         let system: Shared = system;
         let folder = Directory::new();
-        let vault = Vault::default();
+        let vault = BatchStore::default();
         let consumer = Consumer::start(system.clone(), free_address(), vault.clone(), 1).unwrap();
         let mut settings = settings();
         let ledger = ledger_settings(&folder, "0", Some(ExportTo::Grpc(consumer.address())));
--- a/crates/gateway/tests/simulated_runtime.rs
+++ b/crates/gateway/tests/simulated_runtime.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use chalkgap::runtime::simulated_runtime::{address, LinkFaults, World, USUAL};
+use chalkgap::runtime::simulated_runtime::{address, LinkFaults, Simulation, DEFAULT_LINK};
 use chalkgap::runtime::Shared;
 use chalkgap::settings::{self, Settings};
 use chalkgap::Instance;
@@ -24,8 +24,8 @@
 /// Sends requests one at a time for ten minutes. The node fails one request in ten halfway; the ingress is killed after half of
 /// the time and restarts from its disk. Returns what clients and nodes saw, and the number of ledger entries.
 fn ten_minutes(seed: u64) -> (Vec<Entry>, u64) {
-    let world = World::new(seed, 1_800_000_000_000_000);
-    world.weather(LinkFaults { delay: (100, 3000), ..USUAL });
+    let world = Simulation::new(seed, 1_800_000_000_000_000);
+    world.set_default_link(LinkFaults { delay: (100, 3000), ..DEFAULT_LINK });
     let (node_host, _node_power) = world.host(0, 0);
     let (client_host, _client_power) = world.host(2, 0);
     let journal = Journal::default();
--- a/crates/ledger/tests/store.rs
+++ b/crates/ledger/tests/store.rs
@@ -300,7 +300,7 @@
             }
             let second =
                 Store::open(system.clone(), &directory, 300, |_| ()).await.err().unwrap().to_string();
-            assert!(second.contains("somebody else is writing to it"), "{second}");
+            assert!(second.contains("the file is locked by another writer"), "{second}");
         }
     });
     std::fs::remove_dir_all(directory).unwrap();
--- a/crates/platform/tests/discovery.rs
+++ b/crates/platform/tests/discovery.rs
@@ -8,7 +8,7 @@
 use chalkgap_platform::endpoint_list::backend_id;
 use chalkgap_platform::endpoint_set::EndpointSet;
 use chalkgap_platform::request::ForwardedCommand;
-use chalkgap_runtime::simulated_runtime::{address, Power, World};
+use chalkgap_runtime::simulated_runtime::{address, HostGuard, Simulation};
 use chalkgap_runtime::{Micros, Runtime, Shared, Stream};
 use futures_lite::{future, AsyncReadExt, AsyncWriteExt};
 use std::net::SocketAddr;
@@ -150,11 +150,11 @@
 /// Starts a follower of the agent at `address` on host `host_number`. Returns its runtime, the host's power switch, the sender of
 /// new agent addresses, and the receiver of its events.
 fn start_follower(
-    world: &World,
+    world: &Simulation,
     host_number: u32,
     mode: Discovery,
     agent_address: SocketAddr,
-) -> (Shared, Power, Sender<SocketAddr>, Receiver<DriverEvent<ForwardedCommand>>) {
+) -> (Shared, HostGuard, Sender<SocketAddr>, Receiver<DriverEvent<ForwardedCommand>>) {
     let (host, power) = world.host(host_number, 0);
     let runtime: Shared = host;
     let (address_changes, address_receiver) = async_channel::bounded(4);
@@ -176,7 +176,7 @@
 /// Two agents and a follower of the first one, in a simulated network.
 struct Fixture {
     runtime: Shared,
-    world: World,
+    world: Simulation,
     agents: Vec<(AgentHandle, SocketAddr)>,
     /// Senders of the further followers, which end when theirs is dropped.
     other_address_changes: Vec<Sender<SocketAddr>>,
@@ -184,11 +184,11 @@
     address_changes: Sender<SocketAddr>,
     /// Events that the follower sends to its driver.
     events: Receiver<DriverEvent<ForwardedCommand>>,
-    powers: Vec<Power>,
+    powers: Vec<HostGuard>,
 }
 
 impl Fixture {
-    fn new(world: &World, indent: bool, mode: Discovery) -> Fixture {
+    fn new(world: &Simulation, indent: bool, mode: Discovery) -> Fixture {
         let mut agents = Vec::new();
         let mut powers = Vec::new();
         for host_number in 1..=2 {
@@ -297,7 +297,7 @@
     mode: Discovery,
     test: impl FnOnce(Fixture) -> F + 'static,
 ) {
-    let world = World::new(seed, START);
+    let world = Simulation::new(seed, START);
     let fixture_world = world.clone();
     let completed = world.run(async move {
         let fixture = Fixture::new(&fixture_world, indent, mode);
@@ -457,9 +457,9 @@
 fn a_reset_watch_is_opened_again_at_once() {
     run_test(5, false, |fixture| async move {
         let cut = Some(chalkgap_runtime::link_faults::Cut::Reset);
-        let usual_link = chalkgap_runtime::simulated_runtime::USUAL;
-        fixture.world.link(1, 3, Some(chalkgap_runtime::link_faults::LinkFaults { cut, ..usual_link }));
-        fixture.world.link(1, 3, None);
+        let usual_link = chalkgap_runtime::simulated_runtime::DEFAULT_LINK;
+        fixture.world.set_link(1, 3, Some(chalkgap_runtime::link_faults::LinkFaults { cut, ..usual_link }));
+        fixture.world.set_link(1, 3, None);
         fixture.agent().version = 2;
         let elapsed = fixture.wait_for_version(2).await;
         assert!(elapsed <= 50_000 + NETWORK_ALLOWANCE, "{elapsed} us");
@@ -469,7 +469,7 @@
 /// Changes need a complete list to apply to. Until there is one, the follower requests the complete list and no watch.
 #[test]
 fn changes_are_not_watched_before_a_complete_list() {
-    let world = World::new(9, START);
+    let world = Simulation::new(9, START);
     let fixture_world = world.clone();
     let completed = world.run(async move {
         let mut fixture = Fixture::new(&fixture_world, false, Discovery::Poll);
@@ -492,7 +492,7 @@
 /// requests from each, the last of six followers got the list after more than 7 s.
 #[test]
 fn a_polled_service_gets_one_request_from_each_follower() {
-    let world = World::new(7, START);
+    let world = Simulation::new(7, START);
     let fixture_world = world.clone();
     let completed = world.run(async move {
         let mut fixture = Fixture::new(&fixture_world, false, Discovery::Poll);
