--- a/crates/core/src/load_balancing.rs
+++ b/crates/core/src/load_balancing.rs
@@ -19,7 +19,7 @@
 
 /// Minimum number of endpoints that a gateway compares.
 const MIN_CANDIDATES: usize = 2;
-/// Additional number of endpoints that a gateway compares, for each endpoint in its equal share of the endpoints.
+/// Number of further endpoints that a gateway compares, multiplied by the number of endpoints per gateway.
 const CANDIDATES_PER_ENDPOINT_SHARE: usize = 3;
 /// Maximum number of draws in a sample, for each endpoint to choose from.
 const MAX_DRAWS_PER_ENDPOINT: usize = 4;
@@ -241,7 +241,8 @@
         Some(Candidate { backend, cost, is_outlier: is_ejected || failure_rate > OUTLIER_FAILURE_RATE })
     }
 
-    /// Returns an endpoint's share of the load: 0.5 for an endpoint of average weight and latency.
+    /// Returns an endpoint's weight relative to the average: 0.5 for an endpoint of average weight and latency. It is the
+    /// probability with which a draw accepts the endpoint, and it divides the cost if endpoints are not sampled.
     fn relative_weight(&self, state: &EndpointState, capacity: f64) -> f64 {
         let endpoint_count = self.endpoints.sampling_order.len() as f64;
         state.weight * capacity / state.relative_latency * endpoint_count / self.endpoints.ready_weight / 2.0
--- a/crates/core/src/quota_gossip/mod.rs
+++ b/crates/core/src/quota_gossip/mod.rs
@@ -69,12 +69,12 @@
         }
     }
 
-    /// Records a sender's incarnation and sequence number. If the sender has restarted, it has lost all earlier
-    /// reports.
+    /// Records a sender's incarnation and sequence number. If the sender has restarted, it has lost all reports that it
+    /// received before.
     fn note_sender(&mut self, from: GatewayId, message: &Message) -> Freshness {
         let own_incarnation = incarnation_at(self.started_at);
-        let starts_before = message.incarnation.wrapping_add(MIN_AGE_DIFFERENCE_MILLIS);
-        self.older_peer_seen |= is_later(own_incarnation, starts_before);
+        let peer_start_with_margin = message.incarnation.wrapping_add(MIN_AGE_DIFFERENCE_MILLIS);
+        self.older_peer_seen |= is_later(own_incarnation, peer_start_with_margin);
         let peer = self.peers.entry(from).or_default();
         if peer.incarnation != message.incarnation {
             let is_first_contact = peer.incarnation == 0;
@@ -138,8 +138,8 @@
         }
     }
 
-    /// Sends the reports that are due. Once a second, queues reports again that may have been lost, and removes old
-    /// customers.
+    /// Sends the reports that are due. Once a second, queues reports again that may have been lost, and removes
+    /// customers whose state is no longer needed.
     pub(crate) fn gossip_tick(&mut self, actions: &mut Vec<Action>) {
         let now = self.now;
         let is_due = |peer: &&GatewayId| {
--- a/crates/core/src/quota_gossip/reports.rs
+++ b/crates/core/src/quota_gossip/reports.rs
@@ -14,7 +14,7 @@
 
 /// How long results of attempts are sent to peers: about as long as they affect the pressure.
 const SAMPLE_LIFETIME: Micros = 1_000_000;
-/// Interval at which reports that may have been lost are repeated, and old customers are removed.
+/// Interval at which reports that may have been lost are repeated, and customers that are no longer needed are removed.
 const MAINTENANCE_INTERVAL: Micros = 1_000_000;
 /// Time without a report of a peer after which its attempts in flight no longer count.
 const PEER_IN_FLIGHT_LIFETIME: Micros = 1_500_000;
@@ -144,7 +144,8 @@
         actions.push(Action::SendGossip { to: Some(to), bytes });
     }
 
-    /// Once a second, queues reports of customers with attempts in flight again, and removes old customers.
+    /// Once a second, queues reports of customers with attempts in flight again, and removes customers whose
+    /// state is no longer needed.
     pub(crate) fn expire_customers(&mut self) {
         let now = self.now;
         if now < self.next_maintenance {
--- a/crates/core/src/quota_gossip/requester.rs
+++ b/crates/core/src/quota_gossip/requester.rs
@@ -35,8 +35,8 @@
             self.tokens = reply.tokens - units_between(reply.receiver_total, wrap_units(self.used_units));
         }
         self.owner_query.replied.push(from);
-        // A transfer is for the requests that are held now. A late one lapses; otherwise a full bucket would exceed its
-        // capacity.
+        // A transfer is for the requests that are held now. A late transfer is ignored: added to a full bucket, it would
+        // exceed the bucket's capacity.
         if now - self.owner_query.started_at < TRANSFER_LIFETIME {
             self.transferred_tokens += reply.transferred_tokens;
         }
--- a/crates/core/src/request.rs
+++ b/crates/core/src/request.rs
@@ -28,8 +28,8 @@
     pub attempts: Vec<Attempt>,
     /// Whether it has its final answer or its client left; only the outcomes of attempts are still expected.
     pub finished: bool,
-    /// Whether its answer has begun to stream to the client. Its attempt is then no longer checked or cancelled; if the
-    /// attempt fails nevertheless, the request is retried like any other.
+    /// Whether its answer has begun to stream to the client. Its attempt is then no longer checked for silence or
+    /// cancelled; if the attempt fails nevertheless, the request is retried like any other.
     pub streaming: bool,
     /// Whether it is held until an owner of its customer's quota replies.
     pub awaiting_owner: bool,
--- a/crates/core/src/slow_start.rs
+++ b/crates/core/src/slow_start.rs
@@ -37,7 +37,7 @@
     }
 }
 
-/// Returns the share of its capacity that a starting endpoint has at least, from `slow_start_min_capacity` to 1; `None`
+/// Returns the minimum share of its capacity that a starting endpoint has, from `slow_start_min_capacity` to 1; `None`
 /// if its slow start has ended.
 pub fn warming_capacity(endpoint: &Endpoint, rules: &Rules, now: Micros) -> Option<f64> {
     let age = now.saturating_sub(endpoint.started_at);
--- a/crates/core/tests/arbitrary_events.rs
+++ b/crates/core/tests/arbitrary_events.rs
@@ -55,15 +55,24 @@
     }
 }
 
+/// One step of a sequence. Indexes and numbers may refer to nothing that exists.
 #[derive(Clone, Debug)]
 enum Step {
+    /// A request with `time_left` microseconds until its deadline.
     Request { class: u8, plan: u16, customer: u64, units: f64, gateway_count: f64, time_left: Micros },
+    /// The end of the attempt in flight with index `pick`, or of an attempt that the gateway does not know.
     FinishAttempt { pick: usize, outcome: usize, unknown: bool },
+    /// A client cancels the request with this id.
     ClientLeaves(usize),
+    /// Arbitrary bytes, received as gossip.
     Gossip { from: u16, bytes: Vec<u8> },
+    /// A peer, and whether it is reachable.
     Reachability(u16, bool),
+    /// An endpoint list. `kind` is an index of an update kind; if `starting`, the endpoints have just started.
     Endpoints { kind: u8, states: Vec<u8>, starting: bool },
+    /// This many timer events, 20 ms apart.
     Advance(u64),
+    /// Events that the gateway did not ask for, with this number as their ids and values.
     Unexpected(u64),
 }
 
@@ -94,13 +103,20 @@
 #[derive(Default)]
 struct Host {
     deadlines: BTreeMap<RequestId, Micros>,
+    /// 0: idempotent, 1: with an idempotency key, 2: not idempotent.
     classes: BTreeMap<RequestId, u8>,
+    /// Requests that have their final answer or whose client has left.
     ended: BTreeSet<RequestId>,
+    /// Number of attempts started for each request.
     attempts: BTreeMap<RequestId, u16>,
     in_flight: Vec<(RequestId, u16, BackendId)>,
+    /// Number of attempts of each request that ran or may have run.
     may_have_run: BTreeMap<RequestId, u16>,
+    /// Endpoints that are not listed as ready.
     unavailable: BTreeSet<BackendId>,
+    /// Units sent for each customer with a hard limit.
     hard_limit_use: BTreeMap<u64, f64>,
+    /// Plan, customer and units of each request.
     customers: BTreeMap<RequestId, (u16, u64, f64)>,
     log: Vec<String>,
 }
@@ -148,8 +164,8 @@
                 _ => {}
             }
         }
-        // This gateway's share of the hard limit is a third, or a half for customers of two gateways. Its bucket
-        // starts empty.
+        // This gateway may send at most the whole hard limit of plan 1: 30 units a second, and a burst of 60. Its own
+        // share is a third of that, or a half for customers of two gateways, and its bucket starts empty.
         let uptime_s = (now - START) as f64 / 1e6;
         for used in self.hard_limit_use.values() {
             assert!(
--- a/crates/core/tests/decision_trace.rs
+++ b/crates/core/tests/decision_trace.rs
@@ -757,8 +757,8 @@
     }
 }
 
-/// Asserts that a scenario has the `expected` digest, and that all kinds of events and actions but the `absent` ones
-/// occurred.
+/// Asserts that a scenario has the `expected` digest, and that each of the listed kinds of events and actions occurred,
+/// except for the `absent` ones.
 fn assert_digest(scenario: Scenario, expected: &str, absent: &[&str]) {
     let (digest, occurrences) = Fleet::new(scenario).run();
     let kinds = [
--- a/crates/core/tests/quota_gossip.rs
+++ b/crates/core/tests/quota_gossip.rs
@@ -103,6 +103,7 @@
         }
         for action in harness.advance(100_000) {
             if let Action::SendGossip { bytes, .. } = action {
+                // A report starts with the customer's id in five bytes, the lowest first.
                 reported.extend((0..100u8).filter(|n| bytes.windows(5).any(|w| w == [*n, 0, 0, 0, 0])));
             }
         }
@@ -110,8 +111,8 @@
     assert_eq!(reported.len(), 100, "every customer is reported, though more changed than a message holds");
 }
 
-/// An owner counts no usage for a request that it rejects, so that nothing is reported after a negative reply, and
-/// losses cause no further messages.
+/// An owner reserves nothing for a request that does not fit the quota. The requester therefore has no use to report
+/// after a negative reply, and nothing to repeat if a message is lost.
 #[test]
 fn a_negative_reply_needs_no_further_message() {
     let requester = Fleet::new(60).non_owner().0;
@@ -144,7 +145,7 @@
     for n in 0..14 {
         for action in harness.request_over(0, 0, 50 + n, 1.0, 60.0).1 {
             if let Action::SendGossip { bytes, .. } = action {
-                sample_counts.push(bytes[1] >> 2);
+                sample_counts.push(bytes[1] >> 2); // the second byte holds the number of samples above two bits
             }
         }
     }
