--- a/crates/quota-lease/src/holder.rs
+++ b/crates/quota-lease/src/holder.rs
@@ -155,7 +155,7 @@
     }
 
     /// Removes the grants that are spent in full. Returns them with their spent units, to be returned to the owner:
-    /// outstanding units occupy room in its bucket, and fewer are refilled.
+    /// its bucket is refilled only up to the burst less the outstanding units.
     pub fn take_exhausted(&mut self) -> Vec<(Grant, Units)> {
         let is_exhausted = |held: &HeldGrant| held.spent == held.grant.units;
         let exhausted = self.grants.iter().filter(|held| is_exhausted(held));
--- a/crates/quota-lease/src/lib.rs
+++ b/crates/quota-lease/src/lib.rs
@@ -2,10 +2,11 @@
 //! each grant for the duration of a lease. A holder spends a grant until, by its own clock, the lease ends, less a margin
 //! for clock drift. Performs no I/O and reads no clock.
 //!
-//! Granted units are taken from the bucket at once, and outstanding units occupy room in it. All that holders can spend at
-//! any time would therefore fit the bucket of a single process that sees every request. Units return to the bucket only
-//! when their holder returns them; units of an expired grant count as spent. So the limit is never exceeded, whichever
-//! members fail, are suspended or are disconnected; a failure makes fewer units available instead.
+//! Granted units are taken from the bucket at once, and the bucket is refilled only up to its burst less the
+//! outstanding units. Together the holders can therefore never spend more than a single process with the whole bucket
+//! would allow. Units return to the bucket only when their holder returns them; units of an expired grant count as
+//! spent. So the limit is never exceeded, whichever members fail, are suspended or are disconnected; a failure makes
+//! fewer units available instead.
 //!
 //! - [`token_bucket`]: token bucket in whole units
 //! - [`owner`]: grants units to holders
@@ -44,14 +45,14 @@
 }
 
 impl LeaseTerms {
-    /// Returns the time at which the receiver of a grant or vote stops using it, by its own clock: earlier than the
-    /// duration, because that clock may be slow. Counted from the request, because the receiver does not know when it was
-    /// granted; that was later.
+    /// Returns the time at which the receiver of a grant or vote stops using it, by its own clock: after less than the
+    /// duration, because that clock may be slow. The time is counted from the request: the receiver does not know when the
+    /// sender granted it, only that this was after the request.
     pub fn holder_expiry(&self, requested_at: Micros) -> Micros {
         requested_at + self.duration * u64::from(1000 - self.max_drift_permille.min(999)) / 1000
     }
 
-    /// Returns the time at which the sender of a grant or vote treats it as expired, by its own clock: later than the
+    /// Returns the time at which the sender of a grant or vote treats it as expired, by its own clock: after more than the
     /// duration, because that clock may be fast.
     pub fn grantor_expiry(&self, granted_at: Micros) -> Micros {
         granted_at + self.duration * u64::from(1000 + self.max_drift_permille) / 1000
--- a/crates/quota-lease/src/owner.rs
+++ b/crates/quota-lease/src/owner.rs
@@ -67,7 +67,7 @@
     /// Creates an owner whose ownership expires at `expires_at`, with the votes for it.
     ///
     /// It grants nothing for the duration of a lease: it does not know of the grants of an earlier owner, which have all
-    /// expired after that. Until then its bucket stays empty, as those grants may occupy all of its room.
+    /// expired after that. Until then its bucket stays empty, as those grants may add up to the whole burst.
     pub fn new(limit: Limit, terms: LeaseTerms, epoch: Epoch, now: Micros, expires_at: Micros) -> Owner {
         let grants_from = terms.grantor_expiry(now);
         Owner {
@@ -93,7 +93,8 @@
         self.expires_at = self.expires_at.max(expires_at);
     }
 
-    /// Refills the bucket and removes expired grants: their units count as spent and no longer occupy room.
+    /// Refills the bucket and removes expired grants: their units count as spent, and the bucket can refill by
+    /// as many.
     fn expire_grants(&mut self, now: Micros) {
         // Grants that expired since the last refill count as outstanding for all of that time. This can only refill less.
         self.bucket.refill(now, self.outstanding_units);
@@ -117,7 +118,8 @@
         request: &GrantRequest,
         max_units: Units,
     ) -> Result<Grant, GrantError> {
-        // Checked first: a process that was suspended past its ownership resumes with the requests that arrived meanwhile.
+        // Checked first: a process that was suspended until after its ownership expired still receives the requests that
+        // arrived during the suspension.
         if now >= self.expires_at {
             return Err(GrantError::NotOwner);
         }
--- a/crates/quota-lease/src/token_bucket.rs
+++ b/crates/quota-lease/src/token_bucket.rs
@@ -34,17 +34,17 @@
         self.level
     }
 
-    /// Refills the bucket for the time since the last refill. `outstanding`: granted units that occupy room in the bucket.
+    /// Refills the bucket for the time since the last refill, up to the burst less the `outstanding` granted units.
     pub fn refill(&mut self, now: Micros, outstanding: Units) {
-        let room = self.limit.burst.saturating_sub(outstanding);
+        let max_level = self.limit.burst.saturating_sub(outstanding);
         let elapsed = now.saturating_sub(self.refilled_at);
         self.refilled_at = self.refilled_at.max(now);
         let fractions = u128::from(elapsed) * u128::from(self.limit.rate) + u128::from(self.fraction);
         let whole = u64::try_from(fractions / u128::from(FRACTIONS_PER_UNIT)).unwrap_or(u64::MAX);
         self.fraction = (fractions % u128::from(FRACTIONS_PER_UNIT)) as u64;
-        if self.level.saturating_add(whole) >= room {
-            // Units beyond the room are lost, also the fraction of one; units already in the bucket stay.
-            self.level = self.level.max(room);
+        if self.level.saturating_add(whole) >= max_level {
+            // Units beyond the maximum are lost, also the fraction of one; units already in the bucket stay.
+            self.level = self.level.max(max_level);
             self.fraction = 0;
         } else {
             self.level += whole;
--- a/crates/quota-lease/tests/never_over.rs
+++ b/crates/quota-lease/tests/never_over.rs
@@ -185,8 +185,8 @@
             let (key, (from, to, message)) = entry.remove_entry();
             let suspended_until = self.instances[usize::from(to)].suspended_until;
             if suspended_until > self.now {
+                // The message waits in the receive buffer of the suspended instance.
                 self.in_flight.insert((suspended_until, key.1), (from, to, message));
-            // waits in the receive buffer
             } else {
                 self.receive(from, to, message);
             }
@@ -201,6 +201,7 @@
         }
     }
 
+    /// Does what an instance does without a message: holds an election, spends, requests and returns units.
     fn act(&mut self, n: u16) {
         let now = self.local_time(n);
         let instance = &mut self.instances[usize::from(n)];
@@ -250,6 +251,7 @@
         }
     }
 
+    /// Restarts or suspends an instance, or starts or ends a partition.
     fn inject_fault(&mut self) {
         let n = self.rng.random_range(0..INSTANCES);
         match self.rng.random_range(0..4) {
