--- a/crates/admission/src/decide.rs
+++ b/crates/admission/src/decide.rs
@@ -46,7 +46,7 @@
 pub enum Decision {
     /// The connection is admitted.
     Accept {
-        /// An idle connection that the caller must evict to make room.
+        /// An idle connection that the caller must evict to free its descriptor.
         evict: Option<ConnId>,
     },
     /// The connection is rejected.
