--- a/crates/deployment-config/src/error.rs
+++ b/crates/deployment-config/src/error.rs
@@ -42,7 +42,7 @@
         value: String,
     },
     /// The value is not one of the choices that the key offers.
-    #[error("setting {key} is unknown: {value}")]
+    #[error("setting {key} has an unknown value: {value}")]
     UnknownChoice {
         /// The key.
         key: String,
@@ -60,7 +60,7 @@
         key: String,
     },
     /// JSON objects are nested deeper than any setting.
-    #[error("setting {path} is nested too deep")]
+    #[error("setting {path} is nested deeper than {} levels", crate::json::MAX_DEPTH)]
     TooDeep {
         /// The path of the first value that is too deep.
         path: String,
--- a/crates/deployment-config/src/json.rs
+++ b/crates/deployment-config/src/json.rs
@@ -5,7 +5,7 @@
 use serde_json::Value;
 
 /// Maximum depth of JSON objects and arrays. No setting is nested deeper; bounds the recursion on untrusted input.
-const MAX_DEPTH: usize = 8;
+pub(crate) const MAX_DEPTH: usize = 8;
 
 /// Flattens a settings object. The keys of nested objects are joined by dots. A list of objects becomes its length
 /// under `.count` and its items under their indexes. The items of any other list are joined by commas. `null` counts
