--- a/crates/gateway/src/connection_gate/config.rs
+++ b/crates/gateway/src/connection_gate/config.rs
@@ -11,8 +11,8 @@
 
 /// Configuration of a [`ConnectionGate`](super::ConnectionGate).
 pub struct ConnectionGateConfig {
-    /// How the process's file descriptors are divided.
-    pub split: DescriptorReservations,
+    /// The file descriptors that are reserved for each use.
+    pub reservations: DescriptorReservations,
     /// Maximum number of descriptors in use; has no effect if the process's own limit is lower.
     pub max_descriptors: u64,
     /// Limits of connection admission.
@@ -34,7 +34,7 @@
         let descriptors = &settings.settings.descriptors;
         let frontend = &settings.settings.front;
         ConnectionGateConfig {
-            split: DescriptorReservations {
+            reservations: DescriptorReservations {
                 listeners: descriptors.listeners,
                 nodes: descriptors.nodes,
                 peers: descriptors.peers,
--- a/crates/gateway/src/connection_gate/mod.rs
+++ b/crates/gateway/src/connection_gate/mod.rs
@@ -53,7 +53,7 @@
     runtime: Shared,
     telemetry: Arc<Telemetry>,
     state: Mutex<State>,
-    split: DescriptorReservations,
+    reservations: DescriptorReservations,
     max_descriptors: u64,
     descriptor_limit: AtomicU64,
     rejections_in_progress: AtomicU64,
@@ -72,8 +72,8 @@
         telemetry: Arc<Telemetry>,
     ) -> Result<Arc<ConnectionGate>, BudgetError> {
         let limit = runtime.descriptors().min(config.max_descriptors);
-        let budget = config.split.split(limit, MIN_CLIENT_DESCRIPTORS)?;
-        tracing::info!(limit, clients = budget.clients, nodes = budget.nodes, "descriptors");
+        let budget = config.reservations.split(limit, MIN_CLIENT_DESCRIPTORS)?;
+        tracing::info!(limit, clients = budget.clients, nodes = budget.nodes, "file descriptors divided");
         let known_clients = KnownClients::new(config.known_clients, config.always_known);
         let state = State {
             admission: Admission::new(config.caps, budget, known_clients),
@@ -88,7 +88,7 @@
             runtime,
             telemetry,
             state: Mutex::new(state),
-            split: config.split,
+            reservations: config.reservations,
             max_descriptors: config.max_descriptors,
             descriptor_limit: AtomicU64::new(limit),
             rejections_in_progress: AtomicU64::new(0),
@@ -209,8 +209,9 @@
             return;
         }
         // If the limit is below the reservations, clients get no descriptors. Connections with open requests are kept.
-        let no_clients = DescriptorBudget { clients: 0, nodes: self.split.nodes, spare: self.split.spare };
-        let budget = self.split.split(limit, 1).unwrap_or(no_clients);
+        let no_clients =
+            DescriptorBudget { clients: 0, nodes: self.reservations.nodes, spare: self.reservations.spare };
+        let budget = self.reservations.split(limit, 1).unwrap_or(no_clients);
         tracing::warn!(old, limit, clients = budget.clients, "file descriptor limit changed");
         let mut state = self.state();
         for id in state.admission.set_budget(now, budget) {
--- a/crates/gateway/src/connection_gate/permit.rs
+++ b/crates/gateway/src/connection_gate/permit.rs
@@ -133,7 +133,7 @@
 impl RejectionSlot {
     /// Takes a slot, if fewer than half of the spare descriptors are in use for rejections.
     pub(super) fn take(gate: &Arc<ConnectionGate>) -> Option<RejectionSlot> {
-        if gate.rejections_in_progress.load(Ordering::Relaxed) >= gate.split.spare / 2 {
+        if gate.rejections_in_progress.load(Ordering::Relaxed) >= gate.reservations.spare / 2 {
             return None;
         }
         gate.rejections_in_progress.fetch_add(1, Ordering::Relaxed);
--- a/crates/gateway/src/frontends/context.rs
+++ b/crates/gateway/src/frontends/context.rs
@@ -25,7 +25,8 @@
     pub(crate) driver: Sender<DriverEvent>,
     /// Number of the next request.
     pub(crate) next_request: Arc<AtomicU64>,
-    /// Name of this start of the gateway. Makes its request ids and generated idempotency keys unique among all starts.
+    /// Name of this run of the gateway's process. It makes request ids and generated idempotency keys unique among all
+    /// gateways and restarts.
     pub(crate) instance_name: String,
 }
 
@@ -48,7 +49,7 @@
     pub arrived_at: Micros,
     /// Time after `arrived_at` for which the client waits.
     pub timeout: Option<Micros>,
-    /// Entries that are forwarded to the node.
+    /// Descriptor entries that are forwarded to the node.
     pub entries: Vec<Entry>,
     /// Body that is forwarded to the node.
     pub payload: Bytes,
--- a/crates/gateway/src/ledger/mod.rs
+++ b/crates/gateway/src/ledger/mod.rs
@@ -134,7 +134,7 @@
         let _ = self.wake.try_send(()); // fails if a wake-up is pending already
     }
 
-    /// Waits until all entries written so far are durable, the disk has failed, or it is `until`.
+    /// Waits until all entries written so far are durable, the disk has failed, or the time `until` is reached.
     pub async fn flush(&self, until: Micros) {
         let last_number = lock(&self.recorder).last_number();
         while self.durable_up_to().is_some_and(|number| number < last_number) && self.runtime.now() < until {
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,8 +1,8 @@
 //! chalkgap as a library: an API gateway that enforces quotas and priorities over a fleet of instances.
 //!
-//! An [`Instance`] is started from [`settings::Settings`] on a [`runtime`]. It serves the public gRPC rate limit
-//! service and MQTT, forwards admitted requests to nodes, exchanges gossip with its peers, and is drained or stopped
-//! through its handle. `chalkgap-core` takes all decisions on requests; the driver carries them out.
+//! An [`Instance`] is started from [`settings::Settings`] on a [`runtime`]. It serves Envoy's gRPC rate limit service
+//! and MQTT, forwards admitted requests to nodes, exchanges gossip with its peers, and is drained or stopped
+//! through its handle. `chalkgap-core` decides on requests, and the driver carries out its decisions.
 //!
 //! - [`frontend`]: the driver, the connection gate and the traits for further protocols
 //! - [`fleet`]: membership of the fleet
--- a/crates/gateway/src/settings/ledger.rs
+++ b/crates/gateway/src/settings/ledger.rs
@@ -163,8 +163,8 @@
 pub struct Export {
     /// Consumer of the exported periods.
     pub to: ExportTo,
-    /// Time after its end at which a period is exported even if some gateway has not reported it complete, in
-    /// milliseconds.
+    /// Time after the end of a period, in milliseconds. After it, the period is exported even if some gateway has not
+    /// reported it complete.
     #[serde(default = "default_after_ms")]
     #[garde(range(min = 1, max = 31_536_000_000u64))]
     pub after_ms: u64,
--- a/crates/gateway/src/settings/nodes.rs
+++ b/crates/gateway/src/settings/nodes.rs
@@ -59,7 +59,7 @@
 #[derive(Clone, Copy, Debug, Default, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "lowercase")]
 pub enum Sizes {
-    /// Sizes have no meaning.
+    /// Sizes are ignored.
     #[default]
     None,
     /// A size is the node's capacity, at least roughly.
--- a/crates/gateway/src/upstream/connection.rs
+++ b/crates/gateway/src/upstream/connection.rs
@@ -116,8 +116,8 @@
                     return Outcome::NotSent;
                 }
                 Turn::Signal | Turn::Closed => {
-                    let greeted = pipe.conn.settings_received();
-                    return if greeted { Outcome::NotSent } else { Outcome::ConnectFailed };
+                    let is_established = pipe.conn.settings_received();
+                    return if is_established { Outcome::NotSent } else { Outcome::ConnectFailed };
                 }
             }
             self.handle_events(&mut pipe);
--- a/crates/platform/src/connection_limits.rs
+++ b/crates/platform/src/connection_limits.rs
@@ -35,7 +35,7 @@
 /// would lose a request.
 pub(crate) fn gate_config(descriptors: u64) -> ConnectionGateConfig {
     ConnectionGateConfig {
-        split: descriptor_split(descriptors),
+        reservations: descriptor_split(descriptors),
         max_descriptors: descriptors,
         caps: Caps {
             per_address: u32::MAX,
