--- a/deploy/ingress.star
+++ b/deploy/ingress.star
@@ -1,5 +1,5 @@
 # Settings of one ingress of three. `chalkgap serve deploy/ingress.star --set me=1` starts the second one.
-# Spans are in milliseconds. `chalkgap schema` lists every setting, `chalkgap check` complains before a start does.
+# Durations are in milliseconds. `chalkgap schema` lists every setting; `chalkgap check` reports errors before a start.
 
 me = int(given.get("me", "0"))
 count = int(given.get("ingresses", "1"))
@@ -11,7 +11,7 @@
         "me": me,
         "zones": ["bldg-a", "bldg-b", "bldg-c"],
         "zone": "bldg-a",
-        # Messages between ingresses. The key is a secret: give it by --set and keep it out of the file.
+        # Messages between ingresses. The key is a secret: pass it by --set and keep it out of this file.
         "peers": {
             "listen": "127.0.0.1:%d" % (base + 1000 + me),
             "addresses": ["127.0.0.1:%d" % (base + 1000 + n) for n in range(count)],
@@ -34,7 +34,7 @@
     "accounts": {"acme": {"plan": "enterprise"}},
     "default_plan": "starter",
     "rules": {"drain_grace_ms": 2000, "cold_from": 0.19, "cold_ms": 18000, "fall_factor": 3, "fall_ms": 2000},
-    # Use by account and period, on this machine's disk; give a folder by --set ledger=PATH.
+    # Usage by account and period, on this machine's disk; pass a folder by --set ledger=PATH.
     "ledger": {"folder": given["ledger"], "period": {"seconds": 86400}} if "ledger" in given else None,
     "nodes": {"source": {"file": {"path": given.get("nodes", "nodes.json")}}},
 }
