--- a/crates/gateway/src/connection_gate/mod.rs
+++ b/crates/gateway/src/connection_gate/mod.rs
@@ -211,7 +211,7 @@
         // If the limit is below the reservations, clients get no descriptors. Connections with open requests are kept.
         let no_clients = DescriptorBudget { clients: 0, nodes: self.split.nodes, spare: self.split.spare };
         let budget = self.split.split(limit, 1).unwrap_or(no_clients);
-        tracing::warn!(old, limit, clients = budget.clients, "the limit of descriptors changed");
+        tracing::warn!(old, limit, clients = budget.clients, "file descriptor limit changed");
         let mut state = self.state();
         for id in state.admission.set_budget(now, budget) {
             add(&self.telemetry.connections_evicted);
