--- a/crates/cli/src/drill.rs
+++ b/crates/cli/src/drill.rs
@@ -45,7 +45,7 @@
         Err(e) => return fail(Exit::Settings, e),
     };
     let home = match std::env::current_exe() {
-        _ if !args.processes => Home::Here,
+        _ if !args.processes => Home::InProcess,
         Ok(program) => Home::Processes(program),
         Err(e) => return fail(Exit::System, format!("this program's own path: {e}")),
     };
--- a/crates/cli/tests/scenarios.rs
+++ b/crates/cli/tests/scenarios.rs
@@ -8,7 +8,7 @@
 use std::sync::{Mutex, PoisonError};
 
 fn homes() -> [Home; 2] {
-    [Home::Here, Home::Processes(env!("CARGO_BIN_EXE_chalkgap").into())]
+    [Home::InProcess, Home::Processes(env!("CARGO_BIN_EXE_chalkgap").into())]
 }
 
 /// One day at a time: days judge by times, and share two cores.
--- a/crates/fault-injection/src/audit.rs
+++ b/crates/fault-injection/src/audit.rs
@@ -1,8 +1,9 @@
-//! The auditor. It sees the journal of clients and nodes alone and judges the five rules from it; what ingresses count
-//! of themselves is not asked.
+//! The auditor: checks the five rules against the journal that the test clients, test nodes and the drill write. It does
+//! not use the ingresses' own counters.
 //!
-//! Where two clocks meet there is a tolerance, stated in [`Law`]: an attempt is seen when it arrives, a little after it
-//! was sent. Clients' answers are judged without any.
+//! Nodes record an attempt when it arrives, a little after the ingress sent it. Rules that compare such times with times
+//! of the sender allow for [`AuditConfig::tolerance`]. Answers are compared with their deadlines without a tolerance,
+//! because the client records both.
 
 use crate::fleet::Statement;
 use crate::ledger::Billing;
@@ -12,94 +13,98 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::net::SocketAddr;
 
-/// Whether a request may run again.
+/// When a request may be sent to a node again after its first attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Repeat {
-    /// Always.
+    /// At any time, to any node.
     Safe,
-    /// Within the cell of the first node, for this long after the first attempt.
+    /// Only to nodes in the cell of the first attempt, and for this many microseconds after it.
     Cell(Micros),
     /// Never.
     Once,
 }
 
-/// A plan's figures.
+/// Rates and limits of a plan.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Plan {
-    /// Units a second and at once, within the quota; a rate of 0: none.
+    /// Quota as a token bucket: (units per second, burst in units). A rate of 0 means no quota.
     pub quota: (f64, f64),
-    /// The same of the ceiling.
+    /// Ceiling as a token bucket: (units per second, burst in units). A rate of 0 means no ceiling.
     pub ceiling: (f64, f64),
-    /// Units by which the ceiling may be passed.
+    /// Units by which an account may exceed the ceiling.
     pub slack: f64,
 }
 
-/// What is judged by.
+/// Parameters of an audit.
 #[derive(Clone, Debug, Default)]
-pub struct Law {
-    /// Classes by name.
+pub struct AuditConfig {
+    /// Repeat rule of each class, by class name.
     pub classes: HashMap<String, Repeat>,
-    /// Plans by account.
+    /// Plan of each account, by account name.
     pub accounts: HashMap<String, Plan>,
-    /// The plan of all other accounts.
-    pub others: Plan,
-    /// New work to a draining node ends within this.
+    /// Plan of the accounts that are not in `accounts`.
+    pub default_plan: Plan,
+    /// Maximum time in which an ingress may still send new requests to a node after it learned that the node drains, in
+    /// microseconds.
     pub drain_grace: Micros,
-    /// An attempt arrives at most this long after it was sent, and news of a node is read within it.
+    /// Maximum time from sending an attempt to its arrival at the node, and from sending an update of the node list to
+    /// the ingress reading it, in microseconds.
     pub tolerance: Micros,
-    /// Calls with less time than this can get their answer late on this machine: they are counted apart.
-    pub least: Micros,
+    /// Calls with a shorter timeout than this, in microseconds, may be answered late because of the test machine alone.
+    /// They are counted in [`Verdict::hopeless`] and are no violations.
+    pub min_timeout: Micros,
 }
 
-/// A rule that was broken.
+/// One violation of a rule.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Violation {
-    /// The rule, from 1 to 5.
+    /// Number of the rule, from 1 to 5.
     pub rule: u8,
-    /// When.
+    /// Time of the violation in microseconds.
     pub at: Micros,
-    /// What was seen.
+    /// Description of the violation.
     pub what: String,
 }
 
-/// What a journal says.
+/// Result of an audit: violations and totals.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Verdict {
-    /// Broken rules; empty on a good day.
+    /// Violations in order of time; empty if all rules were kept.
     pub violations: Vec<Violation>,
-    /// Calls that were sent.
+    /// Number of calls that clients sent.
     pub calls: u64,
-    /// Answered OK.
+    /// Number of calls answered with OK.
     pub served: u64,
-    /// Refused.
+    /// Number of refused calls.
     pub refused: u64,
-    /// Failed, by gRPC status.
+    /// Number of failed calls, by gRPC status code.
     pub failed: BTreeMap<u32, u64>,
-    /// Never taken by an ingress.
+    /// Number of calls that no ingress accepted.
     pub not_taken: u64,
-    /// Held by an ingress that was killed.
+    /// Number of calls that an ingress held when it was killed.
     pub lost_with_ingress: u64,
-    /// Answered late because their ingress's process was stopped when their time ran out.
+    /// Number of calls answered late, or not at all, because the process of their ingress was stopped at their deadline.
     pub stalled: u64,
-    /// Answered late, but with less time from the start than the law's least.
+    /// Number of calls answered late whose timeout was shorter than [`AuditConfig::min_timeout`].
     pub hopeless: u64,
-    /// Attempts that arrived at nodes.
+    /// Number of attempts that arrived at nodes.
     pub attempts: u64,
-    /// Units first sent on, and those of them beyond their account's quota.
+    /// Units of all calls that reached a node, each call counted once.
     pub units: f64,
-    /// See `units`.
+    /// Part of `units` that exceeded the quota of its account.
     pub beyond_quota: f64,
-    /// Times of served calls in microseconds: half, 99 and 99.9 of 100 were faster.
+    /// Latency of served calls in microseconds: 50th, 99th and 99.9th percentile.
     pub served_us: [u64; 3],
-    /// The same of refusals.
+    /// Latency of refused calls in microseconds: 50th, 99th and 99.9th percentile.
     pub refused_us: [u64; 3],
-    /// What was billed, where ingresses have ledgers.
+    /// Comparison of billed and counted units; `None` if the ingresses keep no ledgers.
     pub billing: Option<Billing>,
-    /// What was stated of the fleet's views, where ingresses have them.
+    /// Checks of the fleet's membership views; `None` if the day has no `fleet`.
     pub views: Option<Vec<Statement>>,
 }
 
-struct Asked<'j> {
+/// A call as its client sent it.
+struct SentCall<'j> {
     at: Micros,
     ingress: u16,
     account: &'j str,
@@ -108,93 +113,115 @@
     deadline: Micros,
 }
 
-struct Store {
+/// Token buckets of an account.
+struct AccountBuckets {
     plan: Plan,
+    /// Units left in the quota.
     quota: f64,
+    /// Units left in the ceiling; negative if it was exceeded.
     ceiling: f64,
-    at: Micros,
+    updated_at: Micros,
 }
 
+/// Returns the 50th, 99th and 99.9th percentile; 0 if there are no times.
 fn percentiles(mut times: Vec<u64>) -> [u64; 3] {
     times.sort_unstable();
     let at = |share: f64| times.get(((times.len() as f64 * share) as usize).min(times.len().max(1) - 1));
     [0.5, 0.99, 0.999].map(|share| at(share).copied().unwrap_or(0))
 }
 
-/// Judges a journal, sorted by time. Calls still open at its end are those of a drill that was cut short: it is for
-/// the drill to wait for all.
+/// Checks a journal, which has to be sorted by time. The drill has to wait for all calls first: a call that is still open
+/// at the end of the journal counts as unanswered.
 #[expect(clippy::too_many_lines, reason = "not split yet, see docs/ROADMAP.md")]
-pub fn judge(journal: &[Entry], law: &Law) -> Verdict {
-    let mut v = Verdict::default();
-    let mut asked: BTreeMap<u64, Asked> = BTreeMap::new();
+pub fn judge(journal: &[Entry], config: &AuditConfig) -> Verdict {
+    let mut verdict = Verdict::default();
+    let mut calls: BTreeMap<u64, SentCall> = BTreeMap::new();
     let mut answers: BTreeMap<u64, Vec<(Micros, &Answer)>> = BTreeMap::new();
     let mut arrived: BTreeMap<u64, Vec<(Micros, SocketAddr, &str)>> = BTreeMap::new();
     let mut ran: BTreeMap<u64, u64> = BTreeMap::new();
     let mut killed: Vec<(Micros, u16)> = Vec::new();
+    // Start, end and ingress of each stall.
     let mut stalls: Vec<(Micros, Micros, u16)> = Vec::new();
-    // By ingress and node: since when it has known that the node takes nothing.
+    // Time at which each ingress was informed that a node accepts no new requests, by ingress and node.
     let mut closed: HashMap<(u16, SocketAddr), Micros> = HashMap::new();
-    let mut stores: HashMap<&str, Store> = HashMap::new();
-    let mut broken: Vec<Violation> = Vec::new();
-    let mut say = |rule: u8, at: Micros, what: String| broken.push(Violation { rule, at, what });
+    let mut buckets: HashMap<&str, AccountBuckets> = HashMap::new();
+    let mut violations: Vec<Violation> = Vec::new();
+    let mut report = |rule: u8, at: Micros, what: String| violations.push(Violation { rule, at, what });
     for (at, seen) in journal {
         match seen {
             Seen::Asked { call, ingress, account, class, units, deadline, .. } => {
                 let units = f64::from(*units);
-                let a = Asked { at: *at, ingress: *ingress, account, class, units, deadline: *deadline };
-                asked.insert(*call, a);
+                let sent_call =
+                    SentCall { at: *at, ingress: *ingress, account, class, units, deadline: *deadline };
+                calls.insert(*call, sent_call);
             }
             Seen::Answered { call, answer } => answers.entry(*call).or_default().push((*at, answer)),
             Seen::Arrived { node, cell, call, request, .. } => {
-                let list = arrived.entry(*call).or_default();
-                let first = list.is_empty();
-                list.push((*at, *node, cell));
+                let attempts = arrived.entry(*call).or_default();
+                let is_first_attempt = attempts.is_empty();
+                attempts.push((*at, *node, cell));
                 let ingress = request.split('-').next().and_then(|n| n.parse().ok());
                 let Some(ingress): Option<u16> = ingress else {
-                    say(2, *at, format!("call {call}: attempt without a name ({request:?})"));
+                    report(
+                        2,
+                        *at,
+                        format!(
+                            "call {call}: attempt without an ingress number in its request id ({request:?})"
+                        ),
+                    );
                     continue;
                 };
-                let since = closed.get(&(ingress, *node)).copied();
-                if since.is_some_and(|s| *at > s + law.drain_grace + law.tolerance) {
-                    let late = (*at - since.unwrap_or(*at)) / 1000;
-                    say(
+                let closed_at = closed.get(&(ingress, *node)).copied();
+                if closed_at.is_some_and(|t| *at > t + config.drain_grace + config.tolerance) {
+                    let late_ms = (*at - closed_at.unwrap_or(*at)) / 1000;
+                    report(
                         3,
                         *at,
-                        format!("ingress {ingress} sent call {call} to {node} {late} ms after it was told"),
+                        format!(
+                            "ingress {ingress} sent call {call} to {node} {late_ms} ms after it was informed that \
+                             the node accepts no new requests"
+                        ),
                     );
                 }
-                let Some(a) = asked.get(call).filter(|_| first) else { continue };
-                let plan = law.accounts.get(a.account).copied().unwrap_or(law.others);
-                let s = stores.entry(a.account).or_insert(Store {
+                let Some(sent_call) = calls.get(call).filter(|_| is_first_attempt) else { continue };
+                let plan = config.accounts.get(sent_call.account).copied().unwrap_or(config.default_plan);
+                let bucket = buckets.entry(sent_call.account).or_insert(AccountBuckets {
                     plan,
                     quota: plan.quota.1,
                     ceiling: plan.ceiling.1,
-                    at: *at,
+                    updated_at: *at,
                 });
-                let span = at.saturating_sub(s.at) as f64 / 1e6;
-                s.at = *at;
-                s.quota = (s.quota + span * s.plan.quota.0).min(s.plan.quota.1);
-                s.ceiling = (s.ceiling + span * s.plan.ceiling.0).min(s.plan.ceiling.1) - a.units;
-                v.units += a.units;
+                let elapsed_s = at.saturating_sub(bucket.updated_at) as f64 / 1e6;
+                bucket.updated_at = *at;
+                bucket.quota = (bucket.quota + elapsed_s * bucket.plan.quota.0).min(bucket.plan.quota.1);
+                bucket.ceiling = (bucket.ceiling + elapsed_s * bucket.plan.ceiling.0)
+                    .min(bucket.plan.ceiling.1)
+                    - sent_call.units;
+                verdict.units += sent_call.units;
                 if plan.quota.0 > 0.0 {
-                    if s.quota + 1e-9 >= a.units {
-                        s.quota -= a.units;
+                    if bucket.quota + 1e-9 >= sent_call.units {
+                        bucket.quota -= sent_call.units;
                     } else {
-                        v.beyond_quota += a.units;
+                        verdict.beyond_quota += sent_call.units;
                     }
                 }
-                // What was sent a moment ago arrives bunched up: as much may seem to come at once.
-                let bunched = plan.ceiling.0 * law.tolerance as f64 / 1e6;
-                if plan.ceiling.0 > 0.0 && s.ceiling < -(plan.slack + bunched + 1e-9) {
-                    say(
+                // Attempts sent over a span of up to `tolerance` can arrive at the same time.
+                let delayed_units = plan.ceiling.0 * config.tolerance as f64 / 1e6;
+                if plan.ceiling.0 > 0.0 && bucket.ceiling < -(plan.slack + delayed_units + 1e-9) {
+                    report(
                         5,
                         *at,
-                        format!("{}: ceiling passed by {:.2} units, call {call}", a.account, -s.ceiling),
+                        format!(
+                            "account {}: ceiling exceeded by {:.2} units, call {call}",
+                            sent_call.account, -bucket.ceiling
+                        ),
                     );
                 }
             }
             Seen::Ran { call, .. } => *ran.entry(*call).or_default() += 1,
-            Seen::Fell { node } => say(4, *at, format!("cold node {node} was pushed over")),
+            Seen::Fell { node } => {
+                report(4, *at, format!("node {node} was overloaded during its slow start"))
+            }
             Seen::Told { ingress, node, ready } => {
                 if *ready {
                     closed.remove(&(*ingress, *node));
@@ -203,125 +230,142 @@
                 }
             }
             Seen::Broke { ingress, what } => {
-                say(1, *at, format!("ingress {ingress} broke the protocol: {what}"))
+                report(1, *at, format!("ingress {ingress} broke the protocol: {what}"))
             }
             Seen::Stalled { ingress, until } => stalls.push((*at, *until, *ingress)),
             Seen::Killed { ingress } => {
                 killed.push((*at, *ingress));
-                closed.retain(|k, _| k.0 != *ingress); // its next life is told anew
+                closed.retain(|k, _| k.0 != *ingress); // a restarted ingress gets the node list again
             }
         }
     }
-    v.attempts = arrived.values().map(|l| l.len() as u64).sum();
+    verdict.attempts = arrived.values().map(|l| l.len() as u64).sum();
     let (mut served, mut refused) = (Vec::new(), Vec::new());
-    for (call, a) in &asked {
-        v.calls += 1;
-        let list = answers.get(call).map(Vec::as_slice).unwrap_or_default();
-        let tries = arrived.get(call).map(Vec::as_slice).unwrap_or_default();
-        let finals = list
+    for (call, sent_call) in &calls {
+        verdict.calls += 1;
+        let call_answers = answers.get(call).map(Vec::as_slice).unwrap_or_default();
+        let attempts = arrived.get(call).map(Vec::as_slice).unwrap_or_default();
+        let finals = call_answers
             .iter()
             .filter(|l| matches!(l.1, Answer::Served | Answer::Refused { .. } | Answer::Failed { .. }));
         let finals: Vec<&(Micros, &Answer)> = finals.collect();
         if finals.len() > 1 {
-            say(1, finals[1].0, format!("call {call}: {} final answers", finals.len()));
+            report(1, finals[1].0, format!("call {call}: {} final answers", finals.len()));
         }
-        let repeat = law.classes.get(a.class).copied().unwrap_or(Repeat::Once);
+        let repeat = config.classes.get(sent_call.class).copied().unwrap_or(Repeat::Once);
         match finals.first() {
             None => {
-                let not_taken = list.iter().any(|l| *l.1 == Answer::NotTaken);
-                let end = list.first().map_or(Micros::MAX, |l| l.0);
-                let dead =
-                    killed.iter().any(|k| k.1 == a.ingress && k.0 + law.tolerance >= a.at && k.0 <= end);
-                if not_taken && tries.is_empty() {
-                    v.not_taken += 1;
-                } else if stalls.iter().any(|s| s.2 == a.ingress && a.at <= s.1 && end >= s.0)
-                    && a.deadline < end
+                let not_taken = call_answers.iter().any(|l| *l.1 == Answer::NotTaken);
+                let end = call_answers.first().map_or(Micros::MAX, |l| l.0);
+                let ingress_killed = killed.iter().any(|k| {
+                    k.1 == sent_call.ingress && k.0 + config.tolerance >= sent_call.at && k.0 <= end
+                });
+                if not_taken && attempts.is_empty() {
+                    verdict.not_taken += 1;
+                } else if stalls.iter().any(|s| s.2 == sent_call.ingress && sent_call.at <= s.1 && end >= s.0)
+                    && sent_call.deadline < end
                 {
-                    v.stalled += 1; // its client had left before it went on
-                } else if dead {
-                    v.lost_with_ingress += 1;
+                    verdict.stalled += 1; // the client gave up before the ingress resumed
+                } else if ingress_killed {
+                    verdict.lost_with_ingress += 1;
                 } else {
-                    let told = list.first().map(|l| format!("{:?}", l.1)).unwrap_or_else(|| "nothing".into());
-                    say(
+                    let received = call_answers
+                        .first()
+                        .map(|l| format!("{:?}", l.1))
+                        .unwrap_or_else(|| "nothing".into());
+                    report(
                         1,
-                        end.min(a.deadline),
-                        format!("call {call}: no final answer, its client saw {told}"),
+                        end.min(sent_call.deadline),
+                        format!("call {call}: no final answer, its client received {received}"),
                     );
                 }
             }
             Some((at, answer)) => {
-                if *at > a.deadline {
-                    // Nobody answers while stopped. What was asked or ran out in that time is not the ingress's fault,
-                    // but it owes the answer as soon as it goes on.
-                    let stopped = |s: &&(Micros, Micros, u16)| {
-                        s.2 == a.ingress
-                            && a.at <= s.1
-                            && a.deadline + law.least >= s.0
-                            && *at <= s.1 + law.tolerance
+                if *at > sent_call.deadline {
+                    // A stopped process cannot answer. A call that was sent, or reached its deadline, while the ingress
+                    // was stopped is no violation if the ingress answers it as soon as it resumes.
+                    let delayed_by = |s: &(Micros, Micros, u16)| {
+                        s.2 == sent_call.ingress
+                            && sent_call.at <= s.1
+                            && sent_call.deadline + config.min_timeout >= s.0
+                            && *at <= s.1 + config.tolerance
                     };
-                    if stalls.iter().any(|s| stopped(&s)) {
-                        v.stalled += 1;
-                    } else if a.deadline - a.at < law.least {
-                        v.hopeless += 1;
+                    if stalls.iter().any(delayed_by) {
+                        verdict.stalled += 1;
+                    } else if sent_call.deadline - sent_call.at < config.min_timeout {
+                        verdict.hopeless += 1;
                     } else {
-                        let late = *at - a.deadline;
-                        let (class, ingress, had) = (a.class, a.ingress, (a.deadline - a.at) / 1000);
-                        let tries: Vec<u64> = tries.iter().map(|t| t.0.saturating_sub(a.at) / 1000).collect();
+                        let late = *at - sent_call.deadline;
+                        let SentCall { class, ingress, .. } = sent_call;
+                        let timeout_ms = (sent_call.deadline - sent_call.at) / 1000;
+                        let arrivals: Vec<u64> =
+                            attempts.iter().map(|t| t.0.saturating_sub(sent_call.at) / 1000).collect();
                         let what = format!(
-                            "call {call} ({class}, ingress {ingress}, {had} ms, tries arrived at {tries:?}): answered \
-                             {late} us after its time, {answer:?}"
+                            "call {call} (class {class}, ingress {ingress}, timeout {timeout_ms} ms, attempts arrived \
+                             after {arrivals:?} ms): answered {late} us after its deadline, {answer:?}"
                         );
-                        say(1, *at, what);
+                        report(1, *at, what);
                     }
                 }
                 match answer {
                     Answer::Served => {
-                        v.served += 1;
-                        served.push(at - a.at);
-                        if tries.is_empty() {
-                            say(1, *at, format!("call {call}: served, and no node ever saw it"));
+                        verdict.served += 1;
+                        served.push(at - sent_call.at);
+                        if attempts.is_empty() {
+                            report(1, *at, format!("call {call}: served, but it arrived at no node"));
                         }
                     }
                     Answer::Refused { .. } => {
-                        v.refused += 1;
-                        refused.push(at - a.at);
-                        if !tries.is_empty() && repeat != Repeat::Safe {
-                            say(2, *at, format!("call {call}: refused, but it may have run ({})", a.class));
+                        verdict.refused += 1;
+                        refused.push(at - sent_call.at);
+                        if !attempts.is_empty() && repeat != Repeat::Safe {
+                            report(
+                                2,
+                                *at,
+                                format!(
+                                    "call {call}: refused after it was sent to a node (class {})",
+                                    sent_call.class
+                                ),
+                            );
                         }
                     }
-                    Answer::Failed { code } => *v.failed.entry(*code).or_default() += 1,
+                    Answer::Failed { code } => *verdict.failed.entry(*code).or_default() += 1,
                     Answer::Broken | Answer::NotTaken | Answer::Left => {}
                 }
             }
         }
-        let Some((first_at, _, cell)) = tries.first() else { continue };
+        let Some((first_at, _, cell)) = attempts.first() else { continue };
         match repeat {
             Repeat::Safe => {}
             Repeat::Once => {
-                if tries.len() > 1 {
-                    say(2, tries[1].0, format!("call {call}: unsafe, sent {} times", tries.len()));
+                if attempts.len() > 1 {
+                    report(
+                        2,
+                        attempts[1].0,
+                        format!("call {call}: must run once, sent {} times", attempts.len()),
+                    );
                 }
                 if ran.get(call).is_some_and(|n| *n > 1) {
-                    say(2, a.at, format!("call {call}: unsafe, ran twice"));
+                    report(2, sent_call.at, format!("call {call}: must run once, ran more than once"));
                 }
             }
             Repeat::Cell(window) => {
-                let cells: BTreeSet<&str> = tries.iter().map(|t| t.2).collect();
+                let cells: BTreeSet<&str> = attempts.iter().map(|t| t.2).collect();
                 if cells.len() > 1 {
-                    say(2, tries[1].0, format!("call {call}: keyed, sent outside of cell {cell}"));
+                    report(2, attempts[1].0, format!("call {call}: keyed, sent outside of cell {cell}"));
                 }
-                if let Some(late) = tries.iter().find(|t| t.0 > first_at + window + law.tolerance) {
-                    say(2, late.0, format!("call {call}: keyed, sent again after its window"));
+                if let Some(late) = attempts.iter().find(|t| t.0 > first_at + window + config.tolerance) {
+                    report(2, late.0, format!("call {call}: keyed, sent again after its window"));
                 }
                 if ran.get(call).is_some_and(|n| *n > 1) {
-                    say(2, a.at, format!("call {call}: keyed, its effect is there {} times", ran[call]));
+                    report(2, sent_call.at, format!("call {call}: keyed, ran {} times", ran[call]));
                 }
             }
         }
     }
-    v.served_us = percentiles(served);
-    v.refused_us = percentiles(refused);
-    broken.sort_by_key(|b| b.at);
-    v.violations = broken;
-    v
+    verdict.served_us = percentiles(served);
+    verdict.refused_us = percentiles(refused);
+    violations.sort_by_key(|v| v.at);
+    verdict.violations = violations;
+    verdict
 }
--- a/crates/fault-injection/src/day.rs
+++ b/crates/fault-injection/src/day.rs
@@ -1,4 +1,5 @@
-//! A day's script: who asks, what serves, what goes wrong and when. Starlark that binds `day`; times in seconds.
+//! The script of a day: clients, nodes, faults and their times. It is a Starlark file that binds `day`. Times are in
+//! seconds unless a name has another unit.
 
 use chalkgap::settings::{self, script, SettingsError};
 use garde::Validate;
@@ -6,108 +7,108 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// A day.
+/// A day: the configuration of a drill.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema, Validate)]
 #[serde(deny_unknown_fields)]
 #[garde(allow_unvalidated)]
 pub struct Day {
-    /// Seed of traffic, work, faults and weather.
+    /// Seed of the random traffic, work, faults and link delays.
     pub seed: u64,
-    /// How long clients ask.
+    /// How long clients send requests, in seconds.
     #[garde(range(min = 0.1, max = 3600.0))]
     pub seconds: f64,
-    /// How many ingresses.
+    /// Number of ingresses that run from the start.
     #[garde(range(min = 1, max = 32))]
     pub ingresses: u16,
-    /// Numbers beyond these that a trouble may start later.
+    /// Number of further ingresses that a trouble can start later.
     #[serde(default)]
     #[garde(range(max = 32))]
     pub reserve: u16,
-    /// The view that ingresses have of each other, and what is stated of it; none: they are told who there is, for good.
+    /// Membership of the ingresses, and the bounds that it has to meet. `None`: each ingress has a fixed list of the others.
     #[serde(default)]
     #[garde(dive)]
     pub fleet: Option<FleetDay>,
-    /// Their settings, but for what a drill fills in: `fleet`, `front.listen`, `nodes`; folder, group and export of a
-    /// `ledger`.
+    /// Settings of the ingresses. The drill fills in `fleet`, `front.listen` and `nodes`, and the folder, group and export
+    /// of a `ledger`.
     pub settings: serde_json::Value,
-    /// Zones, given to ingresses and nodes in turn.
+    /// Zones. Ingresses and nodes are assigned to them round robin.
     #[garde(length(min = 1, max = 16))]
     pub zones: Vec<String>,
-    /// Nodes.
+    /// Groups of nodes.
     #[garde(dive, length(min = 1))]
     pub nodes: Vec<NodeGroup>,
-    /// Mean work of each class in milliseconds of one core of speed 1.
+    /// Mean processing time by class, in milliseconds on one core of speed 1.
     pub work_ms: BTreeMap<String, f64>,
-    /// How long a cell remembers a key.
+    /// How long a cell remembers the key of a request, in seconds.
     #[serde(default = "key_memory")]
     #[garde(range(min = 0.001, max = 3600.0))]
     pub key_memory_s: f64,
-    /// Accounts.
+    /// Groups of accounts.
     #[garde(dive, length(min = 1))]
     pub accounts: Vec<AccountGroup>,
-    /// What clients do.
+    /// Behaviour of the clients.
     #[serde(default)]
     #[garde(dive)]
     pub clients: Clients,
-    /// Datagrams between ingresses.
+    /// Usual faults of the datagrams between ingresses.
     #[serde(default)]
     #[garde(dive)]
     pub network: Network,
-    /// News of nodes reach the roster this late.
+    /// Delay in seconds until the registry publishes a changed node state.
     #[serde(default)]
     #[garde(range(min = 0.0, max = 60.0))]
     pub news_late_s: f64,
-    /// What goes wrong.
+    /// Faults that the drill injects.
     #[serde(default)]
     #[garde(dive)]
     pub troubles: Vec<Trouble>,
-    /// The auditor's tolerance where clocks of two processes meet.
+    /// The auditor's tolerance, in milliseconds, where it compares times that different processes recorded.
     #[serde(default = "tolerance")]
     #[garde(range(min = 1, max = 5000))]
     pub tolerance_ms: u64,
 }
 
-/// The fleet's view on a day, where ingresses are processes of their own.
+/// Membership of the fleet on a day. Requires that each ingress runs in a process of its own.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema, Validate)]
 #[serde(deny_unknown_fields)]
 #[garde(allow_unvalidated)]
 pub struct FleetDay {
-    /// `fleet.peers.view` of the settings, but for `seeds` and `address`, which the drill fills in.
+    /// `fleet.peers.view` of the settings. The drill fills in `seeds` and `address`.
     #[serde(default)]
     pub view: serde_json::Value,
-    /// How many of the first ingresses are seeds.
+    /// Number of ingresses that are seeds, starting with ingress 0.
     #[serde(default = "two")]
     #[garde(range(min = 1, max = 32))]
     pub seeds: u16,
-    /// The number of an ingress that has another key than the others.
+    /// Number of an ingress whose key differs from the key of the others; `None`: all have the same key.
     #[serde(default)]
     pub stranger: Option<u16>,
-    /// What has to hold.
+    /// Bounds that the views have to meet.
     #[garde(dive)]
     pub stated: Stated,
 }
 
-/// Bounds that a day states of the fleet's view. What is not there is not judged; what is there has to be seen at least
-/// once. That nobody is held for lost who was there and in reach, always has to hold.
+/// Bounds on the fleet's membership views. A bound that is not set is not checked; a bound that is set needs at least one
+/// measurement. Independent of these, no member may be listed as lost while it runs and can be reached.
 #[derive(Clone, Copy, Debug, Default, Serialize, Deserialize, JsonSchema, Validate)]
 #[serde(deny_unknown_fields, default)]
 pub struct Stated {
-    /// Seconds until all others know of a death, or of one that left.
+    /// Maximum seconds until all others know that a process died or left.
     #[garde(inner(range(min = 0.0, max = 600.0)))]
     pub death_s: Option<f64>,
-    /// Seconds until all views are equal, after a heal, a start, or one that woke.
+    /// Maximum seconds until all views are equal after a partition was healed or a process was started or resumed.
     #[garde(inner(range(min = 0.0, max = 600.0)))]
     pub meet_s: Option<f64>,
-    /// Seconds until a part of half or fewer says that it is cut off.
+    /// Maximum seconds until the processes of a part with half of the fleet or less log that they are cut off.
     #[garde(inner(range(min = 0.0, max = 600.0)))]
     pub cut_s: Option<f64>,
-    /// Seconds until a process knows that another one has its number.
+    /// Maximum seconds until a process knows that another one has taken its number.
     #[garde(inner(range(min = 0.0, max = 600.0)))]
     pub takeover_s: Option<f64>,
-    /// Messages of the view that an ingress sends in a second, as a mean of the day.
+    /// Maximum membership messages per second that an ingress sends, as an average over the day.
     #[garde(inner(range(min = 0.0, max = 10_000.0)))]
     pub messages_per_s: Option<f64>,
-    /// And bytes.
+    /// Maximum membership bytes per second that an ingress sends, as an average over the day.
     #[garde(inner(range(min = 0.0, max = 10_000_000.0)))]
     pub bytes_per_s: Option<f64>,
 }
@@ -119,22 +120,22 @@
     100
 }
 
-/// Nodes of one kind.
+/// Nodes with the same capacity.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema, Validate)]
 #[serde(deny_unknown_fields)]
 #[garde(allow_unvalidated)]
 pub struct NodeGroup {
-    /// How many.
+    /// Number of nodes.
     #[garde(range(min = 1, max = 500))]
     pub count: usize,
-    /// Requests in work at once.
+    /// Number of requests that a node processes at the same time.
     #[garde(range(min = 1, max = 1024))]
     pub cores: usize,
-    /// Work is divided by it.
+    /// Speed of a core. The processing time is divided by it.
     #[serde(default = "one")]
     #[garde(range(min = 0.01, max = 100.0))]
     pub speed: f64,
-    /// Requests that may wait.
+    /// Maximum number of requests that wait for a core.
     #[serde(default = "queue")]
     pub queue: usize,
 }
@@ -146,38 +147,38 @@
     10_000
 }
 
-/// Accounts that behave alike.
+/// Accounts with the same behaviour.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema, Validate)]
 #[serde(deny_unknown_fields)]
 #[garde(allow_unvalidated)]
 pub struct AccountGroup {
-    /// Their names are this and a number.
+    /// Prefix of the account names: an account is called `NAME-NUMBER`.
     #[garde(length(min = 1, max = 50))]
     pub name: String,
-    /// Their plan.
+    /// Name of their plan.
     pub plan: String,
-    /// How many.
+    /// Number of accounts.
     #[garde(range(min = 1, max = 10_000))]
     pub count: usize,
-    /// Requests a second of each; none where `fixed` is set.
+    /// Requests per second of each account; not used if `fixed` is set.
     #[serde(default)]
     #[garde(range(min = 0.0, max = 10_000.0))]
     pub rate: f64,
-    /// Instead of a rate: so many requests, one after the other, then nothing.
+    /// Number of requests of each account, sent one after the other; 0: the account sends at `rate` instead.
     #[serde(default)]
     pub fixed: u32,
-    /// Shares of the classes.
+    /// Share of each class in the requests, by class name.
     pub classes: BTreeMap<String, f64>,
-    /// How many ingresses each uses, from a first one by its number.
+    /// Number of ingresses that each account uses. The first one follows from the number of the account.
     #[serde(default = "two")]
     #[garde(range(min = 1, max = 32))]
     pub width: u16,
-    /// What they speak.
+    /// Protocol that their clients use.
     #[serde(default)]
     pub door: Door,
 }
 
-/// The front that clients use.
+/// Protocol between clients and ingresses.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
 pub enum Door {
@@ -192,26 +193,26 @@
     2
 }
 
-/// What clients do.
+/// Behaviour of the clients.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema, Validate)]
 #[serde(deny_unknown_fields, default)]
 #[garde(allow_unvalidated)]
 pub struct Clients {
-    /// Tries after the first.
+    /// Maximum number of retries of a request.
     #[garde(range(min = 0, max = 20))]
     pub retries: u32,
-    /// The pause before them, where none is told.
+    /// Pause before a retry in milliseconds, if the answer does not name one.
     #[garde(range(min = 0, max = 60_000))]
     pub pause_ms: u64,
-    /// Each try waits for this share of its class's deadline, or more.
+    /// Minimum timeout of a try, as a share of the deadline of its class. The timeout is drawn from this share to 1.
     #[garde(range(min = 0.001, max = 1.0))]
     pub patience: f64,
-    /// Share of the calls that come with almost no time.
+    /// Share of the requests whose timeouts are less than 30 ms.
     #[garde(range(min = 0.0, max = 1.0))]
     pub hurried: f64,
-    /// Units of each class; 1 where none are given.
+    /// Units that a request costs, by class name; 1 for a class that is not listed.
     pub units: BTreeMap<String, u32>,
-    /// Requests go on coming to a dead ingress for this long.
+    /// How long clients still send requests to an ingress after it went down, in seconds.
     #[garde(range(min = 0.0, max = 60.0))]
     pub notice_s: f64,
 }
@@ -229,146 +230,148 @@
     }
 }
 
-/// Datagrams between ingresses.
+/// Usual faults of the datagrams between ingresses.
 #[derive(Clone, Debug, Default, Serialize, Deserialize, JsonSchema, Validate)]
 #[serde(deny_unknown_fields, default)]
 pub struct Network {
-    /// Share that is lost.
+    /// Share of the datagrams that are lost.
     #[garde(range(min = 0.0, max = 1.0))]
     pub loss: f64,
-    /// Share that comes twice.
+    /// Share of the datagrams that are delivered twice.
     #[garde(range(min = 0.0, max = 1.0))]
     pub double: f64,
-    /// The least and longest way in milliseconds.
+    /// Minimum and maximum delay in milliseconds.
     #[garde(inner(range(max = 10_000)))]
     pub delay_ms: [u64; 2],
 }
 
-/// Something that goes wrong for a while.
+/// A fault that the drill injects.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema, Validate)]
 #[serde(deny_unknown_fields)]
 #[garde(allow_unvalidated)]
 pub struct Trouble {
-    /// What.
+    /// Kind of the fault.
     pub kind: Kind,
-    /// When it begins.
+    /// Start in seconds after the start of the day.
     #[garde(range(min = 0.0, max = 3600.0))]
     pub at: f64,
-    /// How long it lasts.
+    /// Duration in seconds.
     #[serde(default)]
     #[garde(range(min = 0.0, max = 3600.0))]
     pub lasts: f64,
-    /// Which ingresses or nodes, by number; for accounts, how many of the group. None: by `share`.
+    /// Affected ingresses, nodes or accounts of the group, by number. Empty: drawn at random according to `share`.
     #[serde(default)]
     pub which: Vec<usize>,
-    /// The share of them that it hits.
+    /// Share of the ingresses, nodes or accounts to draw if `which` is empty; at least one is drawn.
     #[serde(default)]
     #[garde(range(min = 0.0, max = 1.0))]
     pub share: f64,
-    /// How strong: a share of failures, or a multiple of work, traffic or time.
+    /// Strength: a share of requests or datagrams, a factor for work, traffic or time, a rate, or a time; see [`Kind`].
     #[serde(default = "one")]
     #[garde(range(min = 0.0, max = 1000.0))]
     pub strength: f64,
-    /// The group of accounts, or the class, that it hits.
+    /// The affected group of accounts or class.
     #[serde(default)]
     pub group: Option<String>,
-    /// Parts of the fleet that a trouble of links is between: ingresses, by number. None: every ingress is a part of its
-    /// own.
+    /// Groups of ingresses, by number. A fault of links affects the links between different groups. Empty: every ingress
+    /// is a group of its own.
     #[serde(default)]
     #[garde(length(max = 32))]
     pub parts: Vec<Vec<u16>>,
-    /// It hits the way from the first part to the others only.
+    /// Affects only the direction from the first part to the others.
     #[serde(default)]
     pub one_way: bool,
-    /// Nodes that count as a part as well: the first part's links to them are hit.
+    /// Nodes whose links to the first part are affected as well, by number.
     #[serde(default)]
     pub nodes: Vec<usize>,
-    /// The first part's links to the roster are hit, too.
+    /// Whether the first part's links to the registry are affected as well.
     #[serde(default)]
     pub roster: bool,
 }
 
-/// Kinds of trouble. Those of the bench have its names.
+/// Kinds of faults. Kinds that the bench has too have the same names there.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
 pub enum Kind {
-    /// Ingresses are killed and come back with nothing but their last list.
+    /// Ingresses are killed and restarted with only their cached node list.
     BalancerCrash,
     /// Ingresses are drained and restarted, one after the other.
     BalancerRoll,
-    /// Ingresses stand still; only where they are processes of their own.
+    /// Ingresses are suspended; only if each has a process of its own.
     BalancerStall,
-    /// Nodes take requests and answer none.
+    /// Nodes accept requests and answer none.
     Hang,
-    /// Nodes take connections and say nothing at all.
+    /// Nodes accept connections and send no bytes on them.
     Mute,
-    /// Nodes fail `strength` of their requests at once.
+    /// Nodes fail a share `strength` of their requests immediately.
     FastErrors,
-    /// Nodes fail `strength` of the requests of the class `group` at once.
+    /// Nodes fail a share `strength` of the requests of the class `group` immediately.
     ClassFail,
-    /// Nodes break off `strength` of their answers halfway.
+    /// Nodes truncate a share `strength` of their answers.
     Halfway,
-    /// Another program takes the machine: work takes `strength` times as long.
+    /// Another program uses the nodes' machine: processing takes `strength` times as long.
     Neighbour,
-    /// Nodes die and come back cold.
+    /// Nodes are killed and restarted, followed by a slow start.
     NodeCrash,
-    /// Nodes drain, are taken off the list, and come back cold.
+    /// Nodes drain, are removed from the node list and restarted, followed by a slow start; one after the other.
     NodeRoll,
-    /// The zone with the number `which` is cut off: its nodes are mute, its ingresses' messages are lost.
+    /// The zone with the number `which` is partitioned: its nodes send nothing, and its ingresses' datagrams are lost.
     ZoneCut,
-    /// Accounts of the group ask `strength` times as much.
+    /// Accounts of the group send `strength` times as many requests.
     HotKey,
-    /// All accounts ask `strength` times as much.
+    /// All accounts send `strength` times as many requests.
     Burst,
-    /// All clients' connections break at once.
+    /// All clients' connections are closed at the same time.
     Reconnect,
-    /// Clients try again at once and without end of patience.
+    /// Clients retry after 1 ms and ignore the pauses that refusals name.
     RetryAbuse,
-    /// Clients wait for `strength` of the usual time only.
+    /// Clients wait for a share `strength` of the usual timeout only.
     GiveUp,
-    /// Some requests cost `strength` times the usual.
+    /// A share `share` of the requests (0.02 if it is 0) needs `strength` times the usual processing time.
     HeavyTail,
-    /// Accounts that send one request each and are not seen again, `strength` a second.
+    /// `strength` new accounts per second, each of which sends a single request.
     Scan,
-    /// `strength` connections a second from two hundred addresses, held idle, at the ingresses `which`.
+    /// `strength` idle connections per second from 200 addresses to the ingresses `which`.
     Flood,
-    /// Accounts shift their traffic to others of their ingresses at one stroke.
+    /// Accounts move their traffic to another one of their ingresses, all at the same time.
     Shift,
-    /// Messages between ingresses are lost, `strength` of them.
+    /// A share `strength` of the datagrams between ingresses is lost.
     PeerLoss,
-    /// The roster is gone.
+    /// The registry is down.
     RosterDown,
-    /// Links are cut without a sign.
+    /// Links drop all traffic silently.
     Cut,
-    /// Links are cut, and streams on them reset.
+    /// Links drop all traffic, and streams on them are reset.
     CutReset,
-    /// Links lose `strength` of all datagrams; streams are held up by as many losses.
+    /// Links lose a share `strength` of all datagrams; streams are delayed by losses at the same rate.
     Lossy,
-    /// Links are ten times as late as their latest for `strength` of all, 20 ms to 200 ms where nothing is set.
+    /// Links delay a share `strength` of all data ten times as long as their maximum delay, which is set to 20 ms if it is
+    /// lower.
     LateTail,
-    /// Datagrams overtake each other, up to `strength` milliseconds.
+    /// Datagrams are reordered by an additional delay of up to `strength` milliseconds.
     Reorder,
-    /// Links bring `strength` of all datagrams twice.
+    /// Links deliver a share `strength` of all datagrams twice.
     Doubled,
-    /// Links pass `strength` thousand bytes a second.
+    /// Links transfer at most `strength` thousand bytes per second.
     SlowBytes,
-    /// Ends of streams are not passed on.
+    /// Links do not forward the end of a stream.
     HalfOpen,
-    /// Ingresses are killed; they come back after `lasts`, or never where that is 0.
+    /// Ingresses are killed and restarted after `lasts`; not restarted if `lasts` is 0.
     Kill,
-    /// Ingresses leave in order, one after the other, and stay away.
+    /// Ingresses are drained one after the other and leave the fleet for good.
     Leave,
-    /// Ingresses of the reserve are started.
+    /// Ingresses are started, usually those of the `reserve`.
     Join,
-    /// Ingresses run for a tenth of the time, in slices of `strength` milliseconds; only where they are processes.
+    /// Ingresses run for a tenth of each period of `strength` milliseconds and are suspended for the rest; only if each has
+    /// a process of its own.
     Slow,
-    /// Another process takes the number of an ingress, at another address, while the first one is alive; only where they
-    /// are processes.
+    /// A second process is started with the number of an ingress, at another address, while the first one still runs; only
+    /// if each ingress has a process of its own.
     Replace,
 }
 
 impl Kind {
-    /// Whether it is about links, by pair and direction.
+    /// Whether the fault affects links, chosen by pair and direction.
     pub fn of_links(self) -> bool {
         use Kind::*;
         matches!(self, Cut | CutReset | Lossy | LateTail | Reorder | Doubled | SlowBytes | HalfOpen)
@@ -376,10 +379,11 @@
 }
 
 impl Day {
-    /// Reads a day from a script.
+    /// Runs a script and returns its day. `given` are the values that the script reads as `given["KEY"]`.
     ///
     /// # Errors
-    /// The script cannot be run, or a value is not allowed: what, where, expected.
+    /// The script cannot be run, does not bind `day`, or has an invalid value. The error names the place, the value and
+    /// what was expected.
     pub fn read(file: &str, text: String, given: &[(String, String)]) -> Result<Day, SettingsError> {
         settings::typed(file, "day", script::run(file, text, given, "day")?)
     }
--- a/crates/fault-injection/src/drill/mod.rs
+++ b/crates/fault-injection/src/drill/mod.rs
@@ -1,13 +1,14 @@
-//! Plays a day: starts nodes, roster, network and ingresses, lets clients ask, brings the troubles, and hands the
-//! journal to the auditor. Ingresses are instances in this process or processes of their own; all else is the same.
+//! Runs a day: starts nodes, registry, simulated network and ingresses, sends the clients' requests, injects the faults,
+//! and passes the journal to the auditor. Ingresses are instances in this process or processes of their own; everything
+//! else is the same in both cases.
 
 mod processes;
 mod traffic;
 mod troubles;
 
-use crate::audit::{self, Law, Verdict};
+use crate::audit::{self, AuditConfig, Verdict};
 use crate::day::{Day, Door};
-use crate::fleet::{self, Act, Evidence, Line};
+use crate::fleet::{self, Evidence, FleetAction, SentTraffic, ViewLogLine};
 use crate::ledger::{billed, compare, counted, Billing};
 use chalkgap::runtime::{Micros, Shared};
 use chalkgap::settings::{self, Group, Repeat, Settings, SettingsError};
@@ -17,47 +18,47 @@
 use chalkgap_testbed::network::{LinkFaults, Network, Party, Relay, Way};
 use chalkgap_testbed::node::{Cell, ExecutionLog, Faults, Machine};
 use chalkgap_testbed::registry::Registry;
-use processes::{end, free_port, free_udp, Life, NodeSlot, Slot};
+use processes::{end, free_port, free_udp, IngressSlot, IngressState, NodeSlot};
 use std::collections::{BTreeMap, HashMap};
 use std::io;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
-use traffic::{account, Mood, Speaker};
+use traffic::{account, FrontClient, TrafficState};
 
-/// Where ingresses live.
+/// Where ingresses run.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Home {
-    /// In this process, each an instance of the library.
-    Here,
-    /// Each in a process of its own: this program, with `serve` and a settings file.
+    /// In this process, each as an instance of the library.
+    InProcess,
+    /// Each in a process of its own, which runs this program with `serve` and a settings file.
     Processes(PathBuf),
 }
 
-/// Why a drill cannot be played.
+/// Why a drill cannot run.
 #[derive(Debug, thiserror::Error)]
 pub enum DrillError {
-    /// The day's settings are not taken.
+    /// The settings of the day are invalid.
     #[error(transparent)]
     Settings(#[from] SettingsError),
-    /// An ingress does not start.
+    /// An ingress cannot be started.
     #[error(transparent)]
     Start(#[from] StartError),
-    /// The day asks for something that is not there.
+    /// A value of the day is invalid.
     #[error("{path}: {what}")]
     Day {
-        /// Where in the script.
+        /// Path of the value in the script.
         path: String,
-        /// What was found and expected.
+        /// What was expected and what was found.
         what: String,
     },
-    /// A socket, file or process.
+    /// An operation on a socket, file or process failed.
     #[error("{what}: {error}")]
     Io {
-        /// What was tried.
+        /// The socket, file or process.
         what: String,
-        /// The system's word.
+        /// The system's error.
         error: io::Error,
     },
 }
@@ -71,44 +72,51 @@
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-struct World {
+struct DrillRun {
     runtime: Shared,
     day: Day,
     home: Home,
     folder: PathBuf,
     journal: Journal,
-    slots: Mutex<Vec<Slot>>,
+    slots: Mutex<Vec<IngressSlot>>,
     nodes: Mutex<Vec<NodeSlot>>,
-    roster: Mutex<Option<Registry>>,
-    roster_at: SocketAddr,
-    whereabouts: Whereabouts,
+    /// `None` while the registry is down.
+    registry: Mutex<Option<Registry>>,
+    registry_address: SocketAddr,
+    node_addresses: NodeAddresses,
     network: Network,
     relays: Mutex<Vec<Relay>>,
-    /// Ways of streams; held, as they go when they are dropped.
-    _ways: Vec<Way>,
-    /// What was done to the fleet, and what its processes wrote down of each other.
-    acts: Mutex<Vec<(Micros, Act)>>,
-    lines: Arc<Mutex<Vec<Line>>>,
-    mood: Mutex<Mood>,
-    clients: Mutex<HashMap<(String, u16), Arc<Speaker>>>,
-    calls: AtomicU64,
+    /// Proxies of TCP streams. They are kept because a proxy stops when it is dropped.
+    _stream_proxies: Vec<Way>,
+    /// The drill's actions on the fleet, in order of time.
+    actions: Mutex<Vec<(Micros, FleetAction)>>,
+    /// Log lines of the processes about their membership views.
+    lines: Arc<Mutex<Vec<ViewLogLine>>>,
+    traffic: Mutex<TrafficState>,
+    /// Connected clients, by account group and ingress.
+    clients: Mutex<HashMap<(String, u16), Arc<FrontClient>>>,
+    /// Number of the next call.
+    next_call: AtomicU64,
+    /// Number of tasks that send requests.
     running: AtomicU64,
+    /// Deadline of each class in microseconds, by class name.
     deadlines: HashMap<String, Micros>,
-    /// The billing consumer and what it has, where ingresses have ledgers.
+    /// The billing consumer and the batches that it stored; `None` if the ingresses keep no ledgers.
     billing: Option<(Consumer, Vault)>,
 }
 
-/// Where an ingress is told that a node is, by its number and the node's own address.
-type Whereabouts = Arc<HashMap<(u16, String), String>>;
+/// Address under which the registry lists a node, by the number of the asking ingress and the node's own address. It is
+/// the address of the proxy on that link.
+type NodeAddresses = Arc<HashMap<(u16, String), String>>;
 
-/// The first byte of datagrams of the view.
-const VIEW: u8 = chalkgap::peers::Channel::Membership as u8;
+/// First byte of membership datagrams.
+const MEMBERSHIP_CHANNEL: u8 = chalkgap::peers::Channel::Membership as u8;
 
-/// How long after a day all that it used may take to be billed.
-const BILLED: Micros = 40_000_000;
+/// Maximum time from the end of a day until all of its units are billed.
+const BILLING_TIMEOUT_US: Micros = 40_000_000;
 
-/// The law that a day's settings state.
-pub fn law(day: &Day, settings: &Settings) -> Law {
+/// Returns the parameters of the audit for a day and the settings of its ingresses.
+pub fn audit_config(day: &Day, settings: &Settings) -> AuditConfig {
     let class = |c: &settings::Class| {
         let repeat = match c.repeat {
             Repeat::Safe => audit::Repeat::Safe,
@@ -126,37 +134,38 @@
             slack: p.ceiling_slack,
         })
     };
-    Law {
+    AuditConfig {
         classes: settings.classes.iter().map(class).collect(),
         accounts: settings.accounts.iter().map(|(name, a)| (name.clone(), plan(&a.plan))).collect(),
-        others: settings.default_plan.as_deref().map(plan).unwrap_or_default(),
+        default_plan: settings.default_plan.as_deref().map(plan).unwrap_or_default(),
         drain_grace: settings.rules.drain_grace_ms * 1000,
         tolerance: day.tolerance_ms * 1000,
-        least: day.tolerance_ms * 1000,
+        min_timeout: day.tolerance_ms * 1000,
     }
 }
 
-/// Plays a day to its end and judges it.
+/// Runs a day to its end and audits it.
 ///
 /// # Errors
-/// See [`DrillError`]; a broken rule is no error but a part of the verdict.
+/// [`DrillError`] if the day or its settings are invalid, or if an ingress, a socket, a file or a process fails to start.
+/// Violations are no errors; they are part of the verdict.
 pub async fn play(runtime: Shared, day: Day, home: Home) -> Result<Verdict, DrillError> {
-    let world = World::new(runtime, day, home)?;
-    let played = world.play().await;
-    // Processes are ended and files removed whatever came of it.
-    let mut slots = std::mem::take(&mut *lock(&world.slots));
-    slots.iter_mut().for_each(|s| end(&mut s.life));
-    let _ = std::fs::remove_dir_all(&world.folder); // a folder for this drill alone, in the place for such
+    let drill = DrillRun::new(runtime, day, home)?;
+    let played = drill.play().await;
+    // Processes are ended and files removed even after an error.
+    let mut slots = std::mem::take(&mut *lock(&drill.slots));
+    slots.iter_mut().for_each(|s| end(&mut s.state));
+    let _ = std::fs::remove_dir_all(&drill.folder); // a temporary folder that only this drill uses
     played
 }
 
-impl World {
+impl DrillRun {
     #[expect(clippy::too_many_lines, reason = "not split yet, see docs/ROADMAP.md")]
-    fn new(runtime: Shared, day: Day, home: Home) -> Result<Arc<World>, DrillError> {
-        if day.fleet.is_some() && home == Home::Here {
+    fn new(runtime: Shared, day: Day, home: Home) -> Result<Arc<DrillRun>, DrillError> {
+        if day.fleet.is_some() && home == Home::InProcess {
             return Err(DrillError::Day {
                 path: "day.fleet".into(),
-                what: "expected processes (--processes), found ingresses in this one".into(),
+                what: "requires a process for each ingress (--processes)".into(),
             });
         }
         static DRILLS: AtomicU64 = AtomicU64::new(0);
@@ -165,47 +174,49 @@
         let folder = std::env::temp_dir().join(unique);
         std::fs::create_dir_all(&folder).map_err(io_error(folder.display().to_string()))?;
         let journal = Journal::default();
-        let roster = Registry::start(runtime.clone(), ([127, 0, 0, 1], 0).into(), journal.clone());
-        let roster = roster.map_err(io_error("the roster"))?;
-        let (mut relays, mut peers) = (Vec::new(), Vec::new());
-        let network = Network::new(weather(&day));
+        let registry = Registry::start(runtime.clone(), ([127, 0, 0, 1], 0).into(), journal.clone());
+        let registry = registry.map_err(io_error("registry"))?;
+        let mut relays = Vec::new();
+        let mut peers = Vec::new();
+        let network = Network::new(usual_link_faults(&day));
         let numbers = day.ingresses + day.reserve;
         for n in 0..numbers {
             let to = free_udp()?;
             let party = Party::Ingress(n);
             let relay = Relay::start(runtime.clone(), network.clone(), party, to, day.seed ^ u64::from(n));
-            relays.push(relay.map_err(io_error("a way between ingresses"))?);
+            relays.push(relay.map_err(io_error("datagram relay between ingresses"))?);
             network.sends_from(to, party);
             peers.push(to);
         }
         let addresses: Vec<SocketAddr> = relays.iter().map(Relay::address).collect();
-        let (mut slots, mut deadlines) = (Vec::new(), HashMap::new());
+        let mut slots = Vec::new();
+        let mut deadlines = HashMap::new();
         let mut billing = None;
         let mut ledgers = BTreeMap::new();
         if day.settings.get("ledger").is_some() {
             let vault = Vault::default();
             let at = ([127, 0, 0, 1], 0).into();
             let consumer = Consumer::start(runtime.clone(), at, vault.clone(), day.seed);
-            let consumer = consumer.map_err(io_error("the billing consumer"))?;
-            // Some calls are turned away, some taken without a word: each must come again, and count once.
+            let consumer = consumer.map_err(io_error("billing consumer"))?;
+            // Some calls are refused, some get no reply: the ingress has to repeat them, and each batch counts once.
             consumer.faults(billing::Faults { refuse: 0.1, silent: 0.1 });
             billing = Some((consumer, vault));
             for n in 0..numbers {
                 ledgers.insert(n, free_port()?);
             }
         }
-        let mut ways = Vec::new();
-        // Streams go straight where no trouble is about their links.
+        let mut stream_proxies = Vec::new();
+        // TCP streams need no proxies if no trouble affects links.
         let links = day.troubles.iter().any(|t| t.kind.of_links());
-        let mut way = |from: u16, to: Party, at: SocketAddr| {
+        let mut proxied = |from: u16, to: Party, at: SocketAddr| {
             if !links {
                 return Ok(at);
             }
             let link = (Party::Ingress(from), to);
             let way = Way::start(runtime.clone(), network.clone(), link, at, day.seed ^ u64::from(from) << 8);
-            let way = way.map_err(io_error("a way of streams"))?;
+            let way = way.map_err(io_error("stream proxy"))?;
             let address = way.address();
-            ways.push(way);
+            stream_proxies.push(way);
             Ok::<_, DrillError>(address)
         };
         for n in 0..numbers {
@@ -252,14 +263,14 @@
                 ledger["folder"] = folder.join(format!("ledger-{n}")).display().to_string().into();
                 let mut others = ledgers.clone();
                 for (other, at) in others.iter_mut().filter(|o| *o.0 != n) {
-                    *at = way(n, Party::Ingress(*other), *at)?;
+                    *at = proxied(n, Party::Ingress(*other), *at)?;
                 }
                 ledger["group"] = serde_json::json!({"listen": ledgers[&n], "addresses": others,
                     "key": "5a".repeat(32), "every_ms": 200});
                 ledger["export"] = serde_json::json!({"to": {"grpc": consumer.address()}, "every_ms": 100,
                     "takeover_ms": 2000});
             }
-            let list = way(n, Party::Roster, roster.address())?;
+            let list = proxied(n, Party::Roster, registry.address())?;
             let nodes = serde_json::json!({"source": {"roster": {"address": list}}, "cache": cache});
             map.insert("nodes".into(), nodes);
             let accounts = map.entry("accounts").or_insert_with(|| serde_json::json!({}));
@@ -273,18 +284,22 @@
             }
             let settings: Settings = settings::typed("day", "settings", value)?;
             deadlines = settings.classes.iter().map(|c| (c.name.clone(), c.deadline_ms * 1000)).collect();
-            slots.push(Slot { settings, grpc, mqtt, life: Life::Down, down_since: None });
+            slots.push(IngressSlot { settings, grpc, mqtt, state: IngressState::Down, down_since: None });
         }
         for (n, g) in day.accounts.iter().enumerate() {
             if let Some(class) = g.classes.keys().find(|c| !deadlines.contains_key(*c)) {
                 let path = format!("day.accounts[{n}].classes");
-                return Err(DrillError::Day { path, what: format!("{class:?} is no class of the settings") });
+                return Err(DrillError::Day {
+                    path,
+                    what: format!("class {class:?} is not defined in day.settings.classes"),
+                });
             }
         }
         let zones = day.zones.len();
         let memory = (day.key_memory_s * 1e6) as Micros;
         let cells: Vec<Cell> = day.zones.iter().map(|z| Cell::new(z, memory)).collect();
-        let (mut nodes, mut whereabouts) = (Vec::new(), HashMap::new());
+        let mut nodes = Vec::new();
+        let mut node_addresses = HashMap::new();
         for g in &day.nodes {
             for _ in 0..g.count {
                 let (n, rules) = (nodes.len(), &slots[0].settings.rules);
@@ -305,17 +320,17 @@
                 let address = free_port()?;
                 let faults = Faults::default();
                 for ingress in (0..numbers).filter(|_| links) {
-                    let at = way(ingress, Party::Node(n), address)?;
-                    whereabouts.insert((ingress, address.to_string()), at.to_string());
+                    let at = proxied(ingress, Party::Node(n), address)?;
+                    node_addresses.insert((ingress, address.to_string()), at.to_string());
                 }
                 nodes.push(NodeSlot { machine, zone, address, node: None, faults, state: 0, started_ms: 0 });
             }
         }
-        let roster_at = roster.address();
-        // An ingress is told where its own way to a node begins.
-        let whereabouts: Whereabouts = Arc::new(whereabouts);
-        roster.advertise(whereabouts.clone());
-        Ok(Arc::new(World {
+        let registry_address = registry.address();
+        // The registry lists each node under the address of the asking ingress's own proxy.
+        let node_addresses: NodeAddresses = Arc::new(node_addresses);
+        registry.advertise(node_addresses.clone());
+        Ok(Arc::new(DrillRun {
             runtime,
             day,
             home,
@@ -323,17 +338,17 @@
             journal,
             slots: Mutex::new(slots),
             nodes: Mutex::new(nodes),
-            roster: Mutex::new(Some(roster)),
-            roster_at,
+            registry: Mutex::new(Some(registry)),
+            registry_address,
             network,
             relays: Mutex::new(relays),
-            _ways: ways,
-            acts: Mutex::default(),
+            _stream_proxies: stream_proxies,
+            actions: Mutex::default(),
             lines: Arc::default(),
-            whereabouts,
-            mood: Mutex::new(Mood { burst: 1.0, patience: 1.0, ..Mood::default() }),
+            node_addresses,
+            traffic: Mutex::new(TrafficState { burst: 1.0, patience: 1.0, ..TrafficState::default() }),
             clients: Mutex::default(),
-            calls: AtomicU64::new(1),
+            next_call: AtomicU64::new(1),
             running: AtomicU64::new(0),
             deadlines,
             billing,
@@ -358,78 +373,87 @@
         for n in 0..ingresses {
             self.start_ingress(n).await?;
         }
-        self.pause(0.3).await; // lists arrive
+        self.pause(0.3).await; // the ingresses receive the node list
         let begin = self.runtime.now();
         for (n, t) in self.day.troubles.iter().enumerate() {
-            let (world, t) = (self.clone(), t.clone());
+            let (drill, t) = (self.clone(), t.clone());
             let at = begin + (t.at * 1e6) as Micros;
             self.spawn(async move {
-                world.runtime.sleep_until(at).await;
-                if let Err(e) = world.trouble(&t, world.day.seed ^ (n as u64) << 32).await {
-                    tracing::error!(kind = ?t.kind, error = %e, "trouble could not be made");
+                drill.runtime.sleep_until(at).await;
+                if let Err(e) = drill.trouble(&t, drill.day.seed ^ (n as u64) << 32).await {
+                    tracing::error!(kind = ?t.kind, error = %e, "drill: trouble failed");
                 }
             });
         }
         for g in &self.day.accounts {
             for i in 0..g.count {
-                let (world, g) = (self.clone(), g.clone());
+                let (drill, g) = (self.clone(), g.clone());
                 self.running.fetch_add(1, Ordering::Relaxed);
                 self.spawn(async move {
-                    world.account(&g, i).await;
-                    world.running.fetch_sub(1, Ordering::Relaxed);
+                    drill.account(&g, i).await;
+                    drill.running.fetch_sub(1, Ordering::Relaxed);
                 });
             }
         }
         self.runtime.sleep_until(begin + (self.day.seconds * 1e6) as Micros).await;
         let views = self.day.fleet.as_ref().map(|f| fleet::judge(&self.evidence(), &f.stated));
-        lock(&self.mood).over = true;
-        // All tries end by the longest deadline, with a second for the wait between them.
+        lock(&self.traffic).day_over = true;
+        // All tries end within the longest deadline. 1.5 s are added for the pauses between them.
         let longest = self.deadlines.values().copied().max().unwrap_or(0);
-        let most = self.runtime.now() + longest + 1_500_000;
-        while self.running.load(Ordering::Relaxed) > 0 && self.runtime.now() < most {
+        let wait_until = self.runtime.now() + longest + 1_500_000;
+        while self.running.load(Ordering::Relaxed) > 0 && self.runtime.now() < wait_until {
             self.pause(0.02).await;
         }
         let settings = lock(&self.slots)[0].settings.clone();
         let billing = self.billing(&settings).await;
-        Ok(Verdict { billing, views, ..audit::judge(&self.journal.entries(), &law(&self.day, &settings)) })
+        Ok(Verdict {
+            billing,
+            views,
+            ..audit::judge(&self.journal.entries(), &audit_config(&self.day, &settings))
+        })
     }
 
-    /// What is known of the fleet's views as of now.
+    /// Returns the input of the checks of the fleet's views, as of now.
     fn evidence(&self) -> Evidence {
-        let (acts, end) = (lock(&self.acts).clone(), self.runtime.now());
+        let actions = lock(&self.actions).clone();
+        let end = self.runtime.now();
         let mut lines = lock(&self.lines).clone();
         lines.sort_by_key(|l| l.at);
-        let mut lived: BTreeMap<u16, (f64, Option<Micros>)> = BTreeMap::new();
-        for (at, act) in &acts {
-            match act {
-                Act::Up(n) => {
-                    // Up while up: another process under its number. One's messages are counted with the other's.
-                    lived.entry(*n).or_default().1.get_or_insert(*at);
+        // Seconds of earlier runs, and the start of the current run, by ingress.
+        let mut uptime: BTreeMap<u16, (f64, Option<Micros>)> = BTreeMap::new();
+        for (at, action) in &actions {
+            match action {
+                FleetAction::Up(n) => {
+                    // If the ingress is already up, a second process has its number. The messages of both are summed up.
+                    uptime.entry(*n).or_default().1.get_or_insert(*at);
                 }
-                Act::Down(n) | Act::Leave(n) => {
-                    let l = lived.entry(*n).or_default();
-                    l.0 += l.1.take().map_or(0.0, |up| (at - up) as f64 / 1e6);
+                FleetAction::Down(n) | FleetAction::Leave(n) => {
+                    let entry = uptime.entry(*n).or_default();
+                    entry.0 += entry.1.take().map_or(0.0, |up| (at - up) as f64 / 1e6);
                 }
                 _ => {}
             }
         }
         let sent = self.network.sent();
-        let sent = lived.into_iter().map(|(n, (before, up))| {
-            let (messages, bytes) = sent.get(&(Party::Ingress(n), VIEW)).copied().unwrap_or_default();
-            (n, (messages, bytes, before + up.map_or(0.0, |up| end.saturating_sub(up) as f64 / 1e6)))
+        let sent = uptime.into_iter().map(|(n, (before, up))| {
+            let (messages, bytes) =
+                sent.get(&(Party::Ingress(n), MEMBERSHIP_CHANNEL)).copied().unwrap_or_default();
+            let seconds = before + up.map_or(0.0, |up| end.saturating_sub(up) as f64 / 1e6);
+            (n, SentTraffic { messages, bytes, seconds })
         });
-        Evidence { acts, lines, sent: sent.collect(), end }
+        Evidence { actions, lines, sent: sent.collect(), end }
     }
 
-    /// Writes down what is done to the fleet.
-    fn act(&self, act: Act) {
-        lock(&self.acts).push((self.runtime.now(), act));
+    /// Records an action on the fleet with the current time.
+    fn record(&self, action: FleetAction) {
+        lock(&self.actions).push((self.runtime.now(), action));
     }
 
-    /// Waits until the consumer has been told what nodes counted, or for a while.
+    /// Waits until the consumer was billed for all units that nodes counted, for at most [`BILLING_TIMEOUT_US`]. Returns
+    /// `None` if the ingresses keep no ledgers.
     async fn billing(&self, settings: &Settings) -> Option<Billing> {
         let (ledger, (_, vault)) = (settings.ledger.as_ref()?, self.billing.as_ref()?);
-        let (periods, end) = (chalkgap::periods(ledger.period), self.runtime.now() + BILLED);
+        let (periods, end) = (chalkgap::periods(ledger.period), self.runtime.now() + BILLING_TIMEOUT_US);
         loop {
             let tallies: Vec<_> =
                 lock(&self.nodes).iter().map(|n| n.machine.executions.completed()).collect();
@@ -445,7 +469,7 @@
     }
 }
 
-fn weather(day: &Day) -> LinkFaults {
+fn usual_link_faults(day: &Day) -> LinkFaults {
     let [least, most] = day.network.delay_ms;
     let delay = (least * 1000, most.max(least) * 1000);
     LinkFaults { loss: day.network.loss, double: day.network.double, delay, ..LinkFaults::default() }
--- a/crates/fault-injection/src/drill/processes.rs
+++ b/crates/fault-injection/src/drill/processes.rs
@@ -1,7 +1,7 @@
-//! Ingresses and nodes as the drill has them: started, killed, drained, listed.
+//! Starts, kills, drains and replaces ingresses and nodes, and publishes the node list.
 
-use super::{io_error, lock, DrillError, Home, World};
-use crate::fleet::{Act, Line};
+use super::{io_error, lock, DrillError, DrillRun, Home};
+use crate::fleet::{FleetAction, ViewLogLine};
 use chalkgap::runtime::Micros;
 use chalkgap::settings::Settings;
 use chalkgap::Instance;
@@ -15,18 +15,19 @@
 use std::process::{Child, Command, Stdio};
 use std::sync::atomic::{AtomicU64, Ordering};
 
-pub(super) enum Life {
-    Here(Instance),
+/// State of an ingress.
+pub(super) enum IngressState {
+    InProcess(Instance),
     Process(Child),
     Down,
 }
 
-pub(super) struct Slot {
+pub(super) struct IngressSlot {
     pub(super) settings: Settings,
     pub(super) grpc: SocketAddr,
     pub(super) mqtt: SocketAddr,
-    pub(super) life: Life,
-    /// Clients know since then that nobody is there.
+    pub(super) state: IngressState,
+    /// When the ingress went down; `None` while it is up.
     pub(super) down_since: Option<Micros>,
 }
 
@@ -40,52 +41,53 @@
     pub(super) started_ms: u64,
 }
 
-/// Sends a signal to a process of this drill. One that has ended by itself gets none.
+/// Sends a signal to a process of this drill. Errors are ignored because the process may have ended by itself.
 pub(super) fn signal(pid: u32, signal: Signal) {
     if let Some(pid) = i32::try_from(pid).ok().and_then(Pid::from_raw) {
         let _ = kill_process(pid, signal);
     }
 }
 
-/// Ports below those that systems give to connections that go out.
+/// First port and number of ports to choose from. They are below the range of ephemeral ports.
 const PORTS: (u64, u64) = (10_000, 20_000);
 
-/// A port that nobody has, for somebody who binds it later and, after a kill, again. None that the system itself would
-/// give: by the time that an ingress came back, a connection of a client had its port.
-fn free(bind: impl Fn(SocketAddr) -> io::Result<SocketAddr>) -> Result<SocketAddr, DrillError> {
-    static TRIED: AtomicU64 = AtomicU64::new(0);
-    let from = u64::from(std::process::id()) * 61; // several drills at once seldom try the same ones
+/// Returns an address with an unused port, which the caller binds later, and again after a kill. Ephemeral ports are not
+/// used: a client connection could have such a port by the time that a killed ingress is restarted.
+fn unused_address(bind: impl Fn(SocketAddr) -> io::Result<SocketAddr>) -> Result<SocketAddr, DrillError> {
+    static NEXT_OFFSET: AtomicU64 = AtomicU64::new(0);
+    let from = u64::from(std::process::id()) * 61; // drills that run at the same time rarely try the same ports
     let mut last = io::ErrorKind::AddrInUse.into();
     for _ in 0..1000 {
-        let n = from + TRIED.fetch_add(1, Ordering::Relaxed);
+        let n = from + NEXT_OFFSET.fetch_add(1, Ordering::Relaxed);
         match bind(([127, 0, 0, 1], (PORTS.0 + n % PORTS.1) as u16).into()) {
             Ok(address) => return Ok(address),
             Err(e) => last = e,
         }
     }
-    Err(io_error("a free port")(last))
+    Err(io_error("unused port between 10000 and 29999")(last))
 }
 
 pub(super) fn free_port() -> Result<SocketAddr, DrillError> {
-    free(|at| TcpListener::bind(at).and_then(|l| l.local_addr()))
+    unused_address(|at| TcpListener::bind(at).and_then(|l| l.local_addr()))
 }
 
 pub(super) fn free_udp() -> Result<SocketAddr, DrillError> {
-    free(|at| UdpSocket::bind(at).and_then(|s| s.local_addr()))
+    unused_address(|at| UdpSocket::bind(at).and_then(|s| s.local_addr()))
 }
 
-pub(super) fn end(life: &mut Life) {
-    match std::mem::replace(life, Life::Down) {
-        Life::Here(mut instance) => instance.stop(),
-        Life::Process(mut child) => {
-            let _ = child.kill(); // it has ended by itself
+/// Stops an ingress and waits for the end of its process.
+pub(super) fn end(state: &mut IngressState) {
+    match std::mem::replace(state, IngressState::Down) {
+        IngressState::InProcess(mut instance) => instance.stop(),
+        IngressState::Process(mut child) => {
+            let _ = child.kill(); // fails if the process has ended by itself
             let _ = child.wait();
         }
-        Life::Down => {}
+        IngressState::Down => {}
     }
 }
 
-impl World {
+impl DrillRun {
     // ---- ingresses ----
 
     pub(super) async fn start_ingress(&self, n: u16) -> Result<(), DrillError> {
@@ -94,15 +96,17 @@
             let slot = &slots[usize::from(n)];
             (slot.settings.clone(), slot.grpc)
         };
-        let life = match &self.home {
-            Home::Here => Life::Here(Instance::start(settings, self.runtime.clone()).await?),
+        let state = match &self.home {
+            Home::InProcess => {
+                IngressState::InProcess(Instance::start(settings, self.runtime.clone()).await?)
+            }
             Home::Processes(program) => {
                 let file = self.folder.join(format!("ingress-{n}.star"));
                 let value = serde_json::to_value(&settings).unwrap_or_default();
                 std::fs::write(&file, format!("settings = {}\n", literal(&value)))
                     .map_err(io_error(file.display().to_string()))?;
-                let viewing = self.day.fleet.is_some();
-                let log = if viewing {
+                let has_membership = self.day.fleet.is_some();
+                let log = if has_membership {
                     ["--log", "json", "--log-filter", "warn,chalkgap::fleet=info"].as_slice()
                 } else {
                     &["--log-filter", "warn"]
@@ -113,35 +117,35 @@
                     .arg(&file)
                     .stdin(Stdio::null())
                     .stdout(Stdio::piped())
-                    .stderr(if viewing { Stdio::piped() } else { Stdio::inherit() })
+                    .stderr(if has_membership { Stdio::piped() } else { Stdio::inherit() })
                     .spawn();
                 let mut child = child.map_err(io_error(program.display().to_string()))?;
                 if let Some(errors) = child.stderr.take() {
                     let lines = self.lines.clone();
-                    // Ends with the process.
+                    // The thread ends with the process.
                     std::thread::spawn(move || {
                         for text in BufReader::new(errors).lines().map_while(Result::ok) {
-                            match Line::read(&text) {
+                            match ViewLogLine::read(&text) {
                                 Some(line) => lock(&lines).push(line),
                                 None => eprintln!("{text}"),
                             }
                         }
                     });
                 }
-                // Its first line says that it listens.
+                // The process prints its first line when its listeners are open.
                 let line = child.stdout.take().map(|out| BufReader::new(out).lines().next());
                 if !matches!(line, Some(Some(Ok(_)))) {
                     let _ = child.kill();
-                    let error = io::Error::other("it ended before it listened");
+                    let error = io::Error::other("process ended before its listeners were open");
                     return Err(DrillError::Io { what: format!("{} serve", program.display()), error });
                 }
-                Life::Process(child)
+                IngressState::Process(child)
             }
         };
         tracing::info!(ingress = n, address = %at, "drill: ingress up");
-        self.act(Act::Up(n));
+        self.record(FleetAction::Up(n));
         let mut slots = lock(&self.slots);
-        slots[usize::from(n)].life = life;
+        slots[usize::from(n)].state = state;
         slots[usize::from(n)].down_since = None;
         Ok(())
     }
@@ -152,36 +156,36 @@
         let mut slots = lock(&self.slots);
         let slot = &mut slots[usize::from(n)];
         slot.down_since = Some(now);
-        end(&mut slot.life);
-        self.act(Act::Down(n));
-        // A second time, after the fact: what reached it until then was held by it.
+        end(&mut slot.state);
+        self.record(FleetAction::Down(n));
+        // Recorded again after the kill: calls that reached the ingress in between were lost with it as well.
         self.journal.note(self.runtime.now(), Seen::Killed { ingress: n });
     }
 
     pub(super) async fn drain_ingress(&self, n: u16) {
-        let life = {
+        let state = {
             let mut slots = lock(&self.slots);
-            std::mem::replace(&mut slots[usize::from(n)].life, Life::Down)
+            std::mem::replace(&mut slots[usize::from(n)].state, IngressState::Down)
         };
-        self.act(Act::Leave(n));
+        self.record(FleetAction::Leave(n));
         let until = self.runtime.now() + self.deadlines.values().copied().max().unwrap_or(0);
-        match life {
-            Life::Here(mut instance) => {
+        match state {
+            IngressState::InProcess(mut instance) => {
                 if !instance.drain(until).await {
                     self.journal.note(self.runtime.now(), Seen::Killed { ingress: n });
                 }
             }
-            Life::Process(mut child) => {
+            IngressState::Process(mut child) => {
                 signal(child.id(), Signal::TERM);
                 self.ends_by(&mut child, until).await;
-                end(&mut Life::Process(child));
+                end(&mut IngressState::Process(child));
             }
-            Life::Down => {}
+            IngressState::Down => {}
         }
         lock(&self.slots)[usize::from(n)].down_since = Some(self.runtime.now());
     }
 
-    /// Waits for a process to end by itself; whether it has, by then.
+    /// Waits until a process ends by itself, or until the given time. Returns whether it has ended.
     async fn ends_by(&self, child: &mut Child, until: Micros) -> bool {
         while matches!(child.try_wait(), Ok(None)) {
             if self.runtime.now() >= until {
@@ -192,13 +196,13 @@
         true
     }
 
-    /// Starts another process under an ingress's number, at other addresses, while the first one is alive. That one ends
-    /// by itself, or is killed.
+    /// Starts a second process with an ingress's number, at other addresses, while the first one still runs. The first
+    /// process is expected to end by itself; it is killed after 10 s.
     pub(super) async fn replace_ingress(&self, n: u16) -> Result<(), DrillError> {
         let (datagrams, grpc, party) = (free_udp()?, free_port()?, Party::Ingress(n));
         let seed = self.day.seed ^ u64::from(n) << 32;
         let relay = Relay::start(self.runtime.clone(), self.network.clone(), party, datagrams, seed);
-        let relay = relay.map_err(io_error("a way between ingresses"))?;
+        let relay = relay.map_err(io_error("datagram relay between ingresses"))?;
         self.network.sends_from(datagrams, party);
         let first = {
             let mut slots = lock(&self.slots);
@@ -210,17 +214,17 @@
                     view.address = Some(relay.address());
                 }
             }
-            std::mem::replace(&mut slot.life, Life::Down)
+            std::mem::replace(&mut slot.state, IngressState::Down)
         };
         lock(&self.relays).push(relay);
-        self.act(Act::Replace(n));
+        self.record(FleetAction::Replace(n));
         self.start_ingress(n).await?;
-        if let Life::Process(mut child) = first {
+        if let IngressState::Process(mut child) = first {
             let until = self.runtime.now() + 10_000_000;
             if !self.ends_by(&mut child, until).await {
                 self.journal.note(self.runtime.now(), Seen::Killed { ingress: n });
             }
-            end(&mut Life::Process(child));
+            end(&mut IngressState::Process(child));
         }
         Ok(())
     }
@@ -229,10 +233,10 @@
 
     pub(super) fn start_node(&self, n: usize, cold: bool) -> Result<(), DrillError> {
         let mut nodes = lock(&self.nodes);
-        let cold_time = lock(&self.slots)[0].settings.rules.cold_ms * 1000;
+        let cold_us = lock(&self.slots)[0].settings.rules.cold_ms * 1000;
         let slot = &mut nodes[n];
         let mut machine = slot.machine.clone();
-        machine.slow_start_window = if cold { cold_time } else { 0 };
+        machine.slow_start_window = if cold { cold_us } else { 0 };
         let node = Node::start(self.runtime.clone(), slot.address, machine, self.journal.clone());
         let node = node.map_err(io_error(format!("node at {}", slot.address)))?;
         node.faults(slot.faults.clone());
@@ -251,10 +255,10 @@
         }
     }
 
-    /// Pushes the list as it is now.
+    /// Publishes the current node list in the registry.
     pub(super) fn publish(&self) {
         let nodes = lock(&self.nodes);
-        let line = |s: &NodeSlot| roster::Node {
+        let entry = |s: &NodeSlot| roster::Node {
             address: s.address.to_string(),
             zone: self.day.zones[s.zone].clone(),
             cell: s.machine.cell.name.clone(),
@@ -263,20 +267,21 @@
             size: s.machine.cores as f64 * s.machine.speed,
             started_ms: s.started_ms,
         };
-        let list = nodes.iter().map(line).collect();
+        let list = nodes.iter().map(entry).collect();
         drop(nodes);
-        if let Some(roster) = lock(&self.roster).as_ref() {
-            roster.set(list);
+        if let Some(registry) = lock(&self.registry).as_ref() {
+            registry.set(list);
         }
     }
 
+    /// Publishes the node list after the delay `news_late_s`.
     pub(super) async fn publish_late(&self) {
         self.pause(self.day.news_late_s).await;
         self.publish();
     }
 }
 
-/// A JSON value as Starlark.
+/// Formats a JSON value as a Starlark literal.
 fn literal(value: &serde_json::Value) -> String {
     use serde_json::Value;
     match value {
--- a/crates/fault-injection/src/drill/traffic.rs
+++ b/crates/fault-injection/src/drill/traffic.rs
@@ -1,6 +1,6 @@
-//! What clients do on a day.
+//! Traffic of the clients.
 
-use super::{lock, World};
+use super::{lock, DrillRun};
 use crate::day::{AccountGroup, Door};
 use chalkgap::runtime::Micros;
 use chalkgap_testbed::client::{Client, Request};
@@ -13,43 +13,49 @@
 use std::sync::atomic::Ordering;
 use std::sync::Arc;
 
-/// A client of either front.
-pub(super) enum Speaker {
+/// A client of one of the two protocols.
+pub(super) enum FrontClient {
     Grpc(Client),
     Mqtt(mqtt::Client),
 }
 
-impl Speaker {
+impl FrontClient {
     pub(super) fn closed(&self) -> bool {
         match self {
-            Speaker::Grpc(c) => c.closed(),
-            Speaker::Mqtt(c) => c.closed(),
+            FrontClient::Grpc(c) => c.closed(),
+            FrontClient::Mqtt(c) => c.closed(),
         }
     }
 
-    pub(super) async fn call(&self, ask: &Request) -> Answer {
+    pub(super) async fn call(&self, request: &Request) -> Answer {
         match self {
-            Speaker::Grpc(c) => c.call(ask).await.answer,
-            Speaker::Mqtt(c) => c.call(ask).await.answer,
+            FrontClient::Grpc(c) => c.call(request).await.answer,
+            FrontClient::Mqtt(c) => c.call(request).await.answer,
         }
     }
 }
 
-/// What clients look at while they ask.
+/// Changes of the clients' behaviour by the current troubles.
 #[derive(Default)]
-pub(super) struct Mood {
-    /// Multiples of the usual traffic, by group and number.
+pub(super) struct TrafficState {
+    /// Factor on the request rate of single accounts, by group and number.
     pub(super) hot: HashMap<(String, usize), f64>,
+    /// Factor on the request rate of all accounts.
     pub(super) burst: f64,
+    /// Clients retry after 1 ms.
     pub(super) abuse: bool,
+    /// Factor on the timeouts of the tries.
     pub(super) patience: f64,
+    /// Position of the busiest ingress among those of an account.
     pub(super) shift: usize,
-    pub(super) over: bool,
+    /// Clients send no new requests.
+    pub(super) day_over: bool,
 }
 
-impl World {
-    /// The connection that a group's clients share to an ingress; none if there is none.
-    pub(super) async fn client(&self, group: &str, ingress: u16) -> Option<Arc<Speaker>> {
+impl DrillRun {
+    /// Returns the connection that the clients of a group share to an ingress, and opens it if needed. Returns `None` if it
+    /// cannot be opened.
+    pub(super) async fn client(&self, group: &str, ingress: u16) -> Option<Arc<FrontClient>> {
         let key = (group.to_owned(), ingress);
         if let Some(c) = lock(&self.clients).get(&key).filter(|c| !c.closed()) {
             return Some(c.clone());
@@ -62,14 +68,16 @@
         let (runtime, journal) = (self.runtime.clone(), self.journal.clone());
         let door = self.day.accounts.iter().find(|g| g.name == group).map_or(Door::Grpc, |g| g.door);
         let client = Arc::new(match door {
-            Door::Grpc => Speaker::Grpc(Client::connect(runtime, grpc, ingress, journal).await.ok()?),
-            Door::Mqtt => Speaker::Mqtt(mqtt::Client::connect(runtime, mqtt, ingress, journal).await.ok()?),
+            Door::Grpc => FrontClient::Grpc(Client::connect(runtime, grpc, ingress, journal).await.ok()?),
+            Door::Mqtt => {
+                FrontClient::Mqtt(mqtt::Client::connect(runtime, mqtt, ingress, journal).await.ok()?)
+            }
         });
         lock(&self.clients).insert(key, client.clone());
         Some(client)
     }
 
-    /// One account's traffic, for the whole day.
+    /// Sends the requests of one account until the day is over.
     pub(super) async fn account(self: &Arc<Self>, g: &AccountGroup, i: usize) {
         let name = account(g, i);
         let tag = name.bytes().fold(0u64, |n, b| n.wrapping_mul(131) + u64::from(b));
@@ -81,60 +89,63 @@
             }
             return;
         }
-        while !lock(&self.mood).over {
+        while !lock(&self.traffic).day_over {
             let rate = {
-                let mood = lock(&self.mood);
-                g.rate * mood.burst * mood.hot.get(&(g.name.clone(), i)).copied().unwrap_or(1.0)
+                let traffic = lock(&self.traffic);
+                g.rate * traffic.burst * traffic.hot.get(&(g.name.clone(), i)).copied().unwrap_or(1.0)
             };
             let wait = Exp::new(rate.max(1e-6)).map_or(1.0, |d| d.sample(&mut rng)).min(0.5);
             self.pause(wait).await;
-            // A pause cut short at half a second decides anew: the rate may have changed.
-            if wait >= 0.5 || lock(&self.mood).over {
+            // The pause is limited to 0.5 s, after which it is drawn again because the rate may have changed.
+            if wait >= 0.5 || lock(&self.traffic).day_over {
                 continue;
             }
-            let (world, g2, class, seed) =
-                (self.clone(), g.clone(), pick(&g.classes, &mut rng), rng.random());
+            let drill = self.clone();
+            let group = g.clone();
+            let class = pick(&g.classes, &mut rng);
+            let seed = rng.random();
             self.running.fetch_add(1, Ordering::Relaxed);
             self.spawn(async move {
-                world.request(&g2, i, class, seed).await;
-                world.running.fetch_sub(1, Ordering::Relaxed);
+                drill.request(&group, i, class, seed).await;
+                drill.running.fetch_sub(1, Ordering::Relaxed);
             });
         }
     }
 
-    /// One request with its tries.
+    /// Sends a request and its retries.
     async fn request(&self, g: &AccountGroup, i: usize, class: String, seed: u64) {
         let mut rng = SmallRng::seed_from_u64(seed);
         let clients = &self.day.clients;
-        let whole = self.deadlines.get(&class).copied().unwrap_or(1_000_000);
-        let end = self.runtime.now() + whole;
+        let deadline = self.deadlines.get(&class).copied().unwrap_or(1_000_000);
+        let end = self.runtime.now() + deadline;
         let units = clients.units.get(&class).copied().unwrap_or(1);
         let key = format!("{i}-{seed:x}");
         let width = g.width.min(self.day.ingresses).max(1);
         let hurried = rng.random::<f64>() < clients.hurried;
         for n in 0..=clients.retries {
             let (abuse, patience, shift) = {
-                let mood = lock(&self.mood);
-                (mood.abuse, mood.patience, mood.shift)
+                let traffic = lock(&self.traffic);
+                (traffic.abuse, traffic.patience, traffic.shift)
             };
-            // The busiest of its ingresses takes two thirds; a shift makes it another one.
-            let busiest = rng.random::<f64>() < 0.66;
+            // Two thirds of the requests go to the busiest of the account's ingresses. A shift changes which one that is.
+            let to_busiest = rng.random::<f64>() < 0.66;
             let nth =
-                if busiest { shift % usize::from(width) } else { rng.random_range(0..usize::from(width)) };
+                if to_busiest { shift % usize::from(width) } else { rng.random_range(0..usize::from(width)) };
             let ingress = ((i + nth) % usize::from(self.day.ingresses)) as u16;
             let share = rng.random_range(clients.patience.min(0.999)..=1.0) * patience;
             let left = end.saturating_sub(self.runtime.now());
             let timeout =
-                if hurried { rng.random_range(0..30_000) } else { (whole as f64 * share) as Micros };
+                if hurried { rng.random_range(0..30_000) } else { (deadline as f64 * share) as Micros };
             let timeout = timeout.min(left);
             if left == 0 {
                 return;
             }
-            let call = self.calls.fetch_add(1, Ordering::Relaxed);
+            let call = self.next_call.fetch_add(1, Ordering::Relaxed);
             let account = account(g, i);
-            let ask = Request { call, account, class: class.clone(), units, key: Some(key.clone()), timeout };
+            let request =
+                Request { call, account, class: class.clone(), units, key: Some(key.clone()), timeout };
             let answer = match self.client(&g.name, ingress).await {
-                Some(client) => client.call(&ask).await,
+                Some(client) => client.call(&request).await,
                 None => Answer::NotTaken,
             };
             let pause = match answer {
@@ -145,23 +156,25 @@
                 _ => clients.pause_ms * 1000,
             };
             if n < clients.retries {
-                let lot = if abuse { 0 } else { rng.random_range(0..=pause / 4) };
-                self.runtime.sleep_until(self.runtime.now() + pause + lot).await;
+                let jitter = if abuse { 0 } else { rng.random_range(0..=pause / 4) };
+                self.runtime.sleep_until(self.runtime.now() + pause + jitter).await;
             }
         }
     }
 }
 
+/// Returns the name of an account of a group.
 pub(super) fn account(g: &AccountGroup, i: usize) -> String {
     format!("{}-{i}", g.name)
 }
 
+/// Draws a class by the shares of the classes.
 fn pick(classes: &BTreeMap<String, f64>, rng: &mut SmallRng) -> String {
     let total: f64 = classes.values().sum();
-    let mut at = rng.random::<f64>() * total;
+    let mut remaining = rng.random::<f64>() * total;
     for (name, share) in classes {
-        at -= share;
-        if at <= 0.0 {
+        remaining -= share;
+        if remaining <= 0.0 {
             return name.clone();
         }
     }
--- a/crates/fault-injection/src/drill/troubles.rs
+++ b/crates/fault-injection/src/drill/troubles.rs
@@ -1,9 +1,9 @@
-//! What goes wrong on a day.
+//! Injects the troubles of a day.
 
-use super::processes::{signal, Life};
-use super::{io_error, lock, DrillError, World};
+use super::processes::{signal, IngressState};
+use super::{io_error, lock, DrillError, DrillRun};
 use crate::day::{Kind, Trouble};
-use crate::fleet::Act;
+use crate::fleet::FleetAction;
 use chalkgap::runtime::Micros;
 use chalkgap_testbed::client::Request;
 use chalkgap_testbed::flood;
@@ -17,58 +17,58 @@
 use std::sync::atomic::Ordering;
 use std::sync::Arc;
 
-impl World {
-    /// The ones that a trouble hits, of `of`.
-    fn which(&self, t: &Trouble, of: usize, seed: u64) -> Vec<usize> {
+impl DrillRun {
+    /// Returns the numbers below `count` that a trouble affects: those that it lists, or a random share.
+    fn affected(&self, t: &Trouble, count: usize, seed: u64) -> Vec<usize> {
         if !t.which.is_empty() {
-            return t.which.iter().copied().filter(|n| *n < of).collect();
+            return t.which.iter().copied().filter(|n| *n < count).collect();
         }
         let mut rng = SmallRng::seed_from_u64(seed);
-        let mut all: Vec<usize> = (0..of).collect();
-        let count = ((of as f64 * t.share).round() as usize).clamp(1, of.max(1));
+        let mut all: Vec<usize> = (0..count).collect();
+        let drawn = ((count as f64 * t.share).round() as usize).clamp(1, count.max(1));
         let mut list: Vec<usize> =
-            (0..count.min(of)).map(|_| all.swap_remove(rng.random_range(0..all.len()))).collect();
+            (0..drawn.min(count)).map(|_| all.swap_remove(rng.random_range(0..all.len()))).collect();
         list.sort_unstable();
-        // What a seed draws names itself: it can be written into a script as it was.
-        tracing::info!(kind = ?t.kind, which = ?list, "drill: drawn");
+        // Logged so that a script can list the drawn numbers explicitly.
+        tracing::info!(kind = ?t.kind, which = ?list, "drill: trouble targets drawn");
         list
     }
 
-    /// Processes of ingresses that live.
+    /// Returns the ingress numbers and process ids of those ingresses that run in a process of their own.
     fn pids(&self, list: &[usize]) -> Vec<(u16, u32)> {
         let slots = lock(&self.slots);
-        let pid = |n: &usize| match &slots[*n].life {
-            Life::Process(child) => Some((*n as u16, child.id())),
+        let pid = |n: &usize| match &slots[*n].state {
+            IngressState::Process(child) => Some((*n as u16, child.id())),
             _ => None,
         };
         list.iter().filter_map(pid).collect()
     }
 
-    fn stop(&self, n: u16, pid: u32) {
-        self.act(Act::Stop(n));
+    fn suspend(&self, n: u16, pid: u32) {
+        self.record(FleetAction::Stop(n));
         signal(pid, Signal::STOP);
     }
 
-    fn go(&self, n: u16, pid: u32) {
+    fn resume(&self, n: u16, pid: u32) {
         signal(pid, Signal::CONT);
-        self.act(Act::Go(n));
+        self.record(FleetAction::Go(n));
     }
 
-    /// Tells the auditor of the rules: answers may be late by this much.
-    fn stalled(&self, list: &[(u16, u32)], begun: Micros) {
+    /// Records in the journal that processes were suspended from `begun` until now, during which answers may be late.
+    fn record_stalls(&self, list: &[(u16, u32)], begun: Micros) {
         let until = self.runtime.now();
         list.iter().for_each(|(n, _)| self.journal.note(begun, Seen::Stalled { ingress: *n, until }));
     }
 
-    /// Changes links, and says so to the auditor of views: they differ as long as it lasts.
-    async fn rough(&self, t: &Trouble, change: &(dyn Fn(&mut LinkFaults) + Sync)) {
-        self.act(Act::Rough(true));
-        self.links(&self.pairs(t), t.lasts, change).await;
-        self.act(Act::Rough(false));
+    /// Disturbs links for the duration of a trouble and records that, because views differ meanwhile.
+    async fn disturb_links(&self, t: &Trouble, change: &(dyn Fn(&mut LinkFaults) + Sync)) {
+        self.record(FleetAction::Rough(true));
+        self.change_links(&self.affected_links(t), t.lasts, change).await;
+        self.record(FleetAction::Rough(false));
     }
 
-    /// The links that a trouble is about, in their directions.
-    fn pairs(&self, t: &Trouble) -> Vec<(Party, Party)> {
+    /// Returns the directed links that a trouble affects.
+    fn affected_links(&self, t: &Trouble) -> Vec<(Party, Party)> {
         let ingresses = 0..self.day.ingresses + self.day.reserve;
         let parts: Vec<Vec<u16>> =
             if t.parts.is_empty() { ingresses.map(|n| vec![n]).collect() } else { t.parts.clone() };
@@ -91,43 +91,48 @@
         pairs
     }
 
-    /// Changes links for a while.
-    async fn links(&self, pairs: &[(Party, Party)], seconds: f64, change: &(dyn Fn(&mut LinkFaults) + Sync)) {
+    /// Changes the faults of links for a number of seconds.
+    async fn change_links(
+        &self,
+        pairs: &[(Party, Party)],
+        seconds: f64,
+        change: &(dyn Fn(&mut LinkFaults) + Sync),
+    ) {
         for (from, to) in pairs {
             let between = matches!((from, to), (Party::Ingress(_), Party::Ingress(_)));
-            // What is usual is the network's between ingresses; streams to nodes and the roster pass at once.
-            let mut weather = if between { self.network.usual() } else { LinkFaults::default() };
-            change(&mut weather);
-            self.network.set(*from, *to, Some(weather));
+            // Links between ingresses have the network's usual faults; streams to nodes and the registry have none.
+            let mut faults = if between { self.network.usual() } else { LinkFaults::default() };
+            change(&mut faults);
+            self.network.set(*from, *to, Some(faults));
         }
         self.pause(seconds).await;
         pairs.iter().for_each(|(from, to)| self.network.set(*from, *to, None));
     }
 
-    /// Plays one trouble from its beginning to its end.
+    /// Runs one trouble from its start to its end.
     #[expect(clippy::too_many_lines, reason = "not split yet, see docs/ROADMAP.md")]
     pub(super) async fn trouble(self: &Arc<Self>, t: &Trouble, seed: u64) -> Result<(), DrillError> {
         tracing::info!(kind = ?t.kind, "drill: trouble begins");
         let (ingresses, nodes) = (usize::from(self.day.ingresses), lock(&self.nodes).len());
         let numbers = ingresses + usize::from(self.day.reserve);
         let all = |set: &dyn Fn(&mut Faults)| {
-            for n in self.which(t, nodes, seed) {
+            for n in self.affected(t, nodes, seed) {
                 self.change_node(n, set);
             }
         };
         match t.kind {
             Kind::BalancerCrash | Kind::Kill => {
-                let list = self.which(t, numbers, seed);
+                let list = self.affected(t, numbers, seed);
                 list.iter().for_each(|n| self.kill_ingress(*n as u16));
                 self.pause(t.lasts).await;
-                // Killed without an end: for good.
-                let back = t.kind == Kind::BalancerCrash || t.lasts > 0.0;
-                for n in list.into_iter().filter(|_| back) {
+                // `Kill` without a duration is permanent.
+                let restart = t.kind == Kind::BalancerCrash || t.lasts > 0.0;
+                for n in list.into_iter().filter(|_| restart) {
                     self.start_ingress(n as u16).await?;
                 }
             }
             Kind::BalancerRoll => {
-                for n in self.which(t, ingresses, seed) {
+                for n in self.affected(t, ingresses, seed) {
                     self.drain_ingress(n as u16).await;
                     self.pause(t.lasts).await;
                     self.start_ingress(n as u16).await?;
@@ -155,39 +160,39 @@
                 all(&|f| (f.fail, f.fail_class) = (0.0, None));
             }
             Kind::BalancerStall => {
-                let list = self.pids(&self.which(t, numbers, seed));
+                let list = self.pids(&self.affected(t, numbers, seed));
                 let begun = self.runtime.now();
-                list.iter().for_each(|(n, pid)| self.stop(*n, *pid));
+                list.iter().for_each(|(n, pid)| self.suspend(*n, *pid));
                 self.pause(t.lasts).await;
-                list.iter().for_each(|(n, pid)| self.go(*n, *pid));
-                self.stalled(&list, begun);
+                list.iter().for_each(|(n, pid)| self.resume(*n, *pid));
+                self.record_stalls(&list, begun);
             }
             Kind::Slow => {
-                let list = self.pids(&self.which(t, numbers, seed));
+                let list = self.pids(&self.affected(t, numbers, seed));
                 let (begun, slice) = (self.runtime.now(), t.strength / 1000.0);
                 let end = begun + (t.lasts * 1e6) as Micros;
-                self.act(Act::Rough(true));
+                self.record(FleetAction::Rough(true));
                 while self.runtime.now() < end {
                     list.iter().for_each(|(_, pid)| signal(*pid, Signal::STOP));
                     self.pause(0.9 * slice).await;
                     list.iter().for_each(|(_, pid)| signal(*pid, Signal::CONT));
                     self.pause(0.1 * slice).await;
                 }
-                self.act(Act::Rough(false));
-                self.stalled(&list, begun);
+                self.record(FleetAction::Rough(false));
+                self.record_stalls(&list, begun);
             }
             Kind::Leave => {
-                for n in self.which(t, numbers, seed) {
+                for n in self.affected(t, numbers, seed) {
                     self.drain_ingress(n as u16).await;
                 }
             }
             Kind::Join => {
-                for n in self.which(t, numbers, seed) {
+                for n in self.affected(t, numbers, seed) {
                     self.start_ingress(n as u16).await?;
                 }
             }
             Kind::Replace => {
-                for n in self.which(t, numbers, seed) {
+                for n in self.affected(t, numbers, seed) {
                     self.replace_ingress(n as u16).await?;
                 }
             }
@@ -195,24 +200,29 @@
                 let cut = if t.kind == Kind::Cut { Cut::Silent } else { Cut::Reset };
                 let parts = if t.parts.len() > 1 && !t.one_way { t.parts.clone() } else { Vec::new() };
                 if parts.is_empty() {
-                    self.rough(t, &|w| w.cut = Some(cut)).await;
+                    self.disturb_links(t, &|faults| faults.cut = Some(cut)).await;
                 } else {
-                    self.act(Act::Parts(parts));
-                    self.links(&self.pairs(t), t.lasts, &|w| w.cut = Some(cut)).await;
-                    self.act(Act::Parts(Vec::new()));
+                    self.record(FleetAction::Parts(parts));
+                    self.change_links(&self.affected_links(t), t.lasts, &|faults| faults.cut = Some(cut))
+                        .await;
+                    self.record(FleetAction::Parts(Vec::new()));
                 }
             }
-            Kind::Lossy => self.rough(t, &|w| w.loss = t.strength).await,
-            Kind::Doubled => self.rough(t, &|w| w.double = t.strength).await,
-            Kind::SlowBytes => self.rough(t, &|w| w.rate = (t.strength * 1000.0) as u64).await,
-            Kind::HalfOpen => self.rough(t, &|w| w.half_open = true).await,
-            Kind::Reorder => self.rough(t, &|w| w.delay.1 += (t.strength * 1000.0) as Micros).await,
+            Kind::Lossy => self.disturb_links(t, &|faults| faults.loss = t.strength).await,
+            Kind::Doubled => self.disturb_links(t, &|faults| faults.double = t.strength).await,
+            Kind::SlowBytes => {
+                self.disturb_links(t, &|faults| faults.rate = (t.strength * 1000.0) as u64).await
+            }
+            Kind::HalfOpen => self.disturb_links(t, &|faults| faults.half_open = true).await,
+            Kind::Reorder => {
+                self.disturb_links(t, &|faults| faults.delay.1 += (t.strength * 1000.0) as Micros).await
+            }
             Kind::LateTail => {
-                let late = |w: &mut LinkFaults| {
-                    w.delay.1 = w.delay.1.max(20_000);
-                    w.tail = t.strength;
+                let late = |faults: &mut LinkFaults| {
+                    faults.delay.1 = faults.delay.1.max(20_000);
+                    faults.tail = t.strength;
                 };
-                self.rough(t, &late).await;
+                self.disturb_links(t, &late).await;
             }
             Kind::Halfway => {
                 all(&|f| f.halfway = t.strength);
@@ -235,7 +245,7 @@
                 }
             }
             Kind::NodeCrash => {
-                let list = self.which(t, nodes, seed);
+                let list = self.affected(t, nodes, seed);
                 for n in &list {
                     let mut nodes = lock(&self.nodes);
                     (nodes[*n].node, nodes[*n].state) = (None, 2);
@@ -248,7 +258,7 @@
                 self.publish_late().await;
             }
             Kind::NodeRoll => {
-                for n in self.which(t, nodes, seed) {
+                for n in self.affected(t, nodes, seed) {
                     lock(&self.nodes)[n].state = 1;
                     self.publish();
                     self.pause(t.lasts).await;
@@ -265,34 +275,38 @@
             Kind::ZoneCut => {
                 let zone = t.which.first().copied().unwrap_or(0);
                 let inside = |n: usize| lock(&self.nodes)[n].zone == zone;
-                let there: Vec<usize> = (0..nodes).filter(|n| inside(*n)).collect();
-                there.iter().for_each(|n| self.change_node(*n, |f| (f.mute, f.hang) = (true, true)));
-                let inside = |n: &u16| usize::from(*n) % self.day.zones.len() == zone;
-                let all = || 0..self.day.ingresses;
-                let to = |to| all().map(move |from| (Party::Ingress(from), Party::Ingress(to)));
-                let pairs: Vec<_> = all().filter(inside).flat_map(to).collect();
-                self.links(&pairs, t.lasts, &|w| w.loss = 1.0).await;
-                there.iter().for_each(|n| self.change_node(*n, |f| (f.mute, f.hang) = (false, false)));
+                let zone_nodes: Vec<usize> = (0..nodes).filter(|n| inside(*n)).collect();
+                zone_nodes.iter().for_each(|n| self.change_node(*n, |f| (f.mute, f.hang) = (true, true)));
+                let ingress_inside = |n: &u16| usize::from(*n) % self.day.zones.len() == zone;
+                let all_ingresses = || 0..self.day.ingresses;
+                let links_from_all =
+                    |to| all_ingresses().map(move |from| (Party::Ingress(from), Party::Ingress(to)));
+                let pairs: Vec<_> = all_ingresses().filter(ingress_inside).flat_map(links_from_all).collect();
+                self.change_links(&pairs, t.lasts, &|faults| faults.loss = 1.0).await;
+                zone_nodes.iter().for_each(|n| self.change_node(*n, |f| (f.mute, f.hang) = (false, false)));
             }
             Kind::HotKey => {
                 let group = self.day.accounts.iter().find(|g| t.group.as_ref().is_none_or(|n| *n == g.name));
                 let Some(group) = group else { return Ok(()) };
-                let keys: Vec<(String, usize)> =
-                    self.which(t, group.count, seed).into_iter().map(|i| (group.name.clone(), i)).collect();
-                lock(&self.mood).hot.extend(keys.iter().map(|k| (k.clone(), t.strength)));
+                let keys: Vec<(String, usize)> = self
+                    .affected(t, group.count, seed)
+                    .into_iter()
+                    .map(|i| (group.name.clone(), i))
+                    .collect();
+                lock(&self.traffic).hot.extend(keys.iter().map(|k| (k.clone(), t.strength)));
                 self.pause(t.lasts).await;
-                let mut mood = lock(&self.mood);
-                mood.hot.retain(|k, _| !keys.contains(k));
+                let mut traffic = lock(&self.traffic);
+                traffic.hot.retain(|k, _| !keys.contains(k));
             }
             Kind::Burst => {
-                lock(&self.mood).burst = t.strength;
+                lock(&self.traffic).burst = t.strength;
                 self.pause(t.lasts).await;
-                lock(&self.mood).burst = 1.0;
+                lock(&self.traffic).burst = 1.0;
             }
             Kind::Flood => {
                 let until = self.runtime.now() + (t.lasts * 1e6) as Micros;
                 let floods: Vec<_> = self
-                    .which(t, ingresses, seed)
+                    .affected(t, ingresses, seed)
                     .into_iter()
                     .map(|n| {
                         let to = lock(&self.slots)[n].grpc;
@@ -316,26 +330,30 @@
             }
             Kind::Reconnect => lock(&self.clients).clear(),
             Kind::RetryAbuse => {
-                lock(&self.mood).abuse = true;
+                lock(&self.traffic).abuse = true;
                 self.pause(t.lasts).await;
-                lock(&self.mood).abuse = false;
+                lock(&self.traffic).abuse = false;
             }
             Kind::GiveUp => {
-                lock(&self.mood).patience = t.strength;
+                lock(&self.traffic).patience = t.strength;
                 self.pause(t.lasts).await;
-                lock(&self.mood).patience = 1.0;
+                lock(&self.traffic).patience = 1.0;
             }
-            Kind::Shift => lock(&self.mood).shift += 1,
+            Kind::Shift => lock(&self.traffic).shift += 1,
             Kind::PeerLoss => {
-                self.links(&self.pairs(t), t.lasts, &|w| w.loss = w.loss.max(t.strength)).await;
+                self.change_links(&self.affected_links(t), t.lasts, &|faults| {
+                    faults.loss = faults.loss.max(t.strength)
+                })
+                .await;
             }
             Kind::RosterDown => {
-                *lock(&self.roster) = None;
+                *lock(&self.registry) = None;
                 self.pause(t.lasts).await;
-                let again = Registry::start(self.runtime.clone(), self.roster_at, self.journal.clone());
-                let again = again.map_err(io_error("the roster"))?;
-                again.advertise(self.whereabouts.clone());
-                *lock(&self.roster) = Some(again);
+                let registry =
+                    Registry::start(self.runtime.clone(), self.registry_address, self.journal.clone());
+                let registry = registry.map_err(io_error("registry"))?;
+                registry.advertise(self.node_addresses.clone());
+                *lock(&self.registry) = Some(registry);
                 self.publish();
             }
             Kind::Scan => {
@@ -346,15 +364,16 @@
                     if self.runtime.now() >= end {
                         break;
                     }
-                    let (world, class) = (self.clone(), class.clone());
+                    let drill = self.clone();
+                    let class = class.clone();
                     let to = rng.random_range(0..self.day.ingresses);
                     self.spawn(async move {
-                        let timeout = world.deadlines.get(&class).copied().unwrap_or(1_000_000);
-                        let call = world.calls.fetch_add(1, Ordering::Relaxed);
+                        let timeout = drill.deadlines.get(&class).copied().unwrap_or(1_000_000);
+                        let call = drill.next_call.fetch_add(1, Ordering::Relaxed);
                         let account = format!("scan-{i}");
-                        let ask = Request { call, account, class, units: 1, key: None, timeout };
-                        if let Some(client) = world.client("scan", to).await {
-                            client.call(&ask).await;
+                        let request = Request { call, account, class, units: 1, key: None, timeout };
+                        if let Some(client) = drill.client("scan", to).await {
+                            client.call(&request).await;
                         }
                     });
                     self.pause(1.0 / t.strength.max(0.01)).await;
--- a/crates/fault-injection/src/ledger.rs
+++ b/crates/fault-injection/src/ledger.rs
@@ -1,4 +1,4 @@
-//! Compares what was billed with what nodes counted: both are seen from outside of the ingresses.
+//! Compares the units that were billed with the units that nodes counted. Neither number comes from an ingress.
 
 use chalkgap_ledger::entry::Batch;
 use chalkgap_ledger::Periods;
@@ -10,47 +10,47 @@
 /// Units by account and period.
 pub type Units = BTreeMap<(String, u64), i64>;
 
-/// How the two compare.
+/// Result of comparing counted and billed units.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Billing {
-    /// Units that nodes counted, each request once.
+    /// Units that nodes counted, each request counted once.
     pub counted: i64,
     /// Units in the consumer's batches.
     pub billed: i64,
-    /// Pairs of account and period with any use.
+    /// Number of pairs of account and period with counted or billed units.
     pub sums: usize,
-    /// Where they differ; empty if all is well.
+    /// One text for each pair whose units differ, or the error of an invalid batch; empty if everything matches.
     pub differences: Vec<String>,
 }
 
 /// Why a consumer's batch is invalid.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum BatchError {
-    /// It cannot be decoded.
-    #[error("{stream} {number}: {error}")]
+    /// The batch cannot be decoded.
+    #[error("batch {number} of stream {stream}: {error}")]
     Decode {
-        /// Its stream.
+        /// The stream of the batch.
         stream: String,
-        /// Its number in the stream.
+        /// The number of the batch in the stream.
         number: u64,
-        /// The reason.
+        /// The decoding error.
         error: prost::DecodeError,
     },
-    /// It names another stream or number than those that it is stored under.
-    #[error("{stream} {number}: it says {found_stream} {found_number}")]
+    /// The batch contains another stream or number than the one that it is stored under.
+    #[error("batch {number} of stream {stream}: contains number {found_number} and stream {found_stream}")]
     Misplaced {
-        /// Its stream.
+        /// The stream of the batch.
         stream: String,
-        /// Its number in the stream.
+        /// The number of the batch in the stream.
         number: u64,
-        /// The stream that it names.
+        /// The stream that the batch contains.
         found_stream: String,
-        /// The number that it names.
+        /// The number that the batch contains.
         found_number: u64,
     },
 }
 
-/// What nodes counted: each request once, wherever and however often it ran.
+/// Returns the units that nodes counted. A request counts once, even if it ran more than once or on several nodes.
 pub fn counted(tallies: impl IntoIterator<Item = BTreeMap<String, Used>>, periods: Periods) -> Units {
     let mut requests = BTreeMap::new();
     tallies.into_iter().for_each(|tally| requests.extend(tally));
@@ -63,10 +63,10 @@
     sums
 }
 
-/// What a consumer has been sent, by its batches of each stream.
+/// Returns the units in a consumer's batches, given by stream in order of their numbers.
 ///
 /// # Errors
-/// See [`BatchError`].
+/// [`BatchError`] if a batch cannot be decoded, or if its stream or number differs from its place.
 pub fn billed(streams: &BTreeMap<String, Vec<bytes::Bytes>>) -> Result<Units, BatchError> {
     let mut sums = Units::new();
     for (stream, batches) in streams {
@@ -93,7 +93,7 @@
     }
 }
 
-/// Compares them by account and period.
+/// Compares counted and billed units by account and period.
 pub fn compare(counted: &Units, billed: &Units) -> Billing {
     let keys: BTreeSet<&(String, u64)> = counted.keys().chain(billed.keys()).collect();
     let mut differences = Vec::new();
