--- a/crates/fault-injection/benches/admission.rs
+++ b/crates/fault-injection/benches/admission.rs
@@ -1,9 +1,10 @@
-//! Connection admission under floods: known clients' calls beside a flood, how fast the flooded are refused, what a
-//! refusal costs, and how cost grows with sockets. The ingress runs in a process of its own; times are ratios in one run.
+//! Connection admission under connection floods: latency of known clients' calls during a flood, latency and CPU time of
+//! refusals, and cost by number of idle sockets. The ingress runs in a process of its own. Compare times only within one
+//! run.
 //!
 //! `cargo bench -p chalkgap-fault-injection --bench admission`
 
-use chalkgap::node_list::{Node as Line, NodeList, State};
+use chalkgap::node_list::{Node as ListedNode, NodeList, State};
 use chalkgap::runtime::{system::System, Shared};
 use chalkgap::settings;
 use chalkgap::Instance;
@@ -46,7 +47,7 @@
         .unwrap();
         let settings = settings::read("bench", SETTINGS.into(), &[("clients".into(), clients)]).unwrap();
         let ingress = Instance::start(settings, system.clone()).await.unwrap();
-        let line = Line {
+        let listed_node = ListedNode {
             address: node.address(),
             zone: "a".into(),
             cell: String::new(),
@@ -55,13 +56,17 @@
             size: 1.0,
             started_ms: 0,
         };
-        ingress.set_node_list(NodeList { revision: 1, nodes: vec![line] }).await;
+        ingress.set_node_list(NodeList { revision: 1, nodes: vec![listed_node] }).await;
         println!("{}", ingress.grpc_address());
         std::future::pending::<()>().await;
     });
 }
 
-struct Server(Child, SocketAddr);
+/// An ingress in a process of its own.
+struct Server {
+    child: Child,
+    address: SocketAddr,
+}
 
 impl Server {
     fn start(clients: u32) -> Server {
@@ -71,17 +76,19 @@
             .spawn()
             .unwrap();
         let line = BufReader::new(child.stdout.take().unwrap()).lines().next().unwrap().unwrap();
-        Server(child, line.parse().unwrap())
+        Server { child, address: line.parse().unwrap() }
     }
 
-    fn cpu(&self) -> f64 {
-        let stat = std::fs::read_to_string(format!("/proc/{}/stat", self.0.id())).unwrap();
+    /// Returns the CPU time used so far in seconds, user and system.
+    fn cpu_seconds(&self) -> f64 {
+        let stat = std::fs::read_to_string(format!("/proc/{}/stat", self.child.id())).unwrap();
         let rest: Vec<&str> = stat.rsplit(')').next().unwrap().split_whitespace().collect();
         (rest[11].parse::<f64>().unwrap() + rest[12].parse::<f64>().unwrap()) / 100.0
     }
 
-    fn memory(&self) -> f64 {
-        let status = std::fs::read_to_string(format!("/proc/{}/status", self.0.id())).unwrap();
+    /// Returns the resident memory in KiB.
+    fn memory_kib(&self) -> f64 {
+        let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id())).unwrap();
         let line = status.lines().find(|l| l.starts_with("VmRSS:")).unwrap();
         line.split_whitespace().nth(1).unwrap().parse().unwrap()
     }
@@ -89,26 +96,36 @@
 
 impl Drop for Server {
     fn drop(&mut self) {
-        let _ = self.0.kill();
-        let _ = self.0.wait();
+        let _ = self.child.kill();
+        let _ = self.child.wait();
     }
 }
 
-/// A known client's calls, a thousand a second for some seconds, each fiftieth on a connection of its own. The share
-/// that was served, and the times of the calls, sorted.
-async fn calls(runtime: &Shared, to: SocketAddr, seconds: f64) -> (f64, Vec<u64>) {
+#[derive(Default)]
+struct CallResults {
+    served: u64,
+    /// Microseconds.
+    latencies: Vec<u64>,
+}
+
+/// Sends 1000 calls per second of a known client; every 50th call uses a new connection. Returns the share of served calls
+/// and the sorted latencies in microseconds.
+async fn known_client_calls(runtime: &Shared, to: SocketAddr, seconds: f64) -> (f64, Vec<u64>) {
     let shared = Arc::new(Client::connect(runtime.clone(), to, 0, Journal::nowhere()).await.unwrap());
-    let times = Arc::new(Mutex::new((0u64, Vec::new())));
-    let (begun, count) = (runtime.now(), (seconds * 1000.0) as u64);
+    let results = Arc::new(Mutex::new(CallResults::default()));
+    let begun = runtime.now();
+    let count = (seconds * 1000.0) as u64;
     let mut tasks = Vec::new();
     for call in 0..count {
         let due = begun + call * 1000;
         if due > runtime.now() {
             runtime.sleep_until(due).await;
         }
-        let (world, shared, times) = (runtime.clone(), shared.clone(), times.clone());
+        let task_runtime = runtime.clone();
+        let shared = shared.clone();
+        let results = results.clone();
         tasks.push(runtime.spawn(Box::pin(async move {
-            let ask = Request {
+            let request = Request {
                 call,
                 account: "one".into(),
                 class: "c".into(),
@@ -117,33 +134,34 @@
                 timeout: 3_000_000,
             };
             let answer = if call % 50 == 0 {
-                match Client::connect(world.clone(), to, 0, Journal::nowhere()).await {
-                    Ok(client) => client.call(&ask).await.answer,
+                match Client::connect(task_runtime.clone(), to, 0, Journal::nowhere()).await {
+                    Ok(client) => client.call(&request).await.answer,
                     Err(_) => Answer::NotTaken,
                 }
             } else {
-                shared.call(&ask).await.answer
+                shared.call(&request).await.answer
             };
-            let mut all = times.lock().unwrap();
-            all.0 += u64::from(answer == Answer::Served);
-            all.1.push(world.now() - due);
+            let mut results = results.lock().unwrap();
+            results.served += u64::from(answer == Answer::Served);
+            results.latencies.push(task_runtime.now() - due);
         })));
     }
-    for t in tasks {
-        t.await;
+    for task in tasks {
+        task.await;
     }
-    let mut all = times.lock().unwrap();
-    all.1.sort_unstable();
-    (all.0 as f64 / count as f64, std::mem::take(&mut all.1))
+    let mut results = results.lock().unwrap();
+    results.latencies.sort_unstable();
+    (results.served as f64 / count as f64, std::mem::take(&mut results.latencies))
 }
 
-fn at(times: &[u64], share: f64) -> f64 {
+/// Returns the quantile `share` of sorted times in microseconds, in milliseconds.
+fn quantile_ms(times: &[u64], share: f64) -> f64 {
     let n = ((times.len() as f64 * share) as usize).min(times.len().max(1) - 1);
     times.get(n).copied().unwrap_or(0) as f64 / 1000.0
 }
 
-/// Nanoseconds of the decider for a connection that is offered, by the number of addresses.
-fn decider(addresses: u32) -> f64 {
+/// Returns the time in nanoseconds that [`Admission`] takes for one connection, offered and closed, by number of addresses.
+fn admission_ns(addresses: u32) -> f64 {
     let caps = Caps {
         per_address: 10,
         per_prefix: 100,
@@ -160,14 +178,15 @@
         KnownClientLimits { max_addresses: 50_000, max_per_account: 64, remember_for: 1 << 40 },
         Vec::new(),
     );
-    let mut a = Admission::new(caps, DescriptorBudget { clients: 10_000, nodes: 256, spare: 16 }, known);
+    let mut admission =
+        Admission::new(caps, DescriptorBudget { clients: 10_000, nodes: 256, spare: 16 }, known);
     let begun = Instant::now();
     for n in 0..1_000_000u64 {
         let address: IpAddr = Ipv4Addr::from((n as u32).wrapping_mul(2_654_435_761) % addresses * 257).into();
         let now = 1_000_000 + n * 10;
-        a.admit(now, ConnId(n), address);
+        admission.admit(now, ConnId(n), address);
         if n >= 5000 {
-            a.closed(now, ConnId(n - 5000));
+            admission.closed(now, ConnId(n - 5000));
         }
     }
     begun.elapsed().as_secs_f64() * 1e9 / 1e6
@@ -186,71 +205,75 @@
     let runtime: Shared = system.clone();
     println!("| flood, connections a second | known served | their p50 / p99 ms | p99 to calm | refused, p50 / p99 ms | hanging | CPU us a refusal |");
     println!("| --- | --- | --- | --- | --- | --- | --- |");
-    let (mut calm_p99, mut calm_cpu, seconds) = (0.0, 0.0, 4.0);
+    let seconds = 4.0;
+    // Values of the run without a flood.
+    let mut calm_p99 = 0.0;
+    let mut calm_cpu = 0.0;
     for rate in [0.0, 100.0, 1000.0, 3000.0] {
         let server = Server::start(300);
         let (served, times, seen, cpu) = system.clone().run(async {
-            let to = server.1;
+            let to = server.address;
             let until = runtime.now() + (seconds * 1e6) as u64 + 1_500_000;
             let plan = Plan { to, addresses: 5000, per_second: rate, hold: 5000, until };
             let flood = (rate > 0.0).then(|| flood::start(&runtime, plan));
-            runtime.sleep_until(runtime.now() + 1_000_000).await; // what is free to the flood is taken
+            runtime.sleep_until(runtime.now() + 1_000_000).await; // the flood takes all connections available to it
             let seen = || flood.as_ref().map(|f| f.1.lock().unwrap().clone()).unwrap_or_default();
-            let (cpu, before) = (server.cpu(), seen().refusals.len());
-            let (served, times) = calls(&runtime, to, seconds).await;
-            let cpu = server.cpu() - cpu;
+            let cpu_before = server.cpu_seconds();
+            let refusals_before = seen().refusals.len();
+            let (served, times) = known_client_calls(&runtime, to, seconds).await;
+            let cpu = server.cpu_seconds() - cpu_before;
             let mut seen = seen();
-            seen.refusals.drain(..before);
+            seen.refusals.drain(..refusals_before);
             if let Some((task, _)) = flood {
                 task.await;
             }
             (served, times, seen, cpu)
         });
-        let p99 = at(&times, 0.99);
+        let p99 = quantile_ms(&times, 0.99);
         if rate == 0.0 {
             (calm_p99, calm_cpu) = (p99, cpu);
         }
         let mut refusals = seen.refusals.clone();
         refusals.sort_unstable();
-        let each = (cpu - calm_cpu) * 1e6 / refusals.len().max(1) as f64;
+        let cpu_us_per_refusal = (cpu - calm_cpu) * 1e6 / refusals.len().max(1) as f64;
         println!(
             "| {rate} | {:.2}% | {:.2} / {p99:.2} | {:.2} | {}, {:.2} / {:.2} | {} | {:.0} |",
             served * 100.0,
-            at(&times, 0.5),
+            quantile_ms(&times, 0.5),
             p99 / calm_p99,
             refusals.len(),
-            at(&refusals, 0.5),
-            at(&refusals, 0.99),
+            quantile_ms(&refusals, 0.5),
+            quantile_ms(&refusals, 0.99),
             seen.hanging,
-            if rate == 0.0 { 0.0 } else { each }
+            if rate == 0.0 { 0.0 } else { cpu_us_per_refusal }
         );
     }
     println!("\n| idle sockets held | let in | known served | p50 / p99 ms | CPU us a call | KiB a socket |");
     println!("| --- | --- | --- | --- | --- | --- |");
     for sockets in [100u32, 1000, 10_000] {
         let server = Server::start(12_000);
-        let to = server.1;
+        let to = server.address;
         system.clone().run(async {
-            let before = server.memory();
+            let before = server.memory_kib();
             let mut held = Vec::new();
             for n in 0..sockets {
                 if let (Knock::In, _, Some(stream)) = knock(&runtime, Some(flood::address(n)), to).await {
                     held.push(stream);
                 }
             }
-            let each = (server.memory() - before) / held.len().max(1) as f64;
-            let cpu = server.cpu();
-            let (served, times) = calls(&runtime, to, 3.0).await;
-            let cpu = (server.cpu() - cpu) * 1e6 / times.len() as f64;
+            let kib_per_socket = (server.memory_kib() - before) / held.len().max(1) as f64;
+            let cpu = server.cpu_seconds();
+            let (served, times) = known_client_calls(&runtime, to, 3.0).await;
+            let cpu = (server.cpu_seconds() - cpu) * 1e6 / times.len() as f64;
             println!(
-                "| {sockets} | {} | {:.2}% | {:.2} / {:.2} | {cpu:.0} | {each:.1} |",
+                "| {sockets} | {} | {:.2}% | {:.2} / {:.2} | {cpu:.0} | {kib_per_socket:.1} |",
                 held.len(),
                 served * 100.0,
-                at(&times, 0.5),
-                at(&times, 0.99)
+                quantile_ms(&times, 0.5),
+                quantile_ms(&times, 0.99)
             );
         });
     }
-    let costs = [100, 10_000, 1_000_000].map(decider);
+    let costs = [100, 10_000, 1_000_000].map(admission_ns);
     println!("\nDecider, a connection offered and closed: {:.0} / {:.0} / {:.0} ns with 100 / 10,000 / 1,000,000 addresses", costs[0], costs[1], costs[2]);
 }
--- a/crates/fault-injection/benches/ingress.rs
+++ b/crates/fault-injection/benches/ingress.rs
@@ -1,11 +1,11 @@
-//! The running ingress against a tonic server that answers at once, in one run on one machine: throughput, CPU a
-//! request, latency under an open loop, memory of connections and streams. Servers run in processes of their own, so
-//! that their CPU and memory are the system's word; times are ratios within this run, not promises.
+//! Compares the ingress with a tonic server that answers immediately: throughput, CPU time per request, latency under an
+//! open loop, memory of connections and streams. Each server runs in a process of its own, so that the system measures its
+//! CPU time and memory. Compare results only within one run on one machine.
 //!
 //! `cargo bench -p chalkgap-fault-injection --bench ingress [-- --seconds N]`
 
 use bytes::Bytes;
-use chalkgap::node_list::{Node as Line, NodeList, State};
+use chalkgap::node_list::{Node as ListedNode, NodeList, State};
 use chalkgap::runtime::{system::System, Runtime, Shared};
 use chalkgap::settings;
 use chalkgap::Instance;
@@ -41,7 +41,7 @@
     "plans": [{"name": "none", "rate": 0.000001, "burst": 1.0}, {"name": "all", "rate": 1e8, "burst": 1e8}],
     "accounts": {"none": {"plan": "none"}, "all": {"plan": "all"}},
     "limits": {"max_open": 500000},
-    # Not what is measured here: all load comes from one address.
+    # High limits of connection admission, because all load comes from one address.
     "admission": {"named": ["127.0.0.1"], "per_address": 20000, "per_prefix": 20000, "per_second": 100000,
                   "handshakes": 20000, "handshakes_per_address": 20000},
     "upstream": {"connections": 4, "max_streams": 2000},
@@ -52,10 +52,11 @@
 
 // ---- servers, each in a process of its own ----
 
+/// A rate limit service that refuses every request immediately.
 #[derive(Clone)]
-struct AtOnce;
+struct ImmediateRefusal;
 
-impl tonic::server::UnaryService<RateLimitRequest> for AtOnce {
+impl tonic::server::UnaryService<RateLimitRequest> for ImmediateRefusal {
     type Response = RateLimitResponse;
     type Future =
         Pin<Box<dyn Future<Output = Result<tonic::Response<RateLimitResponse>, tonic::Status>> + Send>>;
@@ -66,11 +67,11 @@
     }
 }
 
-impl tonic::server::NamedService for AtOnce {
+impl tonic::server::NamedService for ImmediateRefusal {
     const NAME: &'static str = "envoy.service.ratelimit.v3.RateLimitService";
 }
 
-impl tonic::codegen::Service<http::Request<tonic::body::Body>> for AtOnce {
+impl tonic::codegen::Service<http::Request<tonic::body::Body>> for ImmediateRefusal {
     type Response = http::Response<tonic::body::Body>;
     type Error = std::convert::Infallible;
     type Future = Pin<Box<dyn Future<Output = Result<Self::Response, Self::Error>> + Send>>;
@@ -82,7 +83,7 @@
     fn call(&mut self, request: http::Request<tonic::body::Body>) -> Self::Future {
         Box::pin(async move {
             let codec = tonic_prost::ProstCodec::default();
-            Ok(tonic::server::Grpc::new(codec).unary(AtOnce, request).await)
+            Ok(tonic::server::Grpc::new(codec).unary(ImmediateRefusal, request).await)
         })
     }
 }
@@ -94,17 +95,17 @@
         let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
         println!("{}", listener.local_addr().unwrap());
         let mut server = tonic::transport::Server::builder().max_concurrent_streams(2000);
-        // Its own setting does not reach streams that are handed to it.
+        // The server's own TCP_NODELAY setting does not apply to streams that it is given.
         let incoming = tokio_stream::wrappers::TcpListenerStream::new(listener)
             .map(|s| s.inspect(|s| s.set_nodelay(true).unwrap()));
-        server.add_service(AtOnce).serve_with_incoming(incoming).await.unwrap();
+        server.add_service(ImmediateRefusal).serve_with_incoming(incoming).await.unwrap();
     });
 }
 
-/// A node with as many cores as it needs; `work`: mean microseconds of a request.
-fn node_server(work: f64) {
+/// Runs a node with enough cores for every request. `work_us`: mean processing time of a request in microseconds.
+fn node_server(work_us: f64) {
     let system = System::new();
-    let work = HashMap::from([("c".to_owned(), work)]);
+    let work = HashMap::from([("c".to_owned(), work_us)]);
     let machine = Machine { cores: 100_000, work, ..Machine::default() };
     let at = ([127, 0, 0, 1], 0).into();
     let node = Node::start(system.clone(), at, machine, Journal::nowhere()).unwrap();
@@ -126,7 +127,7 @@
             "topics": [{"filter": "r/+", "account": {"level": 1}, "class": {"is": "c"}}]});
         settings.mqtt = Some(settings::typed("bench", "mqtt", mqtt).unwrap());
         let ingress = Instance::start(settings, system.clone()).await.unwrap();
-        let line = |address| Line {
+        let listed_node = |address| ListedNode {
             address,
             zone: "a".into(),
             cell: String::new(),
@@ -135,7 +136,9 @@
             size: 1.0,
             started_ms: 0,
         };
-        ingress.set_node_list(NodeList { revision: 1, nodes: node.into_iter().map(line).collect() }).await;
+        ingress
+            .set_node_list(NodeList { revision: 1, nodes: node.into_iter().map(listed_node).collect() })
+            .await;
         println!("{}", ingress.grpc_address());
         println!("{}", ingress.mqtt_address().unwrap());
         std::future::pending::<()>().await;
@@ -145,7 +148,7 @@
 struct Server {
     child: Child,
     address: SocketAddr,
-    /// Where an ingress speaks MQTT.
+    /// MQTT address of an ingress; `None` for other servers.
     mqtt: Option<SocketAddr>,
 }
 
@@ -155,22 +158,22 @@
             .args(args)
             .stdout(Stdio::piped())
             .spawn()
-            .expect("this program again");
+            .expect("start this program as a server");
         let mut lines = BufReader::new(child.stdout.take().unwrap()).lines();
         let address = lines.next().unwrap().unwrap().parse().unwrap();
         let mqtt = (args[0] == "ingress").then(|| lines.next().unwrap().unwrap().parse().unwrap());
         Server { child, address, mqtt }
     }
 
-    /// CPU seconds so far: user and system, in ticks of a hundredth.
-    fn cpu(&self) -> f64 {
+    /// Returns the CPU time used so far in seconds, user and system, with a resolution of 10 ms.
+    fn cpu_seconds(&self) -> f64 {
         let stat = std::fs::read_to_string(format!("/proc/{}/stat", self.child.id())).unwrap();
         let rest: Vec<&str> = stat.rsplit(')').next().unwrap().split_whitespace().collect();
         (rest[11].parse::<f64>().unwrap() + rest[12].parse::<f64>().unwrap()) / 100.0
     }
 
-    /// Resident kilobytes.
-    fn memory(&self) -> f64 {
+    /// Returns the resident memory in KiB.
+    fn memory_kib(&self) -> f64 {
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id())).unwrap();
         let line = status.lines().find(|l| l.starts_with("VmRSS:")).unwrap();
         line.split_whitespace().nth(1).unwrap().parse().unwrap()
@@ -205,16 +208,21 @@
     ]
 }
 
+/// Results of a load.
 #[derive(Default)]
 struct Load {
+    /// Number of answered calls.
     done: u64,
+    /// Number of calls answered with OK.
     served: u64,
+    /// Number of calls that failed, were reset, or got no answer.
     bad: u64,
+    /// Latencies in microseconds.
     times: Vec<u64>,
 }
 
-/// One connection's load until a time. `gap`: an arrival each so many microseconds, whatever is still open; none:
-/// `window` calls are kept open.
+/// Sends calls on one connection until `end`. With `gap`, a call is sent every `gap` microseconds, however many are open.
+/// Without, the number of open calls is kept at `window`.
 async fn drive(
     runtime: Shared,
     to: SocketAddr,
@@ -225,20 +233,23 @@
     result: Arc<Mutex<Load>>,
 ) {
     let stream = runtime.connect(to).await.unwrap();
-    let (_commands, none) = async_channel::bounded::<()>(1);
+    let (_commands, no_commands) = async_channel::bounded::<()>(1);
     let (_keep, signal) = async_channel::bounded(1);
     let conn = Connection::client(Config { max_streams: 0, ..Config::default() });
-    let mut pipe = Pipe::new(runtime.clone(), stream, conn, none, signal);
-    let (message, fields) = (message(account), fields(to));
+    let mut pipe = Pipe::new(runtime.clone(), stream, conn, no_commands, signal);
+    let message = message(account);
+    let fields = fields(to);
     let mut open: HashMap<u32, u64> = HashMap::new();
-    let (mut load, mut next) = (Load::default(), runtime.now() as f64);
+    let mut load = Load::default();
+    let mut next = runtime.now() as f64;
     loop {
         let now = runtime.now();
         if now >= end && (open.is_empty() || now > end + 2_000_000) {
             break;
         }
         while pipe.conn.greeted() && now < end && pipe.conn.can_open().is_ok() {
-            // Open loop: timed from when it was to be sent, so that a queue here counts as well.
+            // In an open loop, latency is measured from the time at which the call was due, so that it includes time
+            // waiting for a free stream.
             let at = match gap {
                 Some(gap) if next <= now as f64 => {
                     let at = next as u64;
@@ -261,7 +272,7 @@
             match event {
                 Event::Data { stream, data, .. } => {
                     pipe.conn.consumed(stream, data.len());
-                    // A whole answer in one frame: five bytes of prefix, then field 1, the code.
+                    // The answer is in one DATA frame: a prefix of five bytes, then field 1 with the code.
                     load.served += u64::from(data.get(5..7) == Some(&[8, 1]));
                 }
                 Event::Headers { stream, fields, end: true } => {
@@ -284,7 +295,7 @@
     all.times.extend(load.times);
 }
 
-/// [`drive`] over MQTT: publishes of QoS 1.
+/// Does the same as [`drive`] over MQTT, with PUBLISH packets of QoS 1.
 async fn publish(
     runtime: Shared,
     to: SocketAddr,
@@ -294,11 +305,13 @@
     result: Arc<Mutex<Load>>,
 ) {
     let stream = runtime.connect(to).await.unwrap();
-    let (_commands, none) = async_channel::bounded::<()>(1);
+    let (_commands, no_commands) = async_channel::bounded::<()>(1);
     let (_keep, signal) = async_channel::bounded(1);
-    let mut pipe = Pipe::new(runtime.clone(), stream, Half::hello("", 0), none, signal);
+    let mut pipe = Pipe::new(runtime.clone(), stream, Half::hello("", 0), no_commands, signal);
     let mut open: HashMap<u16, u64> = HashMap::new();
-    let (mut load, mut next, mut ready) = (Load::default(), 0u16, false);
+    let mut load = Load::default();
+    let mut next = 0u16;
+    let mut ready = false;
     let topic = format!("r/{account}");
     loop {
         let now = runtime.now();
@@ -338,28 +351,28 @@
     all.times.extend(load.times);
 }
 
-/// Both doors of one ingress in turn, and what connections and sessions without one take.
+/// Compares the gRPC and MQTT listeners of an ingress, and measures the memory of MQTT connections and sessions.
 #[expect(clippy::too_many_lines, reason = "not split yet, see docs/ROADMAP.md")]
 fn mqtt(system: &Arc<System>, seconds: f64) {
-    println!("\nThe two doors of one ingress, as much as it takes: 16 connections, 64 open on each\n");
-    println!("| door | what | calls a second | CPU us a call | p50 / p99 ms | bad |");
+    println!("\ngRPC and MQTT of one ingress, maximum load: 16 connections, 64 open calls on each\n");
+    println!("| protocol | result | calls a second | CPU us a call | p50 / p99 ms | bad |");
     println!("| --- | --- | --- | --- | --- | --- |");
     let node = Server::start(&["node"]);
     let node = node.address.to_string();
-    for (what, account, args) in
+    for (result_name, account, args) in
         [("refused", "none", vec!["ingress"]), ("served", "all", vec!["ingress", &node])]
     {
         let server = Server::start(&args);
-        for door in ["gRPC", "MQTT"] {
-            let row = match door {
+        for protocol in ["gRPC", "MQTT"] {
+            let row = match protocol {
                 "gRPC" => load(system, &server, account, 16, None, seconds),
                 _ => measure(system, &server, 16, seconds, |runtime, _, end, result| {
                     Box::pin(publish(runtime, server.mqtt.unwrap(), account, 64, end, result))
                 }),
             };
-            let [a, b, _] = row.times.map(|t| t / 1000.0);
+            let [p50, p99, _] = row.times.map(|t| t / 1000.0);
             println!(
-                "| {door} | {what} ({:.0}% served) | {:.0} | {:.1} | {a:.2} / {b:.2} | {} |",
+                "| {protocol} | {result_name} ({:.0}% served) | {:.0} | {:.1} | {p50:.2} / {p99:.2} | {} |",
                 row.served * 100.0,
                 row.rate,
                 row.cpu_us,
@@ -375,81 +388,88 @@
             let runtime = runtime.clone();
             async move {
                 let stream = runtime.connect(to).await.unwrap();
-                let (commands, none) = async_channel::bounded::<()>(1);
+                let (commands, no_commands) = async_channel::bounded::<()>(1);
                 let (keep, signal) = async_channel::bounded(1);
                 let half = Half::hello(&format!("idle-{n}"), 3600);
-                let mut pipe = Pipe::new(runtime.clone(), stream, half, none, signal);
+                let mut pipe = Pipe::new(runtime.clone(), stream, half, no_commands, signal);
                 while pipe.conn.packets.is_empty() {
-                    assert!(matches!(pipe.turn(None, true).await, Turn::Read), "let in");
+                    assert!(matches!(pipe.turn(None, true).await, Turn::Read), "the connection is accepted");
                 }
-                let good = matches!(pipe.conn.packets.front(), Some(Packet::ConnAck(c)) if c.code == 0);
-                assert!(good, "{:?}", pipe.conn.packets);
+                let accepted = matches!(pipe.conn.packets.front(), Some(Packet::ConnAck(c)) if c.code == 0);
+                assert!(accepted, "{:?}", pipe.conn.packets);
                 (pipe, commands, keep)
             }
         };
-        let before = server.memory();
+        let before = server.memory_kib();
         let mut pipes = Vec::new();
         for n in 0..1000 {
             pipes.push(connect(n).await);
         }
         runtime.sleep_until(runtime.now() + 300_000).await;
-        println!("\n{:.1} KiB an idle MQTT connection (1,000 of them)", (server.memory() - before) / 1000.0);
+        println!(
+            "\n{:.1} KiB an idle MQTT connection (1,000 of them)",
+            (server.memory_kib() - before) / 1000.0
+        );
         drop(pipes);
-        let before = server.memory();
+        let before = server.memory_kib();
         for n in 0..10_000 {
             drop(connect(10_000 + n).await);
         }
         runtime.sleep_until(runtime.now() + 1_500_000).await;
-        let each = (server.memory() - before) / 10_000.0;
+        let each = (server.memory_kib() - before) / 10_000.0;
         println!("{each:.2} KiB a session without a connection (10,000 of them, opened one after the other)");
-        // All that can come back at once, in one second's worth of time or less.
+        // 3000 clients reconnect at the same time and resume their sessions.
         let begun = Instant::now();
-        let (done, told) = async_channel::unbounded();
+        let (sender, receiver) = async_channel::unbounded();
         let mut tasks = Vec::new();
         for n in 0..3000 {
-            let (one, done) = (connect(10_000 + n), done.clone());
+            let connection = connect(10_000 + n);
+            let sender = sender.clone();
             tasks.push(runtime.spawn(Box::pin(async move {
-                let (pipe, ..) = one.await;
+                let (pipe, ..) = connection.await;
                 let present =
                     matches!(pipe.conn.packets.front(), Some(Packet::ConnAck(c)) if c.session_present);
-                let _ = done.try_send(present);
+                let _ = sender.try_send(present);
             })));
         }
-        for t in tasks {
-            t.await;
+        for task in tasks {
+            task.await;
         }
-        let present = std::iter::from_fn(|| told.try_recv().ok()).filter(|p| *p).count();
+        let present = std::iter::from_fn(|| receiver.try_recv().ok()).filter(|p| *p).count();
         println!(
-            "3,000 come back at once: let in within {:.2} s, {present} with their session",
+            "3,000 clients reconnect at once: all connected within {:.2} s, {present} with their session",
             begun.elapsed().as_secs_f64()
         );
     });
-    let (grpc, mqtt) = bytes_a_call();
+    let (grpc, mqtt) = bytes_per_call();
     println!("Bytes of a refused call and its answer: gRPC {grpc}, MQTT {mqtt} (the same account and class, no properties)");
 }
 
-/// Bytes both ways of a call and its answer, as they are on the wire once a connection is warm.
-fn bytes_a_call() -> (usize, usize) {
-    let (mut c, mut s) = (Connection::client(Config::default()), Connection::server(Config::default()));
-    let (message, fields) = (message("none"), fields(([127, 0, 0, 1], 8081).into()));
+/// Returns the size in bytes of a refused call and its answer on the wire, over gRPC and over MQTT. The gRPC connection has
+/// sent the headers before, so that they are in the HPACK table.
+fn bytes_per_call() -> (usize, usize) {
+    let mut client = Connection::client(Config::default());
+    let mut server = Connection::server(Config::default());
+    let message = message("none");
+    let fields = fields(([127, 0, 0, 1], 8081).into());
     let head = vec![Field::constant(":status", "200"), Field::constant("content-type", "application/grpc")];
     let answer = grpc::frame(&RateLimitResponse { overall_code: 2, ..Default::default() });
-    let pass = |a: &mut Connection, b: &mut Connection| {
-        let bytes = a.output().split();
-        b.receive(0, &bytes).unwrap();
+    let transfer = |from: &mut Connection, to: &mut Connection| {
+        let bytes = from.output().split();
+        to.receive(0, &bytes).unwrap();
         bytes.len()
     };
-    pass(&mut c, &mut s);
-    pass(&mut s, &mut c);
+    transfer(&mut client, &mut server);
+    transfer(&mut server, &mut client);
     let mut last = 0;
     for _ in 0..3 {
-        let id = c.open(&fields, false).unwrap();
-        c.data(id, message.clone(), true).unwrap();
-        last = pass(&mut c, &mut s);
-        s.headers(id, head.clone(), false).unwrap();
-        s.data(id, answer.clone(), false).unwrap();
-        s.headers(id, vec![Field::constant("grpc-status", "0")], true).unwrap();
-        last += pass(&mut s, &mut c);
+        let id = client.open(&fields, false).unwrap();
+        client.data(id, message.clone(), true).unwrap();
+        last = transfer(&mut client, &mut server);
+        server.headers(id, head.clone(), false).unwrap();
+        server.data(id, answer.clone(), false).unwrap();
+        server.headers(id, vec![Field::constant("grpc-status", "0")], true).unwrap();
+        last += transfer(&mut server, &mut client);
     }
     let mut out = bytes::BytesMut::new();
     let (qos, topic) = (QoS::AtLeastOnce, "r/none".to_owned());
@@ -465,15 +485,21 @@
 
 type Task = Pin<Box<dyn Future<Output = ()> + Send>>;
 
+/// Results of a measurement.
 struct Row {
+    /// Answered calls per second.
     rate: f64,
+    /// CPU time of the server per answered call, in microseconds.
     cpu_us: f64,
+    /// Latency in microseconds: 50th, 99th and 99.9th percentile.
     times: [f64; 3],
+    /// Share of the answered calls that were served.
     served: f64,
+    /// Number of calls that failed, were reset, or got no answer.
     bad: u64,
 }
 
-/// Loads a server over `connections`; `rate` none: as much as it takes, 64 calls open on each.
+/// Loads a server over `connections` at `rate` calls per second. `None`: 64 calls are kept open on each connection.
 fn load(
     system: &Arc<System>,
     server: &Server,
@@ -488,33 +514,35 @@
     })
 }
 
-/// Runs a load of so many connections for a time.
+/// Runs a load on a number of connections and measures it. `start` returns the task of one connection.
 fn measure(
     system: &Arc<System>,
     server: &Server,
     connections: usize,
     seconds: f64,
-    one: impl Fn(Shared, SocketAddr, u64, Arc<Mutex<Load>>) -> Task,
+    start: impl Fn(Shared, SocketAddr, u64, Arc<Mutex<Load>>) -> Task,
 ) -> Row {
     let result = Arc::new(Mutex::new(Load::default()));
-    let (cpu, begun) = (server.cpu(), Instant::now());
+    let cpu_before = server.cpu_seconds();
+    let begun = Instant::now();
     let end = system.now() + (seconds * 1e6) as u64;
     let runtime: Shared = system.clone();
     system.clone().run(async {
-        let task = |_| runtime.spawn(one(runtime.clone(), server.address, end, result.clone()));
+        let task = |_| runtime.spawn(start(runtime.clone(), server.address, end, result.clone()));
         let tasks: Vec<_> = (0..connections).map(task).collect();
-        for t in tasks {
-            t.await;
+        for task in tasks {
+            task.await;
         }
     });
-    let (spent, cpu) = (begun.elapsed().as_secs_f64().min(seconds), server.cpu() - cpu);
+    let spent = begun.elapsed().as_secs_f64().min(seconds);
+    let cpu = server.cpu_seconds() - cpu_before;
     let mut all = result.lock().unwrap();
     all.times.sort_unstable();
-    let at = |share: f64| {
+    let quantile = |share: f64| {
         let n = (all.times.len() as f64 * share) as usize;
         all.times.get(n.min(all.times.len().max(1) - 1)).copied().unwrap_or(0) as f64
     };
-    let times = [at(0.5), at(0.99), at(0.999)];
+    let times = [quantile(0.5), quantile(0.99), quantile(0.999)];
     let done = all.done.max(1) as f64;
     Row {
         rate: all.done as f64 / spent,
@@ -525,30 +553,39 @@
     }
 }
 
-/// Memory that `count` idle connections, and then `streams` open calls on some of them, take at a server.
-fn memory(system: &Arc<System>, server: &Server, count: usize, streams: usize) -> (f64, f64) {
+/// Returns the memory in KiB that a server uses for an idle connection, measured with `count` of them, and for an open call,
+/// measured with `streams` of them on 20 of these connections.
+fn memory_per_connection_and_call(
+    system: &Arc<System>,
+    server: &Server,
+    count: usize,
+    streams: usize,
+) -> (f64, f64) {
     let runtime: Shared = system.clone();
     system.clone().run(async {
-        let before = server.memory();
+        let before = server.memory_kib();
         let mut pipes = Vec::new();
         for _ in 0..count {
             let stream = runtime.connect(server.address).await.unwrap();
-            let (commands, none) = async_channel::bounded::<()>(1);
+            let (commands, no_commands) = async_channel::bounded::<()>(1);
             let (keep, signal) = async_channel::bounded(1);
             let conn = Connection::client(Config { max_streams: 0, ..Config::default() });
-            let mut pipe = Pipe::new(runtime.clone(), stream, conn, none, signal);
+            let mut pipe = Pipe::new(runtime.clone(), stream, conn, no_commands, signal);
             while !pipe.conn.greeted() {
-                assert!(matches!(pipe.turn(None, true).await, Turn::Read), "let in");
+                assert!(matches!(pipe.turn(None, true).await, Turn::Read), "the connection is accepted");
             }
             pipes.push((pipe, commands, keep));
         }
         runtime.sleep_until(runtime.now() + 300_000).await;
         for (pipe, ..) in &mut pipes {
-            // One that was refused would be closed by now, and count as cheap.
-            assert!(matches!(pipe.turn(Some(0), true).await, Turn::Time | Turn::Read), "it is open");
+            // A refused connection would be closed by now, and would lower the average.
+            assert!(
+                matches!(pipe.turn(Some(0), true).await, Turn::Time | Turn::Read),
+                "the connection is open"
+            );
         }
-        let idle = server.memory();
-        // Calls that were begun: their message has not come.
+        let idle = server.memory_kib();
+        // These calls have sent their headers, but no message.
         let fields = fields(server.address);
         for n in 0..streams {
             let (pipe, ..) = &mut pipes[n % 20];
@@ -556,29 +593,34 @@
             pipe.turn(Some(0), false).await;
         }
         runtime.sleep_until(runtime.now() + 500_000).await;
-        ((idle - before) / count as f64, (server.memory() - idle) / streams.max(1) as f64)
+        ((idle - before) / count as f64, (server.memory_kib() - idle) / streams.max(1) as f64)
     })
 }
 
-fn memories(system: &Arc<System>) {
-    let (idle, stream) = memory(system, &Server::start(&["ingress"]), 1000, 10_000);
-    let (tonic_idle, _) = memory(system, &Server::start(&["tonic"]), 1000, 0);
+fn print_memory(system: &Arc<System>) {
+    let (idle, stream) = memory_per_connection_and_call(system, &Server::start(&["ingress"]), 1000, 10_000);
+    let (tonic_idle, _) = memory_per_connection_and_call(system, &Server::start(&["tonic"]), 1000, 0);
     println!(
         "\nMemory: {idle:.1} KiB an idle connection (tonic {tonic_idle:.1}), {stream:.2} KiB an open call"
     );
 }
 
-// ---- shares ----
+// ---- parts of a request ----
 
-/// Microseconds of the module for one request with its answer, by the number of accounts.
-fn module(accounts: u64) -> f64 {
+/// Returns the time in microseconds that [`core::Gateway`] takes for one request with its answer, by number of accounts.
+fn core_us(accounts: u64) -> f64 {
     let compiled = settings::Compiled::new(settings::read("bench", SETTINGS.into(), &[]).unwrap()).unwrap();
     let mut gateway = core::Gateway::new(compiled.core(), 1, 1_000_000);
-    let mut act = Vec::new();
+    let mut actions = Vec::new();
     let backend = core::BackendId(1);
-    let line = core::Endpoint { backend, weight: 1.0, ..core::Endpoint::default() };
-    gateway.handle(1_000_000, core::Event::Endpoints(core::EndpointUpdate::Snapshot, vec![line]), &mut act);
-    let (count, mut now) = (200_000u64, 1_000_000);
+    let endpoint = core::Endpoint { backend, weight: 1.0, ..core::Endpoint::default() };
+    gateway.handle(
+        1_000_000,
+        core::Event::Endpoints(core::EndpointUpdate::Snapshot, vec![endpoint]),
+        &mut actions,
+    );
+    let count = 200_000u64;
+    let mut now = 1_000_000;
     let begun = Instant::now();
     for n in 0..count {
         now += 20;
@@ -592,9 +634,9 @@
             gateway_count: 1.0,
             ..core::Request::default()
         };
-        act.clear();
-        gateway.handle(now, core::Event::Request(request), &mut act);
-        if act.iter().any(|a| matches!(a, core::Action::StartAttempt { .. })) {
+        actions.clear();
+        gateway.handle(now, core::Event::Request(request), &mut actions);
+        if actions.iter().any(|a| matches!(a, core::Action::StartAttempt { .. })) {
             let settled = core::Event::AttemptFinished {
                 id,
                 attempt: 0,
@@ -606,59 +648,63 @@
                 charged_units: None,
                 report: None,
             };
-            act.clear();
-            gateway.handle(now + 10, settled, &mut act);
+            actions.clear();
+            gateway.handle(now + 10, settled, &mut actions);
         }
     }
     begun.elapsed().as_secs_f64() * 1e6 / count as f64
 }
 
-/// Microseconds of the wire for one call, both sides in memory; a server's part is about half of it.
-fn wire() -> f64 {
-    let (mut c, mut s) = (Connection::client(Config::default()), Connection::server(Config::default()));
-    let (message, fields) = (message("all"), fields(([127, 0, 0, 1], 80).into()));
+/// Returns the time in microseconds that HTTP/2 and gRPC take for one call in memory, client and server together. The
+/// server's part is about half of it.
+fn wire_us() -> f64 {
+    let mut client = Connection::client(Config::default());
+    let mut server = Connection::server(Config::default());
+    let message = message("all");
+    let fields = fields(([127, 0, 0, 1], 80).into());
     let head = vec![Field::constant(":status", "200"), Field::constant("content-type", "application/grpc")];
     let answer = grpc::frame(&RateLimitResponse { overall_code: 1, ..Default::default() });
-    let move_bytes = |a: &mut Connection, b: &mut Connection| {
-        let bytes = a.output().split();
-        b.receive(0, &bytes).unwrap();
+    let transfer = |from: &mut Connection, to: &mut Connection| {
+        let bytes = from.output().split();
+        to.receive(0, &bytes).unwrap();
     };
-    move_bytes(&mut c, &mut s);
-    move_bytes(&mut s, &mut c);
-    let (rounds, calls) = (5000, 20);
+    transfer(&mut client, &mut server);
+    transfer(&mut server, &mut client);
+    let rounds = 5000;
+    let calls = 20;
     let begun = Instant::now();
     for _ in 0..rounds {
         let ids: Vec<u32> = (0..calls)
             .map(|_| {
-                let id = c.open(&fields, false).unwrap();
-                c.data(id, message.clone(), true).unwrap();
+                let id = client.open(&fields, false).unwrap();
+                client.data(id, message.clone(), true).unwrap();
                 id
             })
             .collect();
-        move_bytes(&mut c, &mut s);
-        while let Some(e) = s.event() {
+        transfer(&mut client, &mut server);
+        while let Some(e) = server.event() {
             if let Event::Data { stream, data, .. } = e {
-                s.consumed(stream, data.len());
+                server.consumed(stream, data.len());
             }
         }
         for id in ids {
-            s.headers(id, head.clone(), false).unwrap();
-            s.data(id, answer.clone(), false).unwrap();
-            s.headers(id, vec![Field::constant("grpc-status", "0")], true).unwrap();
+            server.headers(id, head.clone(), false).unwrap();
+            server.data(id, answer.clone(), false).unwrap();
+            server.headers(id, vec![Field::constant("grpc-status", "0")], true).unwrap();
         }
-        move_bytes(&mut s, &mut c);
-        while let Some(e) = c.event() {
+        transfer(&mut server, &mut client);
+        while let Some(e) = client.event() {
             if let Event::Data { stream, data, .. } = e {
-                c.consumed(stream, data.len());
+                client.consumed(stream, data.len());
             }
         }
     }
     begun.elapsed().as_secs_f64() * 1e6 / f64::from(rounds * calls)
 }
 
-/// The whole path with a ledger beside the whole path without, for a node that answers at once and for one that works.
+/// Compares an ingress with a ledger and an ingress without one, for nodes with different processing times.
 fn ledger(system: &Arc<System>, seconds: f64) {
-    println!("\nThe whole path with and without a ledger, open loop over 16 connections\n");
+    println!("\nIngress and node with and without a ledger, open loop over 16 connections\n");
     println!("| node's work ms | calls a second | ledger | p50 / p99 / p99.9 ms | to without | CPU us a call | bad |");
     println!("| --- | --- | --- | --- | --- | --- | --- |");
     for work in ["0", "5000", "20000"] {
@@ -668,21 +714,21 @@
         let without = Server::start(&["ingress", &node]);
         let with = Server::start(&["ingress", &node, &folder.display().to_string()]);
         for rate in [500.0, 2000.0, 5000.0] {
-            // In turn, several times: what else the machine does hits both.
+            // Alternates between the servers, so that other load of the machine affects both.
             let mut rows: [Vec<Row>; 2] = [Vec::new(), Vec::new()];
             for _ in 0..3 {
                 for (n, server) in [&without, &with].into_iter().enumerate() {
                     rows[n].push(load(system, server, "all", 16, Some(rate), seconds / 2.0));
                 }
             }
-            let middle = |rows: &[Row], n: usize| {
+            let median_ms = |rows: &[Row], n: usize| {
                 let mut all: Vec<f64> = rows.iter().map(|r| r.times[n]).collect();
                 all.sort_by(f64::total_cmp);
                 all[all.len() / 2] / 1000.0
             };
-            let base = [0, 1, 2].map(|n| middle(&rows[0], n));
+            let base = [0, 1, 2].map(|n| median_ms(&rows[0], n));
             for (name, rows) in [("without", &rows[0]), ("with", &rows[1])] {
-                let t = [0, 1, 2].map(|n| middle(rows, n));
+                let t = [0, 1, 2].map(|n| median_ms(rows, n));
                 let cpu = rows.iter().map(|r| r.cpu_us).sum::<f64>() / rows.len() as f64;
                 let bad: u64 = rows.iter().map(|r| r.bad).sum();
                 println!(
@@ -716,7 +762,7 @@
     system.threads(1);
     if args.iter().any(|a| a == "--mqtt") {
         mqtt(&system, seconds);
-        return memories(&system);
+        return print_memory(&system);
     }
     ledger(&system, seconds);
     if args.iter().any(|a| a == "--ledger") {
@@ -726,16 +772,16 @@
     let tonic = Server::start(&["tonic"]);
     let node = Server::start(&["node"]);
     let refusing = Server::start(&["ingress"]);
-    let whole = Server::start(&["ingress", &node.address.to_string()]);
+    let ingress_and_node = Server::start(&["ingress", &node.address.to_string()]);
     let servers = [
-        ("tonic, answers at once", &tonic, "none"),
+        ("tonic, answers immediately", &tonic, "none"),
         ("ingress, refuses", &refusing, "none"),
-        ("ingress and node", &whole, "all"),
+        ("ingress and node", &ingress_and_node, "all"),
     ];
-    let row = |name: &str, r: &Row, base: &Row| {
-        let [a, b, c] = r.times.map(|t| t / 1000.0);
+    let print_row = |name: &str, r: &Row, base: &Row| {
+        let [p50, p99, p999] = r.times.map(|t| t / 1000.0);
         println!(
-            "| {name} | {:.0} | {:.2} | {:.1} | {:.2} | {a:.2} / {b:.2} / {c:.2} | {:.0}% | {} |",
+            "| {name} | {:.0} | {:.2} | {:.1} | {:.2} | {p50:.2} / {p99:.2} / {p999:.2} | {:.0}% | {} |",
             r.rate,
             r.rate / base.rate,
             r.cpu_us,
@@ -746,22 +792,22 @@
     };
     let head = "| server | calls a second | to tonic's | CPU us a call | to tonic's | p50 / p99 / p99.9 ms | served | bad |\n| --- | --- | --- | --- | --- | --- | --- | --- |";
     for connections in [1, 16, 100] {
-        println!("\nAs much as it takes: {connections} connections, 64 calls open on each\n\n{head}");
+        println!("\nMaximum load: {connections} connections, 64 calls open on each\n\n{head}");
         let rows: Vec<Row> =
             servers.iter().map(|s| load(&system, s.1, s.2, connections, None, seconds)).collect();
-        servers.iter().zip(&rows).for_each(|(s, r)| row(s.0, r, &rows[0]));
+        servers.iter().zip(&rows).for_each(|(s, r)| print_row(s.0, r, &rows[0]));
     }
     for (connections, rate) in [(16, 2000.0), (16, 5000.0), (1000, 5000.0)] {
         println!("\nOpen loop: {rate} calls a second over {connections} connections\n\n{head}");
         let rows: Vec<Row> =
             servers.iter().map(|s| load(&system, s.1, s.2, connections, Some(rate), seconds)).collect();
-        servers.iter().zip(&rows).for_each(|(s, r)| row(s.0, r, &rows[0]));
+        servers.iter().zip(&rows).for_each(|(s, r)| print_row(s.0, r, &rows[0]));
     }
-    memories(&system);
-    let (m, w) = ([100, 10_000, 100_000].map(module), wire());
+    print_memory(&system);
+    let (core_us, wire_us) = ([100, 10_000, 100_000].map(core_us), wire_us());
     println!(
         "\nModule, a request with its answer: {:.2} / {:.2} / {:.2} us with 100 / 10,000 / 100,000 accounts",
-        m[0], m[1], m[2]
+        core_us[0], core_us[1], core_us[2]
     );
-    println!("Wire, a call in memory, both sides: {w:.2} us");
+    println!("Wire, a call in memory, both sides: {wire_us:.2} us");
 }
--- a/crates/fault-injection/benches/ledger.rs
+++ b/crates/fault-injection/benches/ledger.rs
@@ -1,5 +1,5 @@
-//! Ledgers of two ingresses after a gap: how long until the one has what the other wrote meanwhile, over their own
-//! authenticated streams on loopback; and how long a start takes and what it holds in memory.
+//! Replication of a ledger between two ingresses, over their authenticated streams on loopback: time until an ingress with
+//! an empty ledger has all entries of the other one. Also the start time and memory of an ingress with many entries.
 //!
 //! `cargo bench -p chalkgap-fault-injection --bench ledger [-- --entries N]`
 
@@ -41,27 +41,29 @@
     Entry { id, at: 1_700_000_000_000_000 + n * 250, body }
 }
 
-fn memory() -> f64 {
+/// Returns the resident memory of this process in MiB.
+fn memory_mib() -> f64 {
     let status = std::fs::read_to_string("/proc/self/status").unwrap();
     let line = status.lines().find(|l| l.starts_with("VmRSS:")).unwrap();
     line.split_whitespace().nth(1).unwrap().parse::<f64>().unwrap() / 1024.0
 }
 
-fn port() -> SocketAddr {
+/// Returns an address with an unused port.
+fn unused_address() -> SocketAddr {
     TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap()
 }
 
-fn ingress(me: u16, folder: &Path, addresses: &[SocketAddr; 2], per_second: f64) -> Settings {
-    let mut s = settings::read("bench", SETTINGS.into(), &[]).unwrap();
-    s.fleet.me = me;
+fn ingress_settings(me: u16, folder: &Path, addresses: &[SocketAddr; 2], per_second: f64) -> Settings {
+    let mut settings = settings::read("bench", SETTINGS.into(), &[]).unwrap();
+    settings.fleet.me = me;
     let value = serde_json::json!({
         "folder": folder.join(me.to_string()),
         "period": {"seconds": 3600},
         "group": {"listen": addresses[usize::from(me)], "key": "5a".repeat(32),
             "addresses": {"0": addresses[0], "1": addresses[1]}, "every_ms": 100, "per_second": per_second},
     });
-    s.ledger = Some(settings::typed("bench", "ledger", value).unwrap());
-    s
+    settings.ledger = Some(settings::typed("bench", "ledger", value).unwrap());
+    settings
 }
 
 fn main() {
@@ -81,18 +83,27 @@
         }
         drop(store);
         println!("{total} entries written in {:.1} s", begun.elapsed().as_secs_f64());
-        let addresses = [port(), port()];
-        let (before, begun) = (memory(), Instant::now());
-        let first = Instance::start(ingress(0, &folder, &addresses, 1e7), runtime.clone()).await.unwrap();
+        let addresses = [unused_address(), unused_address()];
+        let memory_before = memory_mib();
+        let begun = Instant::now();
+        let first =
+            Instance::start(ingress_settings(0, &folder, &addresses, 1e7), runtime.clone()).await.unwrap();
         let spent = begun.elapsed().as_secs_f64();
-        println!("started with them in {spent:.1} s; {:.0} MiB more resident memory", memory() - before);
+        println!(
+            "ingress with these entries started in {spent:.1} s, {:.0} MiB more resident memory",
+            memory_mib() - memory_before
+        );
         let begun = Instant::now();
-        let second = Instance::start(ingress(1, &folder, &addresses, 1e7), runtime.clone()).await.unwrap();
+        let second =
+            Instance::start(ingress_settings(1, &folder, &addresses, 1e7), runtime.clone()).await.unwrap();
         while second.counts().ledger_entries < total {
             runtime.sleep_until(runtime.now() + 20_000).await;
         }
         let spent = begun.elapsed().as_secs_f64();
-        println!("another has them in {spent:.1} s: {:.0} entries a second", total as f64 / spent);
+        println!(
+            "second ingress received all entries in {spent:.1} s: {:.0} entries a second",
+            total as f64 / spent
+        );
         assert_eq!(second.counts().ledger_peer_failed, 0);
         drop((first, second));
     });
