--- a/crates/cli/src/fleet.rs
+++ b/crates/cli/src/fleet.rs
@@ -1,4 +1,4 @@
-//! `fleet`: what an ingress knows of the others.
+//! `fleet`: shows the membership view of an ingress.
 
 use crate::{fail, serve, Exit};
 use chalkgap::fleet::{fetch_snapshot, FleetSnapshot, MemberSnapshot};
@@ -8,20 +8,21 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// Look at the fleet.
+/// Show the fleet's membership.
 #[derive(clap::Subcommand)]
 pub(crate) enum Fleet {
-    /// Show the view of one ingress: members, states, ages, the view's number, how late it may be.
+    /// Show the view of one ingress: members, their states and ages, the version of the view, and the maximum time until it
+    /// includes a failure.
     Show {
-        /// Where it receives datagrams (`fleet.peers.listen`).
+        /// Address on which the ingress receives datagrams (`fleet.peers.listen`).
         address: SocketAddr,
-        /// A settings file of the fleet: its key is in there.
+        /// A settings file of the fleet, which contains its key.
         #[arg(long)]
         settings: PathBuf,
         /// Text that the script reads as `given["KEY"]`.
         #[arg(long = "set", value_name = "KEY=VALUE", value_parser = crate::pair)]
         given: Vec<(String, String)>,
-        /// The view as JSON.
+        /// Print the view as JSON.
         #[arg(long)]
         json: bool,
     },
@@ -43,7 +44,7 @@
         Ok(view) => print(&view),
         Err(e) => return fail(Exit::NoAnswer, e),
     }
-    Exit::Good
+    Exit::Success
 }
 
 fn print(fleet: &FleetSnapshot) {
--- a/crates/cli/src/ledger.rs
+++ b/crates/cli/src/ledger.rs
@@ -11,59 +11,59 @@
 use export::ManualExport;
 use std::path::{Path, PathBuf};
 
-/// Read a billing ledger; export and reconcile one by hand while its ingress is down.
+/// Read a billing ledger; export and reconcile it while its ingress is down.
 #[derive(clap::Subcommand)]
 pub(crate) enum Ledger {
-    /// Print use by account and period.
+    /// Print usage by account and period.
     Show {
         /// The ledger's folder.
         folder: PathBuf,
         /// Length of a period in seconds.
         #[arg(long, default_value_t = 86_400, value_parser = clap::value_parser!(u64).range(1..=366 * 86_400))]
         period: u64,
-        /// A line of JSON for each sum.
+        /// Print a line of JSON for each sum.
         #[arg(long)]
         json: bool,
     },
-    /// Check every byte; name the first bad one.
+    /// Check every byte of each segment and name the first damaged one.
     Verify {
         /// The ledger's folder.
         folder: PathBuf,
     },
-    /// Show what has been exported and what is due; with `--to`, hand it over.
+    /// Show which batches have been exported and what is due; with `--to`, deliver what is due.
     Export {
         /// The ledger's folder.
         folder: PathBuf,
         /// Length of a period in seconds.
         #[arg(long, default_value_t = 86_400, value_parser = clap::value_parser!(u64).range(1..=366 * 86_400))]
         period: u64,
-        /// The ingress whose ledger it is.
+        /// Number of the ingress that the ledger belongs to.
         #[arg(long)]
         ingress: u16,
-        /// All ingresses of its group, as its settings have them.
+        /// Numbers of all ingresses of its group, as in its settings.
         #[arg(long, value_delimiter = ',', required = true)]
         group: Vec<u16>,
-        /// A folder that takes batches, as `export.to.folder` of the settings.
+        /// Folder to write the batches to, like `export.to.folder` of the settings.
         #[arg(long)]
         to: Option<PathBuf>,
-        /// Treat every period that is over as final, whoever has not said that it is complete.
+        /// Treat every period that is over as final, even if an ingress has not declared it complete.
         #[arg(long)]
         all: bool,
-        /// A line of JSON for each batch, and for each line that is due.
+        /// Print a line of JSON for each batch and for each line that is due.
         #[arg(long)]
         json: bool,
     },
-    /// Take entries that another ledger's folder has and this one lacks.
+    /// Add the entries of another ledger's folder that this one lacks.
     Reconcile {
         /// The ledger's folder.
         folder: PathBuf,
-        /// The other one; a copy of it will do, and it is not changed.
+        /// Folder of the other ledger, or a copy of it. It is not changed.
         other: PathBuf,
     },
 }
 
-/// Entries that are written as one group, and lines of a batch.
-const GROUP: usize = 4096;
+/// Maximum number of entries in a commit group, and of lines in a batch.
+const MAX_GROUP_ENTRIES: usize = 4096;
 
 impl Ledger {
     fn folder(&self) -> &Path {
@@ -96,19 +96,20 @@
                     all: *all,
                     json: *json,
                 };
-                let done = export.run(&runtime, to.as_deref()).await;
-                done.unwrap_or_else(|error| fail(Exit::System, error))
+                let exit = export.run(&runtime, to.as_deref()).await;
+                exit.unwrap_or_else(|error| fail(Exit::System, error))
             }
             Ledger::Reconcile { folder, other } => {
-                let done = reconcile::run(&runtime, folder, other).await;
-                done.unwrap_or_else(|error| fail(Exit::System, error))
+                let exit = reconcile::run(&runtime, folder, other).await;
+                exit.unwrap_or_else(|error| fail(Exit::System, error))
             }
         }
     })
 }
 
-fn seconds(period: u64) -> Periods {
-    Periods::Every(period * 1_000_000)
+/// Converts the length of a period in seconds.
+fn periods(period_s: u64) -> Periods {
+    Periods::Every(period_s * 1_000_000)
 }
 
 /// The totals of a directory's snapshot, or those of no entries.
--- a/crates/cli/src/ledger/export.rs
+++ b/crates/cli/src/ledger/export.rs
@@ -1,6 +1,6 @@
 //! `ledger export`: exports while the ledger's ingress is down.
 
-use super::{restore_totals, seconds, GROUP};
+use super::{periods, restore_totals, MAX_GROUP_ENTRIES};
 use crate::{fail, Exit};
 use chalkgap::runtime::Shared;
 use chalkgap_ledger::directory_sink;
@@ -11,13 +11,13 @@
 use chalkgap_ledger::UsageTotals;
 use std::path::Path;
 
-/// A timeout that does not run out, and can be added to any time without an overflow.
+/// A timeout that never expires and can be added to any time without an overflow.
 const NO_TIMEOUT_MICROS: u64 = u64::MAX / 4;
 
 /// An export while the ledger's ingress is down.
 pub(super) struct ManualExport<'a> {
     pub(super) folder: &'a Path,
-    /// Seconds.
+    /// Length of a period in seconds.
     pub(super) period: u64,
     pub(super) ingress: u16,
     pub(super) group: &'a [u16],
@@ -29,7 +29,12 @@
     pub(super) async fn run(&self, runtime: &Shared, to: Option<&Path>) -> Result<Exit, StoreError> {
         let now = runtime.now();
         let final_after = if self.all { 0 } else { u64::MAX };
-        let config = export::Config { final_after, check_interval: 1, takeover_delay: 0, max_lines: GROUP };
+        let config = export::Config {
+            final_after,
+            check_interval: 1,
+            takeover_delay: 0,
+            max_lines: MAX_GROUP_ENTRIES,
+        };
         let exporter = Exporter::new(self.ingress, self.group.to_vec(), config);
         match to {
             Some(to) => self.deliver(runtime, to, exporter, now).await,
@@ -37,9 +42,9 @@
         }
     }
 
-    /// Prints what is due. Needs no lock and writes nothing.
+    /// Prints which batches were delivered and which lines are due. Takes no lock and writes nothing.
     async fn preview(&self, runtime: &Shared, exporter: &Exporter, now: u64) -> Result<Exit, StoreError> {
-        let mut totals = restore_totals(runtime, self.folder, seconds(self.period)).await?;
+        let mut totals = restore_totals(runtime, self.folder, periods(self.period)).await?;
         let mut entries = Vec::new();
         read_segments(runtime, self.folder, |segment| entries.extend(segment.scan.entries)).await?;
         for entry in &entries {
@@ -48,6 +53,7 @@
         Ok(self.print_state(exporter, &totals, now))
     }
 
+    /// Delivers the due lines to a folder and records that in the ledger.
     async fn deliver(
         &self,
         runtime: &Shared,
@@ -57,20 +63,28 @@
     ) -> Result<Exit, StoreError> {
         let OpenLedger { mut totals, mut store, mut recorder } = self.open(runtime, started_at).await?;
         let mut delivered = 0;
-        for turn in 1.. {
-            let now = started_at + turn;
+        for step in 1.. {
+            let now = started_at + step;
             let written = match exporter.next_step(now, &totals) {
                 None => break,
                 Some(ExportStep::Write(batch)) => vec![EntryBody::BatchPrepared(batch)],
                 Some(ExportStep::Send(batch)) => {
                     let reply = directory_sink::deliver(runtime, to, &batch).await;
                     if reply == ConsumerReply::None {
-                        return Ok(fail(Exit::System, format!("{}: no word on a batch", to.display())));
+                        return Ok(fail(
+                            Exit::System,
+                            format!(
+                                "{}: batch {} of stream {} was not stored",
+                                to.display(),
+                                batch.number,
+                                batch.stream
+                            ),
+                        ));
                     }
                     let stored = reply == ConsumerReply::Stored;
                     let written = exporter.replied(now, &batch, reply);
                     if written.is_empty() {
-                        break; // blocked: printed below
+                        break; // the stream is blocked, which is printed below
                     }
                     if stored {
                         delivered += 1;
@@ -89,14 +103,14 @@
             }
         }
         if !self.json {
-            println!("{delivered} batches handed over");
+            println!("{delivered} batches delivered");
         }
         Ok(self.print_state(&exporter, &totals, started_at))
     }
 
     /// Opens the ledger for writing, as a new incarnation of its ingress.
     async fn open(&self, runtime: &Shared, now: u64) -> Result<OpenLedger, StoreError> {
-        let periods = seconds(self.period);
+        let periods = periods(self.period);
         let mut totals = restore_totals(runtime, self.folder, periods).await?;
         let mut recovery = Recovery::new(self.ingress);
         recovery.restore(&totals);
@@ -123,19 +137,19 @@
         }
     }
 
-    /// Prints streams and what is due; [`Exit::Bad`] if a stream is blocked.
+    /// Prints the state of each stream and the lines that are due. Returns [`Exit::Failure`] if a stream is blocked.
     fn print_state(&self, exporter: &Exporter, totals: &UsageTotals, now: u64) -> Exit {
-        let mut exit = Exit::Good;
+        let mut exit = Exit::Success;
         for (stream, reason) in exporter.blocked() {
-            exit = fail(Exit::Bad, format!("{stream} is stuck: {reason}"));
+            exit = fail(Exit::Failure, format!("stream {stream} is blocked: {reason}"));
         }
         for shard in 0..self.group.len() {
             let stream = exporter.stream_name(shard);
             let position = totals.stream_position(&stream);
             if !self.json {
                 let pending =
-                    if position.pending.is_some() { ", one written and without a word" } else { "" };
-                println!("{stream}: {} batches taken{pending}", position.acknowledged);
+                    if position.pending.is_some() { ", one written and without a reply" } else { "" };
+                println!("{stream}: {} batches acknowledged{pending}", position.acknowledged);
             }
         }
         let due = exporter.final_until(now, totals);
@@ -166,10 +180,11 @@
     recorder: Recorder,
 }
 
-/// Opens no requests and looks none up: requests whose end is unknown stay so until their ingress is back.
+/// Returns a configuration that opens no requests and looks none up. Requests with an unknown outcome keep it until their
+/// ingress runs again.
 fn recorder_config() -> recorder::Config {
     recorder::Config {
-        max_waiting: GROUP,
+        max_waiting: MAX_GROUP_ENTRIES,
         slow_disk_after: 0,
         retry_after: 0,
         serve_unrecorded: false,
--- a/crates/cli/src/ledger/inspect.rs
+++ b/crates/cli/src/ledger/inspect.rs
@@ -1,17 +1,17 @@
-//! `ledger show` and `ledger verify`: read a ledger and change nothing.
+//! `ledger show` and `ledger verify`: read a ledger without changing it.
 
-use super::{restore_totals, seconds};
+use super::{periods, restore_totals};
 use crate::{fail, Exit};
 use chalkgap::runtime::Shared;
 use chalkgap_ledger::store::{read_segments, ScannedSegment};
 use chalkgap_ledger::{AddOutcome, Periods, SegmentEnd, Sum, UsageTotals};
 use std::path::Path;
 
-/// Prints the sums of a ledger; also of a damaged one, as far as it can be read.
+/// Prints the sums of a ledger. Of a damaged ledger, the entries that can be read are included.
 pub(super) async fn show(runtime: &Shared, folder: &Path, period: u64, json: bool) -> Exit {
-    let read = ReadLedger::read(runtime, folder, seconds(period), |segment| {
+    let read = ReadLedger::read(runtime, folder, periods(period), |segment| {
         if segment.condition.is_damaged {
-            fail(Exit::Bad, format!("{}: {}", segment.path.display(), segment.condition.text));
+            fail(Exit::Failure, format!("{}: {}", segment.path.display(), segment.condition.text));
         }
     });
     let read = match read.await {
@@ -43,14 +43,14 @@
 
 /// Prints the condition of each segment.
 pub(super) async fn verify(runtime: &Shared, folder: &Path) -> Exit {
-    let read = ReadLedger::read(runtime, folder, seconds(1), |segment| {
+    let read = ReadLedger::read(runtime, folder, periods(1), |segment| {
         let SegmentReport { path, entries, conflicts, condition } = segment;
         println!("{}: {entries} entries, {conflicts} conflicts, {}", path.display(), condition.text);
     });
     read.await.map_or_else(|exit| exit, |read| read.exit())
 }
 
-/// Whether a segment can be read, for people.
+/// Whether a segment is damaged, with a text for the user.
 struct Condition {
     is_damaged: bool,
     text: String,
@@ -64,7 +64,9 @@
             SegmentEnd::Torn if segment.is_last => {
                 (false, format!("good up to byte {valid_bytes}, then torn by a crash"))
             }
-            SegmentEnd::Torn => (true, format!("DAMAGED: torn at byte {valid_bytes}, but others follow it")),
+            SegmentEnd::Torn => {
+                (true, format!("DAMAGED: torn at byte {valid_bytes}, but other segments follow"))
+            }
             SegmentEnd::Damaged { at, what } => (true, format!("DAMAGED at byte {at}: {what}")),
         };
         Condition { is_damaged, text }
@@ -81,12 +83,15 @@
 /// A ledger that was read without changing it.
 struct ReadLedger {
     totals: UsageTotals,
-    /// Damaged segments and conflicting entries.
+    /// Number of damaged segments and conflicting entries.
     defects: usize,
 }
 
 impl ReadLedger {
-    /// Reads all segments; each is reported. An error has been printed already.
+    /// Reads all segments and passes a report of each to `report`.
+    ///
+    /// # Errors
+    /// The exit code if the ledger cannot be read. The error has been printed.
     async fn read(
         runtime: &Shared,
         folder: &Path,
@@ -94,7 +99,7 @@
         mut report: impl FnMut(SegmentReport<'_>),
     ) -> Result<ReadLedger, Exit> {
         let restored = restore_totals(runtime, folder, periods).await;
-        let mut totals = restored.map_err(|error| fail(Exit::Bad, error))?;
+        let mut totals = restored.map_err(|error| fail(Exit::Failure, error))?;
         let mut defects = 0;
         let read = read_segments(runtime, folder, |segment| {
             let outcomes = segment.scan.entries.iter().map(|entry| totals.add(entry));
@@ -110,9 +115,9 @@
 
     fn exit(&self) -> Exit {
         if self.defects > 0 {
-            Exit::Bad
+            Exit::Failure
         } else {
-            Exit::Good
+            Exit::Success
         }
     }
 }
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -1,4 +1,4 @@
-//! The `chalkgap` command: arguments, signals, logs. All else is in the library and the laboratory.
+//! The `chalkgap` command: arguments, signals and logging. Everything else is in the libraries and the test crates.
 
 mod drill;
 mod fleet;
@@ -11,19 +11,19 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-/// How a command ended, for scripts. 2 is clap's, for arguments.
+/// Exit code of a command. Code 2 is used by clap for invalid arguments.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Exit {
-    Good = 0,
-    /// It ran, and the answer is no: a rule broken, a call failed.
-    Bad = 1,
-    /// Settings or a script are not taken.
+    Success = 0,
+    /// The command ran with a negative result, such as a violated rule, a failed call or a damaged ledger.
+    Failure = 1,
+    /// The settings or a script are invalid.
     Settings = 3,
-    /// Something of the system is not to be had: an address, a file.
+    /// An address, file or other resource of the system is not available.
     System = 4,
-    /// `ask`: refused.
+    /// `ask`: the request was refused.
     Refused = 10,
-    /// `ask`: nobody there.
+    /// `ask` or `fleet show`: the ingress did not answer.
     NoAnswer = 11,
 }
 
@@ -31,10 +31,10 @@
 #[derive(Parser)]
 #[command(name = "chalkgap", version, about)]
 struct Args {
-    /// How log lines look.
+    /// Format of log lines.
     #[arg(long, global = true, value_enum, default_value_t = LogForm::Human)]
     log: LogForm,
-    /// What is logged, such as `info` or `chalkgap=debug`.
+    /// Log filter, such as `info` or `chalkgap=debug`.
     #[arg(long, global = true, default_value = "info")]
     log_filter: String,
     #[command(subcommand)]
@@ -51,7 +51,8 @@
 enum Command {
     /// Run an ingress. The first SIGTERM or SIGINT drains it, the second stops it.
     Serve(serve::Serve),
-    /// Run an ingress on the users' platform, configured by RELAY_CONFIG. SIGHUP reads it again, SIGTERM drains.
+    /// Run an ingress on the users' platform, configured by the file that RELAY_CONFIG names. SIGHUP reloads it, SIGTERM
+    /// drains the ingress.
     Platform,
     /// Check a settings file.
     Check {
@@ -63,32 +64,33 @@
     },
     /// Print the JSON Schema of the settings.
     Schema,
-    /// Ask an ingress by hand.
+    /// Send a single request to an ingress.
     Ask(tools::Ask),
-    /// Run a stand-in of what an ingress meets.
+    /// Run a simulated node or registry.
     #[command(subcommand)]
     Standin(tools::Standin),
-    /// Play a bad day through real ingresses and judge it.
+    /// Run a fault-injection drill against real ingresses and audit it.
     Drill(drill::Drill),
-    /// Look at the fleet.
+    /// Show the fleet's membership.
     #[command(subcommand)]
     Fleet(fleet::Fleet),
-    /// Read a billing ledger.
+    /// Read, export or reconcile a billing ledger.
     #[command(subcommand)]
     Ledger(ledger::Ledger),
-    /// Print completions for a shell.
+    /// Print shell completions.
     Completions {
         /// The shell.
         shell: clap_complete::Shell,
     },
 }
 
+/// Parses an argument of the form `KEY=VALUE`.
 pub(crate) fn pair(text: &str) -> Result<(String, String), String> {
     let (key, value) = text.split_once('=').ok_or_else(|| format!("expected KEY=VALUE, found {text:?}"))?;
     Ok((key.to_owned(), value.to_owned()))
 }
 
-/// Says on standard error why a command ends.
+/// Prints an error on standard error and returns the exit code.
 pub(crate) fn fail(exit: Exit, what: impl std::fmt::Display) -> Exit {
     eprintln!("chalkgap: {what}");
     exit
@@ -100,34 +102,34 @@
         Ok(filter) => filter,
         Err(e) => return ExitCode::from(fail(Exit::Settings, format!("--log-filter: {e}")) as u8),
     };
-    let lines = tracing_subscriber::fmt().with_env_filter(filter).with_writer(std::io::stderr);
+    let subscriber = tracing_subscriber::fmt().with_env_filter(filter).with_writer(std::io::stderr);
     match args.log {
-        LogForm::Human => lines.with_ansi(false).init(),
-        LogForm::Json => lines.json().init(),
+        LogForm::Human => subscriber.with_ansi(false).init(),
+        LogForm::Json => subscriber.json().init(),
     }
     let exit = match args.command {
-        Command::Serve(a) => serve::run(a),
+        Command::Serve(args) => serve::run(args),
         Command::Platform => platform::run(),
         Command::Check { file, given } => match serve::read(&file, &given) {
             Ok(settings) => {
                 let (classes, plans) = (settings.classes.len(), settings.plans.len());
                 println!("{}: good ({classes} classes, {plans} plans)", file.display());
-                Exit::Good
+                Exit::Success
             }
             Err(exit) => exit,
         },
         Command::Schema => {
             println!("{:#}", chalkgap::settings::schema());
-            Exit::Good
+            Exit::Success
         }
-        Command::Ask(a) => tools::ask(a),
-        Command::Standin(s) => tools::standin(s),
-        Command::Drill(d) => drill::run(d),
-        Command::Fleet(f) => fleet::run(f),
-        Command::Ledger(l) => ledger::run(l),
+        Command::Ask(args) => tools::ask(args),
+        Command::Standin(standin) => tools::standin(standin),
+        Command::Drill(args) => drill::run(args),
+        Command::Fleet(command) => fleet::run(command),
+        Command::Ledger(command) => ledger::run(command),
         Command::Completions { shell } => {
             clap_complete::generate(shell, &mut Args::command(), "chalkgap", &mut std::io::stdout());
-            Exit::Good
+            Exit::Success
         }
     };
     ExitCode::from(exit as u8)
--- a/crates/cli/src/platform.rs
+++ b/crates/cli/src/platform.rs
@@ -1,4 +1,5 @@
-//! `chalkgap platform`: an ingress for the users' platform. Reads the configuration and the signals; the rest is the library.
+//! `platform`: runs an ingress on the users' platform. Reads the configuration and handles signals; the ingress itself is in
+//! the library.
 
 use crate::{fail, Exit};
 use async_signal::{Signal, Signals};
@@ -9,7 +10,7 @@
 pub(crate) fn run() -> Exit {
     let system = System::new();
     system.clone().run(async move {
-        // Before anything else: a signal in between would end the process without a drain.
+        // Installed first: until then, a signal would end the process without a drain.
         let mut signals = match Signals::new([Signal::Term, Signal::Int, Signal::Hup]) {
             Ok(signals) => signals,
             Err(e) => return fail(Exit::System, format!("signals: {e}")),
@@ -44,6 +45,6 @@
         let completed = future::or(drained, second_signal).await;
         let counts = serde_json::to_string(&ingress.counts()).unwrap_or_default();
         tracing::info!(completed, counts, "stopped");
-        Exit::Good
+        Exit::Success
     })
 }
--- a/crates/cli/src/serve.rs
+++ b/crates/cli/src/serve.rs
@@ -1,4 +1,4 @@
-//! `serve`: startup, signals, reading the settings; the rest is the library.
+//! `serve`: reads the settings, starts an ingress and handles signals. The ingress itself is in the library.
 
 use crate::{fail, Exit};
 use async_signal::{Signal, Signals};
@@ -17,15 +17,15 @@
     /// Text that the script reads as `given["KEY"]`.
     #[arg(long = "set", value_name = "KEY=VALUE", value_parser = crate::pair)]
     given: Vec<(String, String)>,
-    /// Threads besides the first that run connections.
+    /// Number of additional threads that run connections.
     #[arg(long, default_value_t = 0)]
     threads: usize,
-    /// How long a drain may take, in seconds.
+    /// Maximum duration of a drain in seconds.
     #[arg(long, default_value_t = 30.0)]
     drain: f64,
 }
 
-/// Reads and checks a settings file.
+/// Reads and checks a settings file. Errors are printed, and returned as the exit code.
 pub(crate) fn read(file: &Path, given: &[(String, String)]) -> Result<Settings, Exit> {
     let name = file.display().to_string();
     let text = std::fs::read_to_string(file).map_err(|e| fail(Exit::System, format!("{name}: {e}")))?;
@@ -42,7 +42,7 @@
     let system = System::new();
     system.threads(args.threads);
     system.clone().run(async move {
-        // Before anything listens: a signal in between would end the process unasked.
+        // Installed before the listeners open: until then, a signal would end the process without a drain.
         let mut signals = match Signals::new([Signal::Term, Signal::Int]) {
             Ok(signals) => signals,
             Err(e) => return fail(Exit::System, format!("signals: {e}")),
@@ -57,25 +57,26 @@
         let line =
             serde_json::json!({"grpc": instance.grpc_address().to_string(), "mqtt": mqtt, "peers": peer});
         println!("{line}");
-        let _ = std::io::stdout().flush(); // nobody may read it
+        let _ = std::io::stdout().flush(); // standard output may be closed
 
-        // Where another process has taken this one's number, two would give what one may: this one ends.
-        let over = instance.superseded();
+        // If another process has taken this one's number, both together would admit twice the allowed requests, so this one
+        // ends.
+        let superseded = instance.superseded();
         let signal = async {
             signals.next().await;
         };
-        future::or(signal, over).await;
+        future::or(signal, superseded).await;
         tracing::info!("draining");
         let until = system.now() + (args.drain.clamp(0.0, 86_400.0) * 1e6) as u64;
         let drained = instance.drain(until);
-        let second = async {
+        let second_signal = async {
             signals.next().await;
             false
         };
-        let whole = future::or(drained, second).await;
+        let completed = future::or(drained, second_signal).await;
         let counts = serde_json::to_string(&instance.counts()).unwrap_or_default();
-        tracing::info!(whole, counts, "stopped");
+        tracing::info!(whole = completed, counts, "stopped");
         instance.stop();
-        Exit::Good
+        Exit::Success
     })
 }
--- a/crates/cli/src/tools.rs
+++ b/crates/cli/src/tools.rs
@@ -1,4 +1,4 @@
-//! `ask` and `standin`: an ingress's neighbours by hand.
+//! `ask` and `standin`: a client, a node and a registry for manual tests of an ingress.
 
 use crate::{fail, Exit};
 use async_signal::{Signal, Signals};
@@ -14,27 +14,27 @@
 use std::path::PathBuf;
 use std::sync::Arc;
 
-/// Ask an ingress by hand.
+/// Send a single request to an ingress.
 #[derive(clap::Args)]
 pub(crate) struct Ask {
     /// The ingress's gRPC address, such as 127.0.0.1:8081.
     address: SocketAddr,
-    /// The account.
+    /// Account of the request.
     #[arg(long)]
     account: String,
-    /// The class.
+    /// Class of the request.
     #[arg(long)]
     class: String,
-    /// The request's key.
+    /// Key of the request.
     #[arg(long)]
     key: Option<String>,
-    /// Units.
+    /// Units that the request costs.
     #[arg(long, default_value_t = 1)]
     units: u32,
-    /// Milliseconds to wait.
+    /// Timeout in milliseconds.
     #[arg(long, default_value_t = 5000)]
     timeout: u64,
-    /// The answer as a line of JSON.
+    /// Print the answer as a line of JSON.
     #[arg(long)]
     json: bool,
 }
@@ -48,7 +48,7 @@
             Err(e) => return fail(Exit::NoAnswer, format!("{}: {e}", args.address)),
         };
         let begun = system.now();
-        let ask = client::Request {
+        let request = client::Request {
             call: begun,
             account: args.account,
             class: args.class,
@@ -56,32 +56,32 @@
             key: args.key,
             timeout: args.timeout.saturating_mul(1000),
         };
-        let end = client.call(&ask).await;
-        let took = system.now() - begun;
-        let headers = end.response.iter().flat_map(|r| &r.response_headers_to_add);
+        let result = client.call(&request).await;
+        let elapsed_us = system.now() - begun;
+        let headers = result.response.iter().flat_map(|r| &r.response_headers_to_add);
         let headers: Vec<String> = headers.map(|h| format!("{}: {}", h.key, h.value)).collect();
-        let body = end.response.as_ref().map(|r| String::from_utf8_lossy(&r.raw_body).into_owned());
-        let (word, exit) = match &end.answer {
-            Answer::Served => ("served".to_owned(), Exit::Good),
+        let body = result.response.as_ref().map(|r| String::from_utf8_lossy(&r.raw_body).into_owned());
+        let (outcome, exit) = match &result.answer {
+            Answer::Served => ("served".to_owned(), Exit::Success),
             Answer::Refused { pause: 0 } => ("refused".to_owned(), Exit::Refused),
             Answer::Refused { pause } => {
-                (format!("refused, come back in {:.3} s", *pause as f64 / 1e6), Exit::Refused)
+                (format!("refused, retry after {:.3} s", *pause as f64 / 1e6), Exit::Refused)
             }
             Answer::Failed { code } => {
                 let code = chalkgap_wire::grpc::Code::from_number(*code);
-                (format!("failed, {code:?}: {}", end.message), Exit::Bad)
+                (format!("failed, {code:?}: {}", result.message), Exit::Failure)
             }
             Answer::Broken | Answer::NotTaken | Answer::Left => {
-                (format!("no answer {}", end.message), Exit::NoAnswer)
+                (format!("no answer {}", result.message), Exit::NoAnswer)
             }
         };
         if args.json {
             let line = serde_json::json!({
-                "answer": end.answer, "took_us": took, "headers": headers, "body": body, "message": end.message,
+                "answer": result.answer, "took_us": elapsed_us, "headers": headers, "body": body, "message": result.message,
             });
             println!("{line}");
         } else {
-            println!("{} after {:.1} ms", word.trim_end(), took as f64 / 1000.0);
+            println!("{} after {:.1} ms", outcome.trim_end(), elapsed_us as f64 / 1000.0);
             headers.iter().for_each(|h| println!("  {h}"));
             body.filter(|b| !b.is_empty()).iter().for_each(|b| println!("  body: {b}"));
         }
@@ -89,49 +89,49 @@
     })
 }
 
-/// Stand-ins.
+/// Simulated counterparts of an ingress.
 #[derive(clap::Subcommand)]
 pub(crate) enum Standin {
-    /// An intake node.
+    /// Run a simulated node.
     Node {
-        /// Where it listens.
+        /// Address to listen on.
         #[arg(long, default_value = "127.0.0.1:0")]
         listen: SocketAddr,
-        /// Requests in work at once.
+        /// Number of requests that the node processes at the same time.
         #[arg(long, default_value_t = 3)]
         cores: usize,
-        /// Mean work of a class in milliseconds, such as `sig-check=20`.
+        /// Mean processing time of a class in milliseconds, such as `sig-check=20`.
         #[arg(long = "work", value_name = "CLASS=MS", value_parser = crate::pair)]
         work: Vec<(String, String)>,
-        /// Share of requests that fail at once.
+        /// Share of requests that fail immediately.
         #[arg(long, default_value_t = 0.0)]
         fail: f64,
-        /// Share of answers that break off halfway.
+        /// Share of answers that are truncated.
         #[arg(long, default_value_t = 0.0)]
         halfway: f64,
-        /// It answers nothing.
+        /// Accept requests and answer none.
         #[arg(long)]
         hang: bool,
     },
-    /// A roster that pushes a list from a file, again at each SIGHUP.
+    /// Run a registry that publishes a node list from a file and reads the file again on SIGHUP.
     Roster {
-        /// Where it listens.
+        /// Address to listen on.
         #[arg(long, default_value = "127.0.0.1:0")]
         listen: SocketAddr,
-        /// The list: JSON, as the file source of an ingress reads it.
+        /// The node list as JSON, in the format of an ingress's file source.
         file: PathBuf,
     },
 }
 
-pub(crate) fn standin(what: Standin) -> Exit {
+pub(crate) fn standin(command: Standin) -> Exit {
     let system = System::new();
     system.clone().run(async move {
         let mut signals = match Signals::new([Signal::Term, Signal::Int, Signal::Hup]) {
             Ok(signals) => signals,
             Err(e) => return fail(Exit::System, format!("signals: {e}")),
         };
-        match what {
-            Standin::Node { listen, cores, work, fail: share, halfway, hang } => {
+        match command {
+            Standin::Node { listen, cores, work, fail: fail_share, halfway, hang } => {
                 let mut machine = Machine { cores: cores.max(1), ..Machine::default() };
                 for (class, ms) in work {
                     let Ok(ms) = ms.parse::<f64>() else {
@@ -146,27 +146,27 @@
                     Ok(node) => node,
                     Err(e) => return fail(Exit::System, format!("{listen}: {e}")),
                 };
-                node.faults(Faults { fail: share, halfway, hang, ..Faults::default() });
+                node.faults(Faults { fail: fail_share, halfway, hang, ..Faults::default() });
                 println!("{}", serde_json::json!({"node": node.address().to_string()}));
                 while !matches!(signals.next().await, Some(Ok(Signal::Term | Signal::Int)) | None) {}
-                Exit::Good
+                Exit::Success
             }
             Standin::Roster { listen, file } => {
-                let roster = match Registry::start(system.clone(), listen, Journal::nowhere()) {
-                    Ok(roster) => roster,
+                let registry = match Registry::start(system.clone(), listen, Journal::nowhere()) {
+                    Ok(registry) => registry,
                     Err(e) => return fail(Exit::System, format!("{listen}: {e}")),
                 };
-                println!("{}", serde_json::json!({"roster": roster.address().to_string()}));
+                println!("{}", serde_json::json!({"roster": registry.address().to_string()}));
                 loop {
                     let list = std::fs::read(&file).map_err(|e| e.to_string());
                     let list =
                         list.and_then(|b| serde_json::from_slice::<NodeList>(&b).map_err(|e| e.to_string()));
                     match list {
-                        Ok(list) => roster.set(list.nodes.iter().map(line).collect()),
+                        Ok(list) => registry.set(list.nodes.iter().map(registry_node).collect()),
                         Err(e) => drop(fail(Exit::Settings, format!("{}: {e}", file.display()))),
                     }
                     if !matches!(signals.next().await, Some(Ok(Signal::Hup))) {
-                        return Exit::Good;
+                        return Exit::Success;
                     }
                 }
             }
@@ -174,18 +174,19 @@
     })
 }
 
-fn line(n: &chalkgap::node_list::Node) -> roster::Node {
+/// Converts a node of a list file to the registry's message.
+fn registry_node(node: &chalkgap::node_list::Node) -> roster::Node {
     roster::Node {
-        address: n.address.to_string(),
-        zone: n.zone.clone(),
-        cell: n.cell.clone(),
-        kind: n.kind.clone(),
-        state: match n.state {
+        address: node.address.to_string(),
+        zone: node.zone.clone(),
+        cell: node.cell.clone(),
+        kind: node.kind.clone(),
+        state: match node.state {
             State::Ready => 0,
             State::Draining => 1,
             State::Gone => 2,
         },
-        size: n.size,
-        started_ms: n.started_ms,
+        size: node.size,
+        started_ms: node.started_ms,
     }
 }
--- a/crates/cli/tests/command.rs
+++ b/crates/cli/tests/command.rs
@@ -232,7 +232,7 @@
     // A copy of the disk that is behind: reconciled, it knows what was handed over, and hands over nothing.
     std::fs::create_dir_all(&copy).unwrap();
     let reconciled = run(&["ledger", "reconcile", copy.to_str().unwrap(), path]);
-    assert!(text(&reconciled.stdout).contains(" entries taken, 0 conflicts"), "{}", text(&reconciled.stderr));
+    assert!(text(&reconciled.stdout).contains(" entries added, 0 conflicts"), "{}", text(&reconciled.stderr));
     assert_eq!(export(copy.to_str().unwrap()), "");
     std::fs::remove_dir_all(&copy).unwrap();
     std::fs::remove_dir_all(&to).unwrap();
--- a/crates/fault-injection/scenarios/bad-day.star
+++ b/crates/fault-injection/scenarios/bad-day.star
@@ -1,5 +1,6 @@
-# The day that ships: a third of the ingresses killed and back with their last list alone, nodes failing fast, one
-# hanging, an account at seven times its quota, accounts moving at one stroke, clients that repeat at once.
+# The default day. Among its troubles: one of three ingresses is killed and restarted with only its cached node list,
+# nodes fail requests immediately, a node stops answering, an account sends seven times its usual traffic, all accounts
+# move to another ingress at the same time, and clients retry without a pause.
 
 def trouble(kind, at, lasts = 0.0, **more):
     return dict(kind = kind, at = at, lasts = lasts, **more)
--- a/crates/fault-injection/scenarios/counted.star
+++ b/crates/fault-injection/scenarios/counted.star
@@ -1,5 +1,6 @@
-# A day whose decisions can be counted beforehand: stores that all but never fill, each account at one ingress, its
-# requests one after the other. Whoever plays it, each account has as many served as its store holds.
+# A day with a known number of served requests. The plans' token buckets are practically never refilled, each account uses
+# one ingress, and it sends its requests one after the other. So each account has exactly as many requests served as the
+# burst of its plan, in any kind of run.
 
 door = given.get("door", "grpc")
 
--- a/crates/fault-injection/scenarios/fleet-deaths.star
+++ b/crates/fault-injection/scenarios/fleet-deaths.star
@@ -1,9 +1,11 @@
-# How late a death is known: `--set count=24` processes, each killed and started again in its turn, on links that lose a
-# twentieth. Not for CI: it takes as long as the deaths that it counts.
+# Measures how long the detection of a killed process takes. `--set count=24` sets the number of processes, `--set kills=8`
+# how many of them are killed and restarted, one after the other. Links lose 5% of the datagrams. Not part of CI, because
+# the duration grows with the number of kills.
 
 count = int(given.get("count", "8"))
 kills = int(given.get("kills", "8"))
-# 200 ms a round: 1 + 2 m rounds and 2 (4 + 2 m), m = floor(log2 count) + 1. docs/design/membership.md.
+# Detection bound, see docs/design/membership.md: 5 + 2 m rounds and 2 (4 + 2 m) rounds of 200 ms each, with
+# m = floor(log2 count) + 1.
 m = len([n for n in range(12) if (1 << n) <= count])
 late = 0.2 * (5 + 2 * m + 2 * (4 + 2 * m))
 
@@ -30,7 +32,7 @@
         dict(kind = "kill", at = 6.0 + (late + 6.0) * n, lasts = late + 0.5, which = [(n * 5 + 1) % count])
         for n in range(kills)
     ] + [
-        # At the end all at once, and all back.
+        # Finally all processes are killed at the same time and restarted.
         dict(kind = "kill", at = 6.0 + (late + 6.0) * kills, lasts = 1.0, which = list(range(count))),
     ],
 }
--- a/crates/fault-injection/scenarios/short.star
+++ b/crates/fault-injection/scenarios/short.star
@@ -1,5 +1,5 @@
-# The drill of CI: every kind of trouble that the first bad day has, in little.
-# Three ingresses, nine nodes, the two classes and four plans of the crash intake fleet.
+# The drill of CI: a short day with many of the troubles of bad-day.star.
+# Three ingresses, nine nodes, three classes and three plans.
 
 def trouble(kind, at, lasts = 0.0, **more):
     return dict(kind = kind, at = at, lasts = lasts, **more)
--- a/crates/fault-injection/scenarios/stalled.star
+++ b/crates/fault-injection/scenarios/stalled.star
@@ -1,5 +1,5 @@
-# Ingresses that stand still for a second or so: what waited in their sockets has lost that time, and is owed an answer
-# by what is left of it. To be played by processes.
+# Ingresses that are suspended for about a second. Requests that waited in their sockets lose that time, and have to be
+# answered within the rest of their timeouts. Needs a process for each ingress (--processes).
 
 door = given.get("door", "grpc")
 
