--- a/crates/cli/tests/command.rs
+++ b/crates/cli/tests/command.rs
@@ -1,4 +1,4 @@
-//! The command as scripts see it: exit codes, complaints, the answer by hand.
+//! The `chalkgap` command as a script sees it: exit codes, error texts, and the output of `ask`, `fleet` and `ledger`.
 
 use std::io::{BufRead, BufReader};
 use std::path::PathBuf;
@@ -9,11 +9,11 @@
 }
 
 fn run(args: &[&str]) -> Output {
-    chalkgap().args(args).output().expect("it starts")
+    chalkgap().args(args).output().expect("the command starts")
 }
 
 fn code(o: &Output) -> i32 {
-    o.status.code().expect("it ended by itself")
+    o.status.code().expect("the command ends by itself")
 }
 
 fn text(bytes: &[u8]) -> String {
@@ -26,7 +26,7 @@
     path
 }
 
-/// Starts a command and reads the address from its first line.
+/// Starts a command and returns it with the address from its first line of output.
 fn start(args: &[&str], field: &str) -> (Child, String) {
     let mut child = chalkgap().args(args).stdout(Stdio::piped()).stderr(Stdio::null()).spawn().unwrap();
     let line = BufReader::new(child.stdout.take().unwrap()).lines().next().unwrap().unwrap();
@@ -49,9 +49,9 @@
 #[path = "../../../tests/support/recorded.rs"]
 mod recorded;
 
-/// Every subcommand and option, as the completions of a shell name them, and the answer to a good settings file.
+/// Compares all subcommands and options, as shell completions list them, and the output of `check` for valid settings.
 #[test]
-fn the_command_line_is_as_recorded() {
+fn the_command_line_matches_its_recording() {
     let completions = run(&["completions", "bash"]);
     assert_eq!(code(&completions), 0);
     let root = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("../..");
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn complaints_say_what_where_and_what_is_allowed() {
+fn errors_name_the_place_the_value_and_what_is_expected() {
     let cases = [
         (
             SETTINGS.replace("\"burst\": 2.0", "\"burst\": -2.0"),
@@ -98,17 +98,17 @@
         let path = file(&format!("bad-{n}.star"), script);
         let out = run(&["check", path.to_str().unwrap(), "--set", "list=x"]);
         assert_eq!(code(&out), 3, "case {n}: {}", text(&out.stderr));
-        let said = text(&out.stderr);
-        assert!(said.contains(expected) && said.contains("bad-"), "case {n}: {said}");
+        let error = text(&out.stderr);
+        assert!(error.contains(expected) && error.contains("bad-"), "case {n}: {error}");
         std::fs::remove_file(path).unwrap();
     }
     assert_eq!(code(&run(&["check", "/nonexistent.star"])), 4);
     assert_eq!(code(&run(&["check"])), 2);
 }
 
-/// Two processes find each other by a seed; a third, with a later start under the second's number, ends that one.
+/// Two processes find each other through a seed. A third one, started later with the second one's number, supersedes it.
 #[test]
-fn the_fleet_is_shown_from_any_ingress_and_a_number_is_taken_over() {
+fn any_ingress_shows_the_fleet_and_a_later_process_takes_over_a_number() {
     let peers = r#""me": int(given["me"]), "peers": {"listen": "127.0.0.1:0", "key": "5a" * 32,
         "view": {"seeds": [given["seed"]], "round_ms": 100}}"#;
     let script = SETTINGS.replace("\"ingresses\": 1", "\"ingresses\": 4").replace("\"me\": 0", peers);
@@ -118,50 +118,50 @@
         let (me, seed) = (format!("me={me}"), format!("seed={seed}"));
         start(&["serve", settings, "--set", "list=x", "--set", &me, "--set", &seed], "peers")
     };
-    let shown = |at: &str| -> serde_json::Value {
+    let show = |at: &str| -> serde_json::Value {
         let given = ["--set", "list=x", "--set", "me=0", "--set", "seed=127.0.0.1:9"];
         let out = run(&[&["fleet", "show", at, "--json", "--settings", settings][..], &given].concat());
         assert_eq!(code(&out), 0, "{}", text(&out.stderr));
         serde_json::from_slice(&out.stdout).unwrap()
     };
-    let until = |at: &str, what: &dyn Fn(&serde_json::Value) -> bool| {
+    let wait_for_view = |at: &str, condition: &dyn Fn(&serde_json::Value) -> bool| {
         let mut views = (0..300).map(|_| {
             std::thread::sleep(std::time::Duration::from_millis(50));
-            shown(at)
+            show(at)
         });
-        views.find(|v| what(v)).expect("in time")
+        views.find(|v| condition(v)).expect("a view that meets the condition within 15 s")
     };
     let (mut first, at) = serve("0", "127.0.0.1:9");
-    assert_eq!(shown(&at)["standing"], "cut off", "it has a seed and has met nobody");
-    let (mut second, other) = serve("1", &at);
-    let view = until(&at, &|v| v["counting"] == 2 && v["standing"] == "whole");
-    let same = until(&other, &|v| v["counting"] == 2);
+    assert_eq!(show(&at)["standing"], "cut off", "no other member is known, and a seed is configured");
+    let (mut second, second_at) = serve("1", &at);
+    let view = wait_for_view(&at, &|v| v["counting"] == 2 && v["standing"] == "whole");
+    let same = wait_for_view(&second_at, &|v| v["counting"] == 2);
     assert_eq!((&view["digest"], &view["number"]), (&same["digest"], &same["number"]));
     let states: Vec<&str> =
         view["members"].as_array().unwrap().iter().map(|m| m["state"].as_str().unwrap()).collect();
     assert_eq!(states, ["in", "in"]);
-    let (mut third, later) = serve("1", &at);
-    assert!(second.wait().unwrap().success(), "it hears that it is over, drains and ends");
-    let address = |v: &serde_json::Value| v["members"][1]["address"] == later;
-    until(&at, &address);
+    let (mut third, third_at) = serve("1", &at);
+    assert!(second.wait().unwrap().success(), "the superseded process drains and ends");
+    let address = |v: &serde_json::Value| v["members"][1]["address"] == third_at;
+    wait_for_view(&at, &address);
     first.kill().unwrap();
     third.kill().unwrap();
-    let ended = (first.wait(), third.wait());
-    assert!(ended.0.is_ok() && ended.1.is_ok());
+    assert!(first.wait().is_ok());
+    assert!(third.wait().is_ok());
     let given = ["--set", "list=x", "--set", "me=0", "--set", "seed=127.0.0.1:9"];
     let out = run(&[&["fleet", "show", &at, "--settings", settings][..], &given].concat());
-    assert_eq!(code(&out), 11, "nobody is there: {}", text(&out.stderr));
+    assert_eq!(code(&out), 11, "no process listens: {}", text(&out.stderr));
 }
 
 #[test]
-fn schema_and_completions() {
+fn the_schema_and_the_completions_are_printed() {
     let schema: serde_json::Value = serde_json::from_slice(&run(&["schema"]).stdout).unwrap();
     assert_eq!(schema["properties"]["classes"]["type"], "array");
     assert!(text(&run(&["completions", "bash"]).stdout).contains("chalkgap"));
 }
 
 #[test]
-fn asked_by_hand() {
+fn ask_prints_answers_refusals_and_failures() {
     let (mut node, address) = start(&["standin", "node", "--work", "sig-check=1"], "node");
     let list = file("list.json", &format!(r#"{{"nodes": [{{"address": "{address}", "zone": "a"}}]}}"#));
     let settings = file("good.star", SETTINGS);
@@ -170,16 +170,16 @@
     assert_eq!(code(&run(&["check", settings.to_str().unwrap(), "--set", &given])), 0);
     let (mut ingress, grpc) = start(&serve, "grpc");
     let ask = |account: &str| run(&["ask", &grpc, "--account", account, "--class", "sig-check", "--json"]);
-    // The list is read a moment after the start; until then there is no place for a request.
-    let first = (0..50).map(|_| ask("one")).find(|o| code(o) == 0);
-    let line: serde_json::Value = serde_json::from_slice(&first.expect("served").stdout).unwrap();
+    // The node list is read shortly after the start. Until then no node can serve a request.
+    let served = (0..50).map(|_| ask("one")).find(|o| code(o) == 0);
+    let line: serde_json::Value = serde_json::from_slice(&served.expect("served").stdout).unwrap();
     assert_eq!(line["answer"], "Served");
     assert!(line["body"].as_str().unwrap().starts_with("done"));
-    let refused = (0..4).map(|_| ask("one")).find(|o| code(o) == 10).expect("past its store");
+    let refused = (0..4).map(|_| ask("one")).find(|o| code(o) == 10).expect("a refusal after the burst");
     assert!(text(&refused.stdout).contains("retry-after"));
     let unknown = ask("two");
     assert_eq!((code(&unknown), text(&unknown.stdout).contains("is not known")), (1, true));
-    // Drained by the first signal, it ends by itself and well.
+    // The first signal drains the ingress, which then ends by itself with exit code 0.
     let term = Command::new("kill").args(["-TERM", &ingress.id().to_string()]).status().unwrap();
     assert!(term.success());
     assert_eq!(ingress.wait().unwrap().code(), Some(0));
@@ -191,12 +191,12 @@
 }
 
 #[test]
-fn a_ledger_is_shown_and_its_first_bad_byte_named() {
+fn a_ledger_is_shown_exported_reconciled_and_verified() {
     use chalkgap_ledger::entry::{RequestOpened, RequestSettled};
     use chalkgap_ledger::{Entry, EntryBody, EntryId, Store};
     let folder = std::env::temp_dir().join(format!("chalkgap-test-ledger-{}", std::process::id()));
     let id = |number| EntryId { ingress: 1, incarnation: 9, number };
-    let open = EntryBody::RequestOpened(RequestOpened {
+    let opened = EntryBody::RequestOpened(RequestOpened {
         account: "acme".into(),
         plan: "team".into(),
         class: "c".into(),
@@ -204,11 +204,13 @@
         request: "r".into(),
         node: "n".into(),
     });
-    let ended = EntryBody::RequestSettled(RequestSettled { open: 1, units: 4, ..RequestSettled::default() });
+    let settled =
+        EntryBody::RequestSettled(RequestSettled { open: 1, units: 4, ..RequestSettled::default() });
     let system = chalkgap::runtime::system::System::new();
     system.clone().run(async {
         let mut store = Store::open(system.clone(), &folder, 1 << 20, |_| ()).await.unwrap();
-        let list = [Entry { id: id(1), at: 90_000_000, body: open }, Entry { id: id(2), at: 0, body: ended }];
+        let list =
+            [Entry { id: id(1), at: 90_000_000, body: opened }, Entry { id: id(2), at: 0, body: settled }];
         store.commit(&list).await.unwrap();
     });
     let path = folder.to_str().unwrap();
@@ -219,8 +221,9 @@
         (Some("acme"), Some(1), Some(4))
     );
     assert_eq!(code(&run(&["ledger", "verify", path])), 0);
-    // Handed over by hand: once, however often it is asked for.
-    let (to, copy) = (folder.with_extension("to"), folder.with_extension("copy"));
+    // A repeated export delivers nothing again.
+    let to = folder.with_extension("to");
+    let copy = folder.with_extension("copy");
     let export = |folder: &str| {
         let to = to.to_str().unwrap();
         let list = ["ledger", "export", folder, "--ingress", "1", "--group", "1", "--period", "60", "--json"];
@@ -229,7 +232,7 @@
         text(&done.stdout).to_owned()
     };
     assert!(export(path).contains(r#""number":1"#) && export(path).is_empty());
-    // A copy of the disk that is behind: reconciled, it knows what was handed over, and hands over nothing.
+    // A ledger that lacks all entries: after the reconciliation it knows what was delivered, and delivers nothing.
     std::fs::create_dir_all(&copy).unwrap();
     let reconciled = run(&["ledger", "reconcile", copy.to_str().unwrap(), path]);
     assert!(text(&reconciled.stdout).contains(" entries added, 0 conflicts"), "{}", text(&reconciled.stderr));
--- a/crates/cli/tests/descriptors.rs
+++ b/crates/cli/tests/descriptors.rs
@@ -1,4 +1,4 @@
-//! A daemon whose descriptors are few, under a flood from many addresses.
+//! An ingress with a low file descriptor limit under a connection flood from many addresses.
 
 use chalkgap::runtime::{system::System, Shared};
 use chalkgap_testbed::client::{Client, Request};
@@ -25,20 +25,25 @@
 }
 "#;
 
-/// A process, its address, and a word each time that it has seen another limit.
-struct Daemon(Child, SocketAddr, Receiver<()>);
+/// An ingress process.
+struct Daemon {
+    child: Child,
+    address: SocketAddr,
+    /// Receives a message each time that the process logs a changed descriptor limit.
+    limit_changes: Receiver<()>,
+}
 
 impl Daemon {
-    /// Waits until it has seen another limit: it looks each second.
-    fn sees(&self) {
-        self.2.recv_timeout(Duration::from_secs(10)).expect("another limit is seen");
+    /// Waits until the process has noticed a changed limit, which it checks each second.
+    fn wait_for_limit_change(&self) {
+        self.limit_changes.recv_timeout(Duration::from_secs(10)).expect("the process logs a changed limit");
     }
 }
 
 impl Drop for Daemon {
     fn drop(&mut self) {
-        let _ = self.0.kill();
-        let _ = self.0.wait();
+        let _ = self.child.kill();
+        let _ = self.child.wait();
     }
 }
 
@@ -58,16 +63,16 @@
     match BufReader::new(child.stdout.take().unwrap()).lines().next() {
         Some(Ok(line)) => {
             let value: serde_json::Value = serde_json::from_str(&line).unwrap();
-            let (log, (tell, told)) =
-                (BufReader::new(child.stderr.take().unwrap()), std::sync::mpsc::channel());
+            let log = BufReader::new(child.stderr.take().unwrap());
+            let (sender, limit_changes) = std::sync::mpsc::channel();
             std::thread::spawn(move || {
                 for line in log.lines().map_while(Result::ok) {
                     if line.contains("file descriptor limit changed") {
-                        let _ = tell.send(()); // the test is over
+                        let _ = sender.send(()); // fails if the test has ended
                     }
                 }
             });
-            Ok(Daemon(child, value["grpc"].as_str().unwrap().parse().unwrap(), told))
+            Ok(Daemon { child, address: value["grpc"].as_str().unwrap().parse().unwrap(), limit_changes })
         }
         _ => {
             let out = child.wait_with_output().unwrap();
@@ -76,14 +81,14 @@
     }
 }
 
-/// So many known clients, each with a connection of its own, one after the other: how many are served.
-async fn known(runtime: &Shared, to: SocketAddr, n: u64) -> u64 {
+/// Sends `count` requests of a known client one after the other, each on a new connection. Returns how many are served.
+async fn served_known_clients(runtime: &Shared, to: SocketAddr, count: u64) -> u64 {
     let mut served = 0;
-    for call in 0..n {
+    for call in 0..count {
         let Ok(client) = Client::connect(runtime.clone(), to, 0, Journal::nowhere()).await else { continue };
         let (account, class) = ("one".to_owned(), "sig-check".to_owned());
-        let ask = Request { call, account, class, units: 1, key: None, timeout: 2_000_000 };
-        served += u64::from(client.call(&ask).await.answer == Answer::Served);
+        let request = Request { call, account, class, units: 1, key: None, timeout: 2_000_000 };
+        served += u64::from(client.call(&request).await.answer == Answer::Served);
         runtime.sleep_until(runtime.now() + 5000).await;
     }
     served
@@ -108,7 +113,7 @@
     )
     .unwrap();
 
-    // Less than what is set aside, and eight clients: a clear word at the start.
+    // The limit is too low for the reserved descriptors and eight clients, so the start fails.
     let error = serve(57, &folder).map(|_| ()).unwrap_err();
     assert!(
         error.starts_with("Some(3)") && error.contains("57 descriptors, but 50 are set aside"),
@@ -119,31 +124,32 @@
     let system = System::new();
     system.threads(1);
     system.clone().run(async {
-        let (runtime, to): (Shared, _) = (system.clone(), daemon.1);
-        runtime.sleep_until(runtime.now() + 500_000).await; // the list is read
+        let (runtime, to): (Shared, _) = (system.clone(), daemon.address);
+        runtime.sleep_until(runtime.now() + 500_000).await; // the node list is read
         let plan =
             Plan { to, addresses: 400, per_second: 300.0, hold: 400, until: runtime.now() + 4_000_000 };
         let (task, seen) = flood::start(&runtime, plan);
-        runtime.sleep_until(runtime.now() + 1_000_000).await; // the room of unknown ones is taken
-        assert_eq!(known(&runtime, to, 60).await, 60, "under the flood");
-        // Lowered while it runs: as soon as that is seen clients have fifty, and idle ones went for it. They hold their side
-        // open, as long as the flood lasts: nobody may wait for that.
-        let pid = Pid::from_child(&daemon.0);
+        runtime.sleep_until(runtime.now() + 1_000_000).await; // unknown clients take all connections available to them
+        assert_eq!(served_known_clients(&runtime, to, 60).await, 60, "under the flood");
+        // The limit is lowered while the process runs. Then clients have 50 descriptors, and idle connections are evicted for
+        // that. The flood keeps its side of them open, and the process must not wait until it closes them.
+        let pid = Pid::from_child(&daemon.child);
         let limit = |n| Rlimit { current: Some(n), maximum: Some(140) };
         prlimit(Some(pid), Resource::Nofile, limit(100)).unwrap();
-        daemon.sees();
-        assert_eq!(known(&runtime, to, 30).await, 30, "with a lower limit");
+        daemon.wait_for_limit_change();
+        assert_eq!(served_known_clients(&runtime, to, 30).await, 30, "with a lower limit");
         task.await;
         let seen = seen.lock().unwrap().clone();
         assert!(seen.told + seen.closed > 300, "{:?}", (seen.entered, seen.told, seen.closed));
-        assert_eq!(seen.hanging, 0, "every one of them got in or was refused");
-        // Below what is set aside, nobody new gets in, and all are told at once; raised again, they do.
+        assert_eq!(seen.hanging, 0, "every connection of the flood was accepted or refused");
+        // With a limit below the reserved descriptors, new connections are refused immediately. They are accepted again
+        // after the limit was raised.
         prlimit(Some(pid), Resource::Nofile, limit(40)).unwrap();
-        daemon.sees();
+        daemon.wait_for_limit_change();
         assert_ne!(knock(&runtime, None, to).await.0, Knock::Hanging);
         prlimit(Some(pid), Resource::Nofile, limit(140)).unwrap();
-        daemon.sees();
-        assert_eq!(known(&runtime, to, 5).await, 5, "raised again");
+        daemon.wait_for_limit_change();
+        assert_eq!(served_known_clients(&runtime, to, 5).await, 5, "after the limit was raised");
     });
     drop(daemon);
     node.kill().unwrap();
--- a/crates/cli/tests/platform.rs
+++ b/crates/cli/tests/platform.rs
@@ -1,4 +1,4 @@
-//! The command on the platform: its configuration, and its signals while clients ask.
+//! `chalkgap platform`: its configuration, and signals while clients send requests.
 
 use common::{backend, config, discovery, Act, Client, Journal, GOOD};
 use running::{command, file, Running};
@@ -16,42 +16,44 @@
 }
 
 #[test]
-fn a_configuration_that_is_not_taken_is_one_clear_line() {
+fn an_invalid_configuration_is_reported_in_one_line() {
     let fails = |path: Option<&PathBuf>| {
         let mut command = command();
         path.map(|p| command.env("RELAY_CONFIG", p));
         let mut child = command.spawn().unwrap();
-        let mut said = String::new();
-        child.stderr.take().unwrap().read_to_string(&mut said).unwrap();
-        assert_eq!(said.lines().count(), 1, "{said}");
-        (child.wait().unwrap().code(), said)
+        let mut error = String::new();
+        child.stderr.take().unwrap().read_to_string(&mut error).unwrap();
+        assert_eq!(error.lines().count(), 1, "{error}");
+        (child.wait().unwrap().code(), error)
     };
-    let (code, said) = fails(None);
+    let (code, error) = fails(None);
     assert_eq!(code, Some(3));
-    assert!(said.contains("RELAY_CONFIG: expected the path"), "{said}");
+    assert!(error.contains("RELAY_CONFIG: expected the path"), "{error}");
     let broken = file("broken", "{\"name\": 1");
-    let (code, said) = fails(Some(&broken));
+    let (code, error) = fails(Some(&broken));
     assert_eq!(code, Some(3));
-    assert!(said.contains("broken.json") && said.contains("line 1"), "{said}");
-    let taken = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
-    let listen = format!("\"listen\":\"{}\"", taken.local_addr().unwrap());
+    assert!(error.contains("broken.json") && error.contains("line 1"), "{error}");
+    let occupied = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
+    let listen = format!("\"listen\":\"{}\"", occupied.local_addr().unwrap());
     let text = config(1, 1, &[]).replace("\"listen\":\"127.0.0.1:0\"", &listen);
     let path = file("taken", &text);
     let mut child = command().env("RELAY_CONFIG", &path).spawn().unwrap();
-    let mut said = String::new();
-    child.stderr.take().unwrap().read_to_string(&mut said).unwrap();
+    let mut error = String::new();
+    child.stderr.take().unwrap().read_to_string(&mut error).unwrap();
     assert_eq!(child.wait().unwrap().code(), Some(4));
-    assert!(said.contains("listen: 127.0.0.1:") && said.contains("cannot be bound"), "{said}");
+    assert!(error.contains("listen: 127.0.0.1:") && error.contains("cannot be bound"), "{error}");
     let _ = (std::fs::remove_file(broken), std::fs::remove_file(path));
 }
 
-/// Discovery moves while clients ask; a file that cannot be read changes nothing.
+/// SIGHUP switches to another discovery address while clients send requests. An invalid file changes nothing.
 #[test]
-fn sighup_moves_discovery_under_load() {
-    let (old, new) = (Journal::default(), Journal::default());
+fn sighup_changes_the_discovery_address_under_load() {
+    let old = Journal::default();
+    let new = Journal::default();
     let ports = [backend(old.clone(), |_, _| Act::Say(GOOD)), backend(new.clone(), |_, _| Act::Say(GOOD))];
-    let (a, b) = (discovery(known(&ports[..1], 5)), discovery(known(&ports[1..], 6)));
-    let mut running = Running::start("hup", &config(1, a.port, &ports[..1]));
+    let old_discovery = discovery(known(&ports[..1], 5));
+    let new_discovery = discovery(known(&ports[1..], 6));
+    let mut running = Running::start("hup", &config(1, old_discovery.port, &ports[..1]));
     let mut client = Client::connect(running.address);
     let mut id = 0;
     let mut ask = |client: &mut Client| {
@@ -64,44 +66,46 @@
     running.signal(Signal::HUP);
     (0..20).for_each(|_| ask(&mut client));
     assert!(new.lock().unwrap().is_empty());
-    std::fs::write(&running.file, config(1, b.port, &ports[..1])).unwrap();
+    std::fs::write(&running.file, config(1, new_discovery.port, &ports[..1])).unwrap();
     running.signal(Signal::HUP);
     let until = Instant::now() + common::PATIENCE;
     while new.lock().unwrap().is_empty() {
-        assert!(Instant::now() < until, "the new list is followed");
+        assert!(Instant::now() < until, "requests go to the backend of the new list");
         ask(&mut client);
     }
     let before = old.lock().unwrap().len();
     (0..20).for_each(|_| ask(&mut client));
-    assert_eq!(old.lock().unwrap().len(), before, "what the new list does not have is gone");
-    assert!(running.child.try_wait().unwrap().is_none(), "SIGHUP ends nothing");
+    assert_eq!(old.lock().unwrap().len(), before, "no requests go to the backend that the new list lacks");
+    assert!(running.child.try_wait().unwrap().is_none(), "the process runs after SIGHUP");
 }
 
-/// What was taken before and just after SIGTERM gets its answer; then the process ends well.
+/// Requests that were accepted before and just after SIGTERM are answered. Then the process ends with exit code 0.
 #[test]
-fn sigterm_under_load_answers_what_was_taken() {
+fn sigterm_under_load_answers_accepted_requests() {
     let journal = Journal::default();
     let port = backend(journal.clone(), |n, _| if n == 0 { Act::Nothing } else { Act::Say(GOOD) });
-    let d = discovery(known(&[port], 5));
-    let mut running = Running::start("term", &config(1, d.port, &[port]));
+    let discovery = discovery(known(&[port], 5));
+    let mut running = Running::start("term", &config(1, discovery.port, &[port]));
     let mut slow = Client::connect(running.address);
     slow.submit(1);
     while journal.lock().unwrap().is_empty() {
         std::thread::sleep(Duration::from_millis(5));
     }
     running.signal(Signal::TERM);
-    let (mut kept, mut id, mut served) = (Client::connect(running.address), 100, 0);
+    let mut client = Client::connect(running.address);
+    let mut id = 100;
+    let mut served = 0;
     loop {
         id += 1;
-        kept.query(id, 3000);
-        match kept.text().as_str() {
+        client.query(id, 3000);
+        match client.text().as_str() {
             "value" => served += 1,
-            "closed" => break, // between requests: the last one was not read
+            "closed" => break, // the process closed the connection without reading the request
             other => panic!("{other}"),
         }
     }
-    assert!(served > 0, "connections still came after SIGTERM");
+    assert!(served > 0, "new connections are served after SIGTERM");
     let answer = slow.text();
     assert!(answer == "value" || answer.starts_with('-'), "{answer}");
-    assert_eq!(running.ended(), Some(0));
+    assert_eq!(running.exit_code(), Some(0));
 }
--- a/crates/cli/tests/running/mod.rs
+++ b/crates/cli/tests/running/mod.rs
@@ -1,5 +1,5 @@
-//! The command `chalkgap platform` as a process of its own.
-#![allow(dead_code)] // each test file uses its part
+//! Runs `chalkgap platform` in processes of their own.
+#![allow(dead_code)] // not every test binary uses all of it
 
 use crate::common;
 use rustix::process::{kill_process, Pid, Signal};
@@ -27,25 +27,25 @@
     path
 }
 
-/// Each process has an address of its own, and so has each fleet of each run of the tests.
+/// Returns the address of a process. It differs between processes, fleets, and test runs at the same time.
 pub fn address(fleet: u8, no: usize) -> Ipv4Addr {
     let pid = std::process::id();
     let third = (pid / 127 + u32::from(fleet)) % 250 + 1;
     Ipv4Addr::new(127, 64 + (pid % 127) as u8, third as u8, no as u8 + 1)
 }
 
-/// Where a fleet's process listens for clients.
-pub fn listens(fleet: u8, no: usize) -> SocketAddr {
+/// Address on which a process of a fleet listens for clients.
+pub fn client_address(fleet: u8, no: usize) -> SocketAddr {
     (address(fleet, no), 6379).into()
 }
 
-/// Where a fleet's process hears its peers.
-pub fn hears(fleet: u8, no: usize) -> SocketAddr {
+/// Address on which a process of a fleet receives datagrams of its peers.
+pub fn peer_address(fleet: u8, no: usize) -> SocketAddr {
     (address(fleet, no), 7946).into()
 }
 
-/// A text with each of these changed for another, which must be there.
-pub fn changed(mut text: String, changes: &[(String, String)]) -> String {
+/// Replaces texts in a configuration. Panics if one does not occur.
+pub fn with_replacements(mut text: String, changes: &[(String, String)]) -> String {
     for (from, to) in changes {
         assert!(text.contains(from), "{from}");
         text = text.replace(from, to);
@@ -53,18 +53,22 @@
     text
 }
 
-/// The configuration of a fleet's `no`-th process; `peers`: where it reaches each, by their numbers.
-pub fn member(fleet: u8, no: usize, peers: &[SocketAddr], discovery: u16, backends: &[u16]) -> String {
+/// Returns the configuration of a fleet's `no`-th process. `peers` are the addresses at which it reaches all processes, by
+/// number.
+pub fn member_config(fleet: u8, no: usize, peers: &[SocketAddr], discovery: u16, backends: &[u16]) -> String {
     let n = peers.len();
     let text = common::config(n as u16, discovery, backends);
     let peers: Vec<String> = peers.iter().map(|a| format!("\"{a}\"")).collect();
     let own = [
         (vec!["\"127.0.0.1:1\""; n].join(","), peers.join(",")),
         ("\"slot_no\":0".into(), format!("\"slot_no\":{no}")),
-        ("\"listen\":\"127.0.0.1:0\"".into(), format!("\"listen\":\"{}\"", listens(fleet, no))),
-        ("\"peer_listen\":\"127.0.0.1:0\"".into(), format!("\"peer_listen\":\"{}\"", hears(fleet, no))),
+        ("\"listen\":\"127.0.0.1:0\"".into(), format!("\"listen\":\"{}\"", client_address(fleet, no))),
+        (
+            "\"peer_listen\":\"127.0.0.1:0\"".into(),
+            format!("\"peer_listen\":\"{}\"", peer_address(fleet, no)),
+        ),
     ];
-    changed(text, &own)
+    with_replacements(text, &own)
 }
 
 impl Running {
@@ -75,7 +79,7 @@
         let mut line = String::new();
         let address = loop {
             line.clear();
-            assert!(log.read_line(&mut line).unwrap() > 0, "it ended before it listened");
+            assert!(log.read_line(&mut line).unwrap() > 0, "the process ended before it listened");
             if let Some((_, address)) =
                 line.trim().split_once("address=").filter(|_| line.contains("started"))
             {
@@ -90,9 +94,10 @@
         kill_process(Pid::from_child(&self.child), signal).unwrap();
     }
 
-    pub fn ended(&mut self) -> Option<i32> {
-        let until = Instant::now() + common::PATIENCE;
-        while Instant::now() < until {
+    /// Waits for the process to end. Returns its exit code, or `None` if it still runs after [`common::PATIENCE`].
+    pub fn exit_code(&mut self) -> Option<i32> {
+        let deadline = Instant::now() + common::PATIENCE;
+        while Instant::now() < deadline {
             if let Some(status) = self.child.try_wait().unwrap() {
                 return status.code();
             }
--- a/crates/cli/tests/scenarios.rs
+++ b/crates/cli/tests/scenarios.rs
@@ -1,4 +1,4 @@
-//! The same scenarios against the library in this process and against the daemon's processes, unchanged.
+//! The same scenarios with ingresses in this process and with ingresses in processes of their own.
 
 use chalkgap::runtime::system::System;
 use chalkgap_fault_injection::audit::Verdict;
@@ -11,85 +11,98 @@
     [Home::InProcess, Home::Processes(env!("CARGO_BIN_EXE_chalkgap").into())]
 }
 
-/// One day at a time: days judge by times, and share two cores.
-static ALONE: Mutex<()> = Mutex::new(());
+/// Held while a day runs. The audit depends on times, and parallel days would share two cores.
+static ONE_AT_A_TIME: Mutex<()> = Mutex::new(());
 
 fn run(script: &str, home: Home) -> Verdict {
-    through(None, script, home)
+    run_over(None, script, home)
 }
 
-/// The same day, all of it through one front.
-fn through(door: Option<&str>, script: &str, home: Home) -> Verdict {
-    let _alone = ALONE.lock().unwrap_or_else(PoisonError::into_inner);
+/// Runs a day. With `door`, all clients use that protocol.
+fn run_over(door: Option<&str>, script: &str, home: Home) -> Verdict {
+    let _guard = ONE_AT_A_TIME.lock().unwrap_or_else(PoisonError::into_inner);
     let given: Vec<(String, String)> = door.iter().map(|d| ("door".to_owned(), (*d).to_owned())).collect();
-    let day = Day::read("day.star", script.into(), &given).expect("a good day");
+    let day = Day::read("day.star", script.into(), &given).expect("a valid day");
     let system = System::new();
     system.threads(1);
-    system.clone().run(play(system, day, home)).expect("a day that can be played")
+    system.clone().run(play(system, day, home)).expect("the drill runs")
 }
 
 #[test]
-fn the_short_day_keeps_the_rules() {
+fn the_short_day_violates_no_rule() {
     for home in homes() {
-        let v = run(include_str!("../../fault-injection/scenarios/short.star"), home.clone());
-        assert!(v.violations.is_empty(), "{home:?}: {:#?}", v.violations);
-        assert!(v.calls > 800 && v.served > 500 && v.refused > 20, "{home:?}: a day of some traffic: {v:?}");
-        let billing = v.billing.expect("the day has ledgers");
+        let verdict = run(include_str!("../../fault-injection/scenarios/short.star"), home.clone());
+        assert!(verdict.violations.is_empty(), "{home:?}: {:#?}", verdict.violations);
+        assert!(
+            verdict.calls > 800 && verdict.served > 500 && verdict.refused > 20,
+            "{home:?}: too little traffic: {verdict:?}"
+        );
+        let billing = verdict.billing.expect("the day has ledgers");
         assert!(billing.differences.is_empty(), "{home:?}: {:#?}", billing.differences);
         assert!(billing.counted > 500, "{billing:?}");
     }
 }
 
-/// The same scenario but for the door.
+/// The same scenario with MQTT for all clients.
 #[test]
 fn the_short_day_over_mqtt_alone() {
-    let [here, _] = homes();
-    let v = through(Some("mqtt"), include_str!("../../fault-injection/scenarios/short.star"), here);
-    assert!(v.violations.is_empty(), "{:#?}", v.violations);
-    assert!(v.calls > 800 && v.served > 500 && v.refused > 20, "a day of some traffic: {v:?}");
-    let billing = v.billing.expect("the day has ledgers");
+    let [in_process, _] = homes();
+    let verdict =
+        run_over(Some("mqtt"), include_str!("../../fault-injection/scenarios/short.star"), in_process);
+    assert!(verdict.violations.is_empty(), "{:#?}", verdict.violations);
+    assert!(
+        verdict.calls > 800 && verdict.served > 500 && verdict.refused > 20,
+        "too little traffic: {verdict:?}"
+    );
+    let billing = verdict.billing.expect("the day has ledgers");
     assert!(billing.differences.is_empty(), "{:#?}", billing.differences);
 }
 
-/// Calls that waited in the socket of an ingress that stood still have lost that time: counting theirs from the reading,
-/// it answered some 100 ms late, with an attempt sent after the client's time.
+/// Requests that waited in the socket of a suspended ingress have less time left. Guards against the following failure: the
+/// ingress counted the timeout from when it read the request, and so answered about 100 ms late, with an attempt sent after
+/// the client's deadline.
 #[test]
-fn a_stall_is_taken_off_the_time_of_what_waited() {
+fn time_in_the_socket_of_a_suspended_ingress_counts_against_the_timeout() {
     for door in ["grpc", "mqtt"] {
         let [_, processes] = homes();
-        let v = through(Some(door), include_str!("../../fault-injection/scenarios/stalled.star"), processes);
-        assert!(v.violations.is_empty(), "{door}: {:#?}", v.violations);
-        assert!(v.calls > 300 && v.served > 200, "{door}: {v:?}");
+        let verdict =
+            run_over(Some(door), include_str!("../../fault-injection/scenarios/stalled.star"), processes);
+        assert!(verdict.violations.is_empty(), "{door}: {:#?}", verdict.violations);
+        assert!(verdict.calls > 300 && verdict.served > 200, "{door}: {verdict:?}");
     }
 }
 
 #[test]
-fn decisions_are_counted_alike() {
+fn served_requests_match_the_bursts_in_every_kind_of_run() {
     let script = include_str!("../../fault-injection/scenarios/counted.star");
     let doors = ["grpc", "mqtt"].into_iter();
-    let verdicts = doors.flat_map(|d| homes().map(|home| through(Some(d), script, home)));
-    for v in verdicts {
-        assert!(v.violations.is_empty(), "{:#?}", v.violations);
-        assert_eq!((v.calls, v.served, v.refused), (144, 6 * 4 + 6 * 9, 144 - 78), "{v:?}");
+    let verdicts = doors.flat_map(|d| homes().map(|home| run_over(Some(d), script, home)));
+    for verdict in verdicts {
+        assert!(verdict.violations.is_empty(), "{:#?}", verdict.violations);
+        assert_eq!(
+            (verdict.calls, verdict.served, verdict.refused),
+            (144, 6 * 4 + 6 * 9, 144 - 78),
+            "{verdict:?}"
+        );
     }
 }
 
 fn fleet_view(given: &[(&str, &str)]) -> Vec<Statement> {
-    let _alone = ALONE.lock().unwrap_or_else(PoisonError::into_inner);
+    let _guard = ONE_AT_A_TIME.lock().unwrap_or_else(PoisonError::into_inner);
     let given: Vec<(String, String)> = given.iter().map(|g| (g.0.to_owned(), g.1.to_owned())).collect();
     let script = include_str!("../../fault-injection/scenarios/fleet-view.star").to_owned();
-    let day = Day::read("fleet-view.star", script, &given).expect("a good day");
+    let day = Day::read("fleet-view.star", script, &given).expect("a valid day");
     let [_, processes] = homes();
     let system = System::new();
     system.threads(1);
-    let verdict = system.clone().run(play(system, day, processes)).expect("a day that can be played");
+    let verdict = system.clone().run(play(system, day, processes)).expect("the drill runs");
     assert!(verdict.violations.is_empty(), "{:#?}", verdict.violations);
-    verdict.views.expect("the day states something of its fleet")
+    verdict.views.expect("the day states bounds of its fleet")
 }
 
-/// Ten processes that join, die, stand still, are cut off, lose a number to another, and leave.
+/// Ten processes that join, are killed, suspended, partitioned and superseded, and leave.
 #[test]
-fn the_view_of_a_fleet_of_processes_is_as_stated() {
+fn the_views_of_a_fleet_meet_the_stated_bounds() {
     let views = fleet_view(&[]);
     assert_eq!(views.len(), 7);
     for s in views {
@@ -98,8 +111,8 @@
 }
 
 #[test]
-fn a_fleet_that_never_declares_its_dead_is_found() {
+fn a_fleet_that_never_detects_deaths_is_reported() {
     let views = fleet_view(&[("plant", "deaf-detector"), ("seconds", "16")]);
-    let deaths = views.iter().find(|s| s.what.contains("a death or leave")).expect("stated");
+    let deaths = views.iter().find(|s| s.what.contains("a death or leave")).expect("a statement on deaths");
     assert!(deaths.seen.len() >= 6 && deaths.broken.len() == deaths.seen.len(), "{deaths:#?}");
 }
