--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -112,7 +112,8 @@
         Command::Platform => platform::run(),
         Command::Check { file, given } => match serve::read(&file, &given) {
             Ok(settings) => {
-                let (classes, plans) = (settings.classes.len(), settings.plans.len());
+                let classes = settings.classes.len();
+                let plans = settings.plans.len();
                 println!("{}: good ({classes} classes, {plans} plans)", file.display());
                 Exit::Success
             }
--- a/crates/fault-injection/src/audit.rs
+++ b/crates/fault-injection/src/audit.rs
@@ -240,7 +240,8 @@
         }
     }
     verdict.attempts = arrived.values().map(|l| l.len() as u64).sum();
-    let (mut served, mut refused) = (Vec::new(), Vec::new());
+    let mut served = Vec::new();
+    let mut refused = Vec::new();
     for (call, sent_call) in &calls {
         verdict.calls += 1;
         let call_answers = answers.get(call).map(Vec::as_slice).unwrap_or_default();
--- a/crates/fault-injection/src/day.rs
+++ b/crates/fault-injection/src/day.rs
@@ -358,7 +358,7 @@
     HalfOpen,
     /// Ingresses are killed and restarted after `lasts`; not restarted if `lasts` is 0.
     Kill,
-    /// Ingresses are drained one after the other and leave the fleet for good.
+    /// Ingresses are drained one after the other and leave the fleet permanently.
     Leave,
     /// Ingresses are started, usually those of the `reserve`.
     Join,
--- a/crates/fault-injection/src/drill/mod.rs
+++ b/crates/fault-injection/src/drill/mod.rs
@@ -127,8 +127,8 @@
         (c.name.clone(), repeat)
     };
     let plan = |name: &str| {
-        let p = settings.plans.iter().find(|p| p.name == name);
-        p.map_or_else(audit::Plan::default, |p| audit::Plan {
+        let found = settings.plans.iter().find(|p| p.name == name);
+        found.map_or_else(audit::Plan::default, |p| audit::Plan {
             quota: (p.rate, p.burst),
             ceiling: (p.ceiling_rate, p.ceiling_burst),
             slack: p.ceiling_slack,
@@ -220,7 +220,8 @@
             Ok::<_, DrillError>(address)
         };
         for n in 0..numbers {
-            let (grpc, mqtt) = (free_port()?, free_port()?);
+            let grpc = free_port()?;
+            let mqtt = free_port()?;
             let mut value = day.settings.clone();
             let Some(map) = value.as_object_mut() else {
                 return Err(DrillError::Day {
@@ -236,13 +237,13 @@
                 "peers": {"listen": peers[usize::from(n)], "addresses": addresses,
                     "key": "5a".repeat(32), "per_second": per_second},
             });
-            if let Some(f) = &day.fleet {
+            if let Some(fleet_day) = &day.fleet {
                 fleet["peers"]["addresses"] = serde_json::json!([]);
-                let mut view = f.view.clone();
-                view["seeds"] = serde_json::json!(addresses[..usize::from(f.seeds.min(numbers))]);
+                let mut view = fleet_day.view.clone();
+                view["seeds"] = serde_json::json!(addresses[..usize::from(fleet_day.seeds.min(numbers))]);
                 view["address"] = addresses[usize::from(n)].to_string().into();
                 fleet["peers"]["view"] = view;
-                if f.stranger == Some(n) {
+                if fleet_day.stranger == Some(n) {
                     fleet["peers"]["key"] = "a5".repeat(32).into();
                 }
             }
@@ -302,7 +303,8 @@
         let mut node_addresses = HashMap::new();
         for g in &day.nodes {
             for _ in 0..g.count {
-                let (n, rules) = (nodes.len(), &slots[0].settings.rules);
+                let n = nodes.len();
+                let rules = &slots[0].settings.rules;
                 let machine = Machine {
                     cores: g.cores,
                     speed: g.speed,
@@ -375,22 +377,24 @@
         }
         self.pause(0.3).await; // the ingresses receive the node list
         let begin = self.runtime.now();
-        for (n, t) in self.day.troubles.iter().enumerate() {
-            let (drill, t) = (self.clone(), t.clone());
-            let at = begin + (t.at * 1e6) as Micros;
+        for (n, trouble) in self.day.troubles.iter().enumerate() {
+            let drill = self.clone();
+            let trouble = trouble.clone();
+            let at = begin + (trouble.at * 1e6) as Micros;
             self.spawn(async move {
                 drill.runtime.sleep_until(at).await;
-                if let Err(e) = drill.trouble(&t, drill.day.seed ^ (n as u64) << 32).await {
-                    tracing::error!(kind = ?t.kind, error = %e, "drill: trouble failed");
+                if let Err(e) = drill.run_trouble(&trouble, drill.day.seed ^ (n as u64) << 32).await {
+                    tracing::error!(kind = ?trouble.kind, error = %e, "drill: trouble failed");
                 }
             });
         }
-        for g in &self.day.accounts {
-            for i in 0..g.count {
-                let (drill, g) = (self.clone(), g.clone());
+        for group in &self.day.accounts {
+            for i in 0..group.count {
+                let drill = self.clone();
+                let group = group.clone();
                 self.running.fetch_add(1, Ordering::Relaxed);
                 self.spawn(async move {
-                    drill.account(&g, i).await;
+                    drill.account(&group, i).await;
                     drill.running.fetch_sub(1, Ordering::Relaxed);
                 });
             }
@@ -453,7 +457,8 @@
     /// `None` if the ingresses keep no ledgers.
     async fn billing(&self, settings: &Settings) -> Option<Billing> {
         let (ledger, (_, vault)) = (settings.ledger.as_ref()?, self.billing.as_ref()?);
-        let (periods, end) = (chalkgap::periods(ledger.period), self.runtime.now() + BILLING_TIMEOUT_US);
+        let periods = chalkgap::periods(ledger.period);
+        let end = self.runtime.now() + BILLING_TIMEOUT_US;
         loop {
             let tallies: Vec<_> =
                 lock(&self.nodes).iter().map(|n| n.machine.executions.completed()).collect();
--- a/crates/fault-injection/src/drill/processes.rs
+++ b/crates/fault-injection/src/drill/processes.rs
@@ -58,8 +58,8 @@
     let from = u64::from(std::process::id()) * 61; // drills that run at the same time rarely try the same ports
     let mut last = io::ErrorKind::AddrInUse.into();
     for _ in 0..1000 {
-        let n = from + NEXT_OFFSET.fetch_add(1, Ordering::Relaxed);
-        match bind(([127, 0, 0, 1], (PORTS.0 + n % PORTS.1) as u16).into()) {
+        let offset = from + NEXT_OFFSET.fetch_add(1, Ordering::Relaxed);
+        match bind(([127, 0, 0, 1], (PORTS.0 + offset % PORTS.1) as u16).into()) {
             Ok(address) => return Ok(address),
             Err(e) => last = e,
         }
@@ -199,7 +199,9 @@
     /// Starts a second process with an ingress's number, at other addresses, while the first one still runs. The first
     /// process is expected to end by itself; it is killed after 10 s.
     pub(super) async fn replace_ingress(&self, n: u16) -> Result<(), DrillError> {
-        let (datagrams, grpc, party) = (free_udp()?, free_port()?, Party::Ingress(n));
+        let datagrams = free_udp()?;
+        let grpc = free_port()?;
+        let party = Party::Ingress(n);
         let seed = self.day.seed ^ u64::from(n) << 32;
         let relay = Relay::start(self.runtime.clone(), self.network.clone(), party, datagrams, seed);
         let relay = relay.map_err(io_error("datagram relay between ingresses"))?;
@@ -207,7 +209,8 @@
         let first = {
             let mut slots = lock(&self.slots);
             let slot = &mut slots[usize::from(n)];
-            (slot.grpc, slot.settings.front.listen) = (grpc, grpc);
+            slot.grpc = grpc;
+            slot.settings.front.listen = grpc;
             if let Some(peers) = &mut slot.settings.fleet.peers {
                 peers.listen = datagrams;
                 if let Some(view) = &mut peers.view {
--- a/crates/fault-injection/src/drill/traffic.rs
+++ b/crates/fault-injection/src/drill/traffic.rs
@@ -57,15 +57,16 @@
     /// cannot be opened.
     pub(super) async fn client(&self, group: &str, ingress: u16) -> Option<Arc<FrontClient>> {
         let key = (group.to_owned(), ingress);
-        if let Some(c) = lock(&self.clients).get(&key).filter(|c| !c.closed()) {
-            return Some(c.clone());
+        if let Some(client) = lock(&self.clients).get(&key).filter(|c| !c.closed()) {
+            return Some(client.clone());
         }
         let (grpc, mqtt) = {
             let slots = lock(&self.slots);
             let slot = &slots[usize::from(ingress)];
             (slot.grpc, slot.mqtt)
         };
-        let (runtime, journal) = (self.runtime.clone(), self.journal.clone());
+        let runtime = self.runtime.clone();
+        let journal = self.journal.clone();
         let door = self.day.accounts.iter().find(|g| g.name == group).map_or(Door::Grpc, |g| g.door);
         let client = Arc::new(match door {
             Door::Grpc => FrontClient::Grpc(Client::connect(runtime, grpc, ingress, journal).await.ok()?),
@@ -78,21 +79,22 @@
     }
 
     /// Sends the requests of one account until the day is over.
-    pub(super) async fn account(self: &Arc<Self>, g: &AccountGroup, i: usize) {
-        let name = account(g, i);
+    pub(super) async fn account(self: &Arc<Self>, group: &AccountGroup, i: usize) {
+        let name = account(group, i);
         let tag = name.bytes().fold(0u64, |n, b| n.wrapping_mul(131) + u64::from(b));
         let mut rng = SmallRng::seed_from_u64(self.day.seed ^ tag);
-        if g.fixed > 0 {
-            for _ in 0..g.fixed {
-                let (seed, class) = (rng.random(), pick(&g.classes, &mut rng));
-                self.request(g, i, class, seed).await;
+        if group.fixed > 0 {
+            for _ in 0..group.fixed {
+                let seed = rng.random();
+                let class = pick(&group.classes, &mut rng);
+                self.request(group, i, class, seed).await;
             }
             return;
         }
         while !lock(&self.traffic).day_over {
             let rate = {
                 let traffic = lock(&self.traffic);
-                g.rate * traffic.burst * traffic.hot.get(&(g.name.clone(), i)).copied().unwrap_or(1.0)
+                group.rate * traffic.burst * traffic.hot.get(&(group.name.clone(), i)).copied().unwrap_or(1.0)
             };
             let wait = Exp::new(rate.max(1e-6)).map_or(1.0, |d| d.sample(&mut rng)).min(0.5);
             self.pause(wait).await;
@@ -101,8 +103,8 @@
                 continue;
             }
             let drill = self.clone();
-            let group = g.clone();
-            let class = pick(&g.classes, &mut rng);
+            let group = group.clone();
+            let class = pick(&group.classes, &mut rng);
             let seed = rng.random();
             self.running.fetch_add(1, Ordering::Relaxed);
             self.spawn(async move {
@@ -113,14 +115,14 @@
     }
 
     /// Sends a request and its retries.
-    async fn request(&self, g: &AccountGroup, i: usize, class: String, seed: u64) {
+    async fn request(&self, group: &AccountGroup, i: usize, class: String, seed: u64) {
         let mut rng = SmallRng::seed_from_u64(seed);
         let clients = &self.day.clients;
         let deadline = self.deadlines.get(&class).copied().unwrap_or(1_000_000);
         let end = self.runtime.now() + deadline;
         let units = clients.units.get(&class).copied().unwrap_or(1);
         let key = format!("{i}-{seed:x}");
-        let width = g.width.min(self.day.ingresses).max(1);
+        let width = group.width.min(self.day.ingresses).max(1);
         let hurried = rng.random::<f64>() < clients.hurried;
         for n in 0..=clients.retries {
             let (abuse, patience, shift) = {
@@ -141,10 +143,10 @@
                 return;
             }
             let call = self.next_call.fetch_add(1, Ordering::Relaxed);
-            let account = account(g, i);
+            let account = account(group, i);
             let request =
                 Request { call, account, class: class.clone(), units, key: Some(key.clone()), timeout };
-            let answer = match self.client(&g.name, ingress).await {
+            let answer = match self.client(&group.name, ingress).await {
                 Some(client) => client.call(&request).await,
                 None => Answer::NotTaken,
             };
@@ -164,8 +166,8 @@
 }
 
 /// Returns the name of an account of a group.
-pub(super) fn account(g: &AccountGroup, i: usize) -> String {
-    format!("{}-{i}", g.name)
+pub(super) fn account(group: &AccountGroup, i: usize) -> String {
+    format!("{}-{i}", group.name)
 }
 
 /// Draws a class by the shares of the classes.
--- a/crates/fault-injection/src/drill/troubles.rs
+++ b/crates/fault-injection/src/drill/troubles.rs
@@ -19,18 +19,18 @@
 
 impl DrillRun {
     /// Returns the numbers below `count` that a trouble affects: those that it lists, or a random share.
-    fn affected(&self, t: &Trouble, count: usize, seed: u64) -> Vec<usize> {
-        if !t.which.is_empty() {
-            return t.which.iter().copied().filter(|n| *n < count).collect();
+    fn affected(&self, trouble: &Trouble, count: usize, seed: u64) -> Vec<usize> {
+        if !trouble.which.is_empty() {
+            return trouble.which.iter().copied().filter(|n| *n < count).collect();
         }
         let mut rng = SmallRng::seed_from_u64(seed);
         let mut all: Vec<usize> = (0..count).collect();
-        let drawn = ((count as f64 * t.share).round() as usize).clamp(1, count.max(1));
+        let drawn = ((count as f64 * trouble.share).round() as usize).clamp(1, count.max(1));
         let mut list: Vec<usize> =
             (0..drawn.min(count)).map(|_| all.swap_remove(rng.random_range(0..all.len()))).collect();
         list.sort_unstable();
         // Logged so that a script can list the drawn numbers explicitly.
-        tracing::info!(kind = ?t.kind, which = ?list, "drill: trouble targets drawn");
+        tracing::info!(kind = ?trouble.kind, which = ?list, "drill: trouble targets drawn");
         list
     }
 
@@ -60,30 +60,34 @@
         list.iter().for_each(|(n, _)| self.journal.note(begun, Seen::Stalled { ingress: *n, until }));
     }
 
-    /// Disturbs links for the duration of a trouble and records that, because views differ meanwhile.
-    async fn disturb_links(&self, t: &Trouble, change: &(dyn Fn(&mut LinkFaults) + Sync)) {
+    /// Disturbs links for the duration of a trouble and records that, because views differ during that time.
+    async fn disturb_links(&self, trouble: &Trouble, change: &(dyn Fn(&mut LinkFaults) + Sync)) {
         self.record(FleetAction::Rough(true));
-        self.change_links(&self.affected_links(t), t.lasts, change).await;
+        self.change_links(&self.affected_links(trouble), trouble.lasts, change).await;
         self.record(FleetAction::Rough(false));
     }
 
     /// Returns the directed links that a trouble affects.
-    fn affected_links(&self, t: &Trouble) -> Vec<(Party, Party)> {
+    fn affected_links(&self, trouble: &Trouble) -> Vec<(Party, Party)> {
         let ingresses = 0..self.day.ingresses + self.day.reserve;
-        let parts: Vec<Vec<u16>> =
-            if t.parts.is_empty() { ingresses.map(|n| vec![n]).collect() } else { t.parts.clone() };
+        let parts: Vec<Vec<u16>> = if trouble.parts.is_empty() {
+            ingresses.map(|n| vec![n]).collect()
+        } else {
+            trouble.parts.clone()
+        };
         let mut pairs = Vec::new();
         for (n, from) in parts.iter().enumerate() {
             let others = parts.iter().enumerate().filter(|o| o.0 != n).flat_map(|o| o.1);
-            for to in others.filter(|_| n == 0 || !t.one_way) {
+            for to in others.filter(|_| n == 0 || !trouble.one_way) {
                 pairs.extend(from.iter().map(|f| (Party::Ingress(*f), Party::Ingress(*to))));
             }
         }
-        let services = t.nodes.iter().map(|n| Party::Node(*n)).chain(t.roster.then_some(Party::Roster));
+        let services =
+            trouble.nodes.iter().map(|n| Party::Node(*n)).chain(trouble.roster.then_some(Party::Roster));
         for service in services {
             for n in parts.first().into_iter().flatten() {
                 pairs.push((Party::Ingress(*n), service));
-                if !t.one_way {
+                if !trouble.one_way {
                     pairs.push((service, Party::Ingress(*n)));
                 }
             }
@@ -111,66 +115,72 @@
 
     /// Runs one trouble from its start to its end.
     #[expect(clippy::too_many_lines, reason = "not split yet, see docs/ROADMAP.md")]
-    pub(super) async fn trouble(self: &Arc<Self>, t: &Trouble, seed: u64) -> Result<(), DrillError> {
-        tracing::info!(kind = ?t.kind, "drill: trouble begins");
-        let (ingresses, nodes) = (usize::from(self.day.ingresses), lock(&self.nodes).len());
+    pub(super) async fn run_trouble(
+        self: &Arc<Self>,
+        trouble: &Trouble,
+        seed: u64,
+    ) -> Result<(), DrillError> {
+        tracing::info!(kind = ?trouble.kind, "drill: trouble begins");
+        let ingresses = usize::from(self.day.ingresses);
+        let nodes = lock(&self.nodes).len();
         let numbers = ingresses + usize::from(self.day.reserve);
         let all = |set: &dyn Fn(&mut Faults)| {
-            for n in self.affected(t, nodes, seed) {
+            for n in self.affected(trouble, nodes, seed) {
                 self.change_node(n, set);
             }
         };
-        match t.kind {
+        match trouble.kind {
             Kind::BalancerCrash | Kind::Kill => {
-                let list = self.affected(t, numbers, seed);
+                let list = self.affected(trouble, numbers, seed);
                 list.iter().for_each(|n| self.kill_ingress(*n as u16));
-                self.pause(t.lasts).await;
+                self.pause(trouble.lasts).await;
                 // `Kill` without a duration is permanent.
-                let restart = t.kind == Kind::BalancerCrash || t.lasts > 0.0;
+                let restart = trouble.kind == Kind::BalancerCrash || trouble.lasts > 0.0;
                 for n in list.into_iter().filter(|_| restart) {
                     self.start_ingress(n as u16).await?;
                 }
             }
             Kind::BalancerRoll => {
-                for n in self.affected(t, ingresses, seed) {
+                for n in self.affected(trouble, ingresses, seed) {
                     self.drain_ingress(n as u16).await;
-                    self.pause(t.lasts).await;
+                    self.pause(trouble.lasts).await;
                     self.start_ingress(n as u16).await?;
                 }
             }
             Kind::Hang => {
                 all(&|f| f.hang = true);
-                self.pause(t.lasts).await;
+                self.pause(trouble.lasts).await;
                 all(&|f| f.hang = false);
             }
             Kind::Mute => {
                 all(&|f| f.mute = true);
-                self.pause(t.lasts).await;
+                self.pause(trouble.lasts).await;
                 all(&|f| f.mute = false);
             }
             Kind::FastErrors => {
-                all(&|f| f.fail = t.strength);
-                self.pause(t.lasts).await;
+                all(&|f| f.fail = trouble.strength);
+                self.pause(trouble.lasts).await;
                 all(&|f| f.fail = 0.0);
             }
             Kind::ClassFail => {
-                let class = t.group.clone();
-                all(&|f| (f.fail, f.fail_class) = (t.strength, class.clone()));
-                self.pause(t.lasts).await;
+                let class = trouble.group.clone();
+                all(&|f| (f.fail, f.fail_class) = (trouble.strength, class.clone()));
+                self.pause(trouble.lasts).await;
                 all(&|f| (f.fail, f.fail_class) = (0.0, None));
             }
             Kind::BalancerStall => {
-                let list = self.pids(&self.affected(t, numbers, seed));
+                let list = self.pids(&self.affected(trouble, numbers, seed));
                 let begun = self.runtime.now();
                 list.iter().for_each(|(n, pid)| self.suspend(*n, *pid));
-                self.pause(t.lasts).await;
+                self.pause(trouble.lasts).await;
                 list.iter().for_each(|(n, pid)| self.resume(*n, *pid));
                 self.record_stalls(&list, begun);
             }
             Kind::Slow => {
-                let list = self.pids(&self.affected(t, numbers, seed));
-                let (begun, slice) = (self.runtime.now(), t.strength / 1000.0);
-                let end = begun + (t.lasts * 1e6) as Micros;
+                let list = self.pids(&self.affected(trouble, numbers, seed));
+                let begun = self.runtime.now();
+                let slice = trouble.strength / 1000.0;
+                let end = begun + (trouble.lasts * 1e6) as Micros;
                 self.record(FleetAction::Rough(true));
                 while self.runtime.now() < end {
                     list.iter().for_each(|(_, pid)| signal(*pid, Signal::STOP));
@@ -182,86 +192,93 @@
                 self.record_stalls(&list, begun);
             }
             Kind::Leave => {
-                for n in self.affected(t, numbers, seed) {
+                for n in self.affected(trouble, numbers, seed) {
                     self.drain_ingress(n as u16).await;
                 }
             }
             Kind::Join => {
-                for n in self.affected(t, numbers, seed) {
+                for n in self.affected(trouble, numbers, seed) {
                     self.start_ingress(n as u16).await?;
                 }
             }
             Kind::Replace => {
-                for n in self.affected(t, numbers, seed) {
+                for n in self.affected(trouble, numbers, seed) {
                     self.replace_ingress(n as u16).await?;
                 }
             }
             Kind::Cut | Kind::CutReset => {
-                let cut = if t.kind == Kind::Cut { Cut::Silent } else { Cut::Reset };
-                let parts = if t.parts.len() > 1 && !t.one_way { t.parts.clone() } else { Vec::new() };
+                let cut = if trouble.kind == Kind::Cut { Cut::Silent } else { Cut::Reset };
+                let parts = if trouble.parts.len() > 1 && !trouble.one_way {
+                    trouble.parts.clone()
+                } else {
+                    Vec::new()
+                };
                 if parts.is_empty() {
-                    self.disturb_links(t, &|faults| faults.cut = Some(cut)).await;
+                    self.disturb_links(trouble, &|faults| faults.cut = Some(cut)).await;
                 } else {
                     self.record(FleetAction::Parts(parts));
-                    self.change_links(&self.affected_links(t), t.lasts, &|faults| faults.cut = Some(cut))
-                        .await;
+                    self.change_links(&self.affected_links(trouble), trouble.lasts, &|faults| {
+                        faults.cut = Some(cut)
+                    })
+                    .await;
                     self.record(FleetAction::Parts(Vec::new()));
                 }
             }
-            Kind::Lossy => self.disturb_links(t, &|faults| faults.loss = t.strength).await,
-            Kind::Doubled => self.disturb_links(t, &|faults| faults.double = t.strength).await,
+            Kind::Lossy => self.disturb_links(trouble, &|faults| faults.loss = trouble.strength).await,
+            Kind::Doubled => self.disturb_links(trouble, &|faults| faults.double = trouble.strength).await,
             Kind::SlowBytes => {
-                self.disturb_links(t, &|faults| faults.rate = (t.strength * 1000.0) as u64).await
+                self.disturb_links(trouble, &|faults| faults.rate = (trouble.strength * 1000.0) as u64).await
             }
-            Kind::HalfOpen => self.disturb_links(t, &|faults| faults.half_open = true).await,
+            Kind::HalfOpen => self.disturb_links(trouble, &|faults| faults.half_open = true).await,
             Kind::Reorder => {
-                self.disturb_links(t, &|faults| faults.delay.1 += (t.strength * 1000.0) as Micros).await
+                self.disturb_links(trouble, &|faults| faults.delay.1 += (trouble.strength * 1000.0) as Micros)
+                    .await
             }
             Kind::LateTail => {
                 let late = |faults: &mut LinkFaults| {
                     faults.delay.1 = faults.delay.1.max(20_000);
-                    faults.tail = t.strength;
+                    faults.tail = trouble.strength;
                 };
-                self.disturb_links(t, &late).await;
+                self.disturb_links(trouble, &late).await;
             }
             Kind::Halfway => {
-                all(&|f| f.halfway = t.strength);
-                self.pause(t.lasts).await;
+                all(&|f| f.halfway = trouble.strength);
+                self.pause(trouble.lasts).await;
                 all(&|f| f.halfway = 0.0);
             }
             Kind::Neighbour => {
-                all(&|f| f.slow = t.strength);
-                self.pause(t.lasts).await;
+                all(&|f| f.slow = trouble.strength);
+                self.pause(trouble.lasts).await;
                 all(&|f| f.slow = 0.0);
             }
             Kind::HeavyTail => {
-                let share = if t.share > 0.0 { t.share } else { 0.02 };
+                let share = if trouble.share > 0.0 { trouble.share } else { 0.02 };
                 for n in 0..nodes {
-                    self.change_node(n, |f| (f.tail, f.tail_cost) = (share, t.strength));
+                    self.change_node(n, |f| (f.tail, f.tail_cost) = (share, trouble.strength));
                 }
-                self.pause(t.lasts).await;
+                self.pause(trouble.lasts).await;
                 for n in 0..nodes {
                     self.change_node(n, |f| f.tail = 0.0);
                 }
             }
             Kind::NodeCrash => {
-                let list = self.affected(t, nodes, seed);
+                let list = self.affected(trouble, nodes, seed);
                 for n in &list {
                     let mut nodes = lock(&self.nodes);
                     (nodes[*n].node, nodes[*n].state) = (None, 2);
                 }
                 self.publish_late().await;
-                self.pause(t.lasts).await;
+                self.pause(trouble.lasts).await;
                 for n in list {
                     self.start_node(n, true)?;
                 }
                 self.publish_late().await;
             }
             Kind::NodeRoll => {
-                for n in self.affected(t, nodes, seed) {
+                for n in self.affected(trouble, nodes, seed) {
                     lock(&self.nodes)[n].state = 1;
                     self.publish();
-                    self.pause(t.lasts).await;
+                    self.pause(trouble.lasts).await;
                     {
                         let mut nodes = lock(&self.nodes);
                         (nodes[n].node, nodes[n].state) = (None, 2);
@@ -273,7 +290,7 @@
                 }
             }
             Kind::ZoneCut => {
-                let zone = t.which.first().copied().unwrap_or(0);
+                let zone = trouble.which.first().copied().unwrap_or(0);
                 let inside = |n: usize| lock(&self.nodes)[n].zone == zone;
                 let zone_nodes: Vec<usize> = (0..nodes).filter(|n| inside(*n)).collect();
                 zone_nodes.iter().for_each(|n| self.change_node(*n, |f| (f.mute, f.hang) = (true, true)));
@@ -282,38 +299,39 @@
                 let links_from_all =
                     |to| all_ingresses().map(move |from| (Party::Ingress(from), Party::Ingress(to)));
                 let pairs: Vec<_> = all_ingresses().filter(ingress_inside).flat_map(links_from_all).collect();
-                self.change_links(&pairs, t.lasts, &|faults| faults.loss = 1.0).await;
+                self.change_links(&pairs, trouble.lasts, &|faults| faults.loss = 1.0).await;
                 zone_nodes.iter().for_each(|n| self.change_node(*n, |f| (f.mute, f.hang) = (false, false)));
             }
             Kind::HotKey => {
-                let group = self.day.accounts.iter().find(|g| t.group.as_ref().is_none_or(|n| *n == g.name));
+                let group =
+                    self.day.accounts.iter().find(|g| trouble.group.as_ref().is_none_or(|n| *n == g.name));
                 let Some(group) = group else { return Ok(()) };
                 let keys: Vec<(String, usize)> = self
-                    .affected(t, group.count, seed)
+                    .affected(trouble, group.count, seed)
                     .into_iter()
                     .map(|i| (group.name.clone(), i))
                     .collect();
-                lock(&self.traffic).hot.extend(keys.iter().map(|k| (k.clone(), t.strength)));
-                self.pause(t.lasts).await;
+                lock(&self.traffic).hot.extend(keys.iter().map(|k| (k.clone(), trouble.strength)));
+                self.pause(trouble.lasts).await;
                 let mut traffic = lock(&self.traffic);
                 traffic.hot.retain(|k, _| !keys.contains(k));
             }
             Kind::Burst => {
-                lock(&self.traffic).burst = t.strength;
-                self.pause(t.lasts).await;
+                lock(&self.traffic).burst = trouble.strength;
+                self.pause(trouble.lasts).await;
                 lock(&self.traffic).burst = 1.0;
             }
             Kind::Flood => {
-                let until = self.runtime.now() + (t.lasts * 1e6) as Micros;
+                let until = self.runtime.now() + (trouble.lasts * 1e6) as Micros;
                 let floods: Vec<_> = self
-                    .affected(t, ingresses, seed)
+                    .affected(trouble, ingresses, seed)
                     .into_iter()
                     .map(|n| {
                         let to = lock(&self.slots)[n].grpc;
                         let plan = flood::Plan {
                             to,
                             addresses: 200,
-                            per_second: t.strength.max(1.0),
+                            per_second: trouble.strength.max(1.0),
                             hold: 300,
                             until,
                         };
@@ -331,24 +349,24 @@
             Kind::Reconnect => lock(&self.clients).clear(),
             Kind::RetryAbuse => {
                 lock(&self.traffic).abuse = true;
-                self.pause(t.lasts).await;
+                self.pause(trouble.lasts).await;
                 lock(&self.traffic).abuse = false;
             }
             Kind::GiveUp => {
-                lock(&self.traffic).patience = t.strength;
-                self.pause(t.lasts).await;
+                lock(&self.traffic).patience = trouble.strength;
+                self.pause(trouble.lasts).await;
                 lock(&self.traffic).patience = 1.0;
             }
             Kind::Shift => lock(&self.traffic).shift += 1,
             Kind::PeerLoss => {
-                self.change_links(&self.affected_links(t), t.lasts, &|faults| {
-                    faults.loss = faults.loss.max(t.strength)
+                self.change_links(&self.affected_links(trouble), trouble.lasts, &|faults| {
+                    faults.loss = faults.loss.max(trouble.strength)
                 })
                 .await;
             }
             Kind::RosterDown => {
                 *lock(&self.registry) = None;
-                self.pause(t.lasts).await;
+                self.pause(trouble.lasts).await;
                 let registry =
                     Registry::start(self.runtime.clone(), self.registry_address, self.journal.clone());
                 let registry = registry.map_err(io_error("registry"))?;
@@ -357,7 +375,7 @@
                 self.publish();
             }
             Kind::Scan => {
-                let end = self.runtime.now() + (t.lasts * 1e6) as Micros;
+                let end = self.runtime.now() + (trouble.lasts * 1e6) as Micros;
                 let mut rng = SmallRng::seed_from_u64(seed);
                 let class = self.day.accounts[0].classes.keys().next().cloned().unwrap_or_default();
                 for i in 0.. {
@@ -376,11 +394,11 @@
                             client.call(&request).await;
                         }
                     });
-                    self.pause(1.0 / t.strength.max(0.01)).await;
+                    self.pause(1.0 / trouble.strength.max(0.01)).await;
                 }
             }
         }
-        tracing::info!(kind = ?t.kind, "drill: trouble ends");
+        tracing::info!(kind = ?trouble.kind, "drill: trouble ends");
         Ok(())
     }
 }
--- a/crates/fault-injection/src/fleet.rs
+++ b/crates/fault-injection/src/fleet.rs
@@ -153,7 +153,8 @@
 
 impl Span {
     fn of(evidence: &Evidence, from: Micros, to: Micros) -> Span {
-        let (mut up, mut awake) = (BTreeSet::new(), BTreeSet::new());
+        let mut up = BTreeSet::new();
+        let mut awake = BTreeSet::new();
         let mut running: Option<BTreeSet<u16>> = None;
         let mut partitions: Vec<Vec<Vec<u16>>> = vec![Vec::new()];
         for (at, action) in evidence.actions.iter().filter(|a| a.0 <= to) {
