--- a/crates/membership/src/dissemination.rs
+++ b/crates/membership/src/dissemination.rs
@@ -58,14 +58,15 @@
 }
 
 impl Membership {
-    /// Sends a message to a member of the view. Returns false if it was not sent.
+    /// Sends a message to a member of the view. Returns false if the member is unknown or [`Membership::transmit`] drops
+    /// the message.
     pub(crate) fn send(&mut self, now: Micros, to: MemberId, kind: Kind, nonce: u32) -> bool {
         let address = self.address_of(to);
         address.is_some_and(|address| self.send_to(now, to, address, kind, nonce))
     }
 
-    /// Sends a message with this member's own record, the receiver's record if it has to be notified of that, and
-    /// pending updates. Returns false if it was not sent.
+    /// Sends a message with this member's own record, the receiver's record if the receiver may have to refute it, and
+    /// pending updates. Returns false if [`Membership::transmit`] drops the message.
     pub(crate) fn send_to(
         &mut self,
         now: Micros,
@@ -83,8 +84,8 @@
         self.transmit(now, to, address, &message)
     }
 
-    /// Adds the receiver's record if the receiver is not alive in this view or has sent an outdated record of itself,
-    /// so that it can refute.
+    /// Adds the receiver's record if it says that the receiver is not alive, or if the receiver has sent an outdated
+    /// record of itself, so that the receiver can refute the record.
     fn add_receivers_record(&self, to: MemberId, message: &mut Message) {
         let Some(record) = self.view.get(to).map(|member| member.record) else { return };
         if record.state != MemberState::Alive || self.outdated_members.contains(&to) {
@@ -92,6 +93,7 @@
         }
     }
 
+    /// Adds the pending updates that fit, those sent least often first.
     fn piggyback_updates(&mut self, message: &mut Message) {
         let max_transmissions = RETRANSMIT_MULTIPLIER * self.log_fleet_size();
         let updates: Vec<(u32, MemberId)> =
--- a/crates/membership/src/probing.rs
+++ b/crates/membership/src/probing.rs
@@ -106,13 +106,15 @@
             let Some(address) = self.address_of(target) else { continue };
             let intermediaries = if mass_failure { 1 } else { INDIRECT_PROBES };
             self.request_pings(now, target, address, nonce, intermediaries);
-            // Repeats the direct probe, as the first message may have been lost.
+            // Repeats the direct probe, as the first message may have been lost. In a mass failure the repetition is left
+            // out to save messages.
             if !mass_failure {
                 self.send(now, target, Kind::Ping, nonce);
             }
         }
     }
 
+    /// Asks random members to probe `target`, as many as `intermediaries` if the view has them.
     fn request_pings(
         &mut self,
         now: Micros,
--- a/crates/membership/src/reconnect.rs
+++ b/crates/membership/src/reconnect.rs
@@ -11,8 +11,8 @@
 const RECONNECT_INTERVAL_PERIODS: u64 = 4;
 
 impl Membership {
-    /// Probes the next candidate once per [`RECONNECT_INTERVAL_PERIODS`], or in each period while this member knows no
-    /// other live member.
+    /// Probes the next dead member or seed every [`RECONNECT_INTERVAL_PERIODS`] periods, or in each period while this
+    /// member knows no other live member. Called once per period.
     pub(crate) fn reconnect_if_due(&mut self, now: Micros) {
         if self.periods % RECONNECT_INTERVAL_PERIODS != 0 && self.view.live_count() != 1 {
             return;
--- a/crates/membership/src/wire.rs
+++ b/crates/membership/src/wire.rs
@@ -69,7 +69,7 @@
     /// Reports that the target of a [`Kind::PingRequest`] has not answered in time. It also shows that the sender, the
     /// intermediary, is alive.
     IndirectNack,
-    /// The digests of the sender's buckets.
+    /// The digests of the buckets of the sender's view, see [`BUCKETS`].
     Digests {
         /// Whether the receiver has to answer with its own digests.
         reply_requested: bool,
@@ -78,12 +78,12 @@
     },
     /// Carries records only.
     Records,
-    /// An observer's request for a page of the view.
+    /// An observer's request for a page of the receiver's view.
     ViewRequest {
-        /// The first id of the page.
+        /// The lowest member id of the page.
         from: MemberId,
     },
-    /// A page of the view.
+    /// A page of the sender's view.
     ViewPage(ViewSummary),
 }
 
--- a/crates/membership/src/wire/decode.rs
+++ b/crates/membership/src/wire/decode.rs
@@ -46,8 +46,10 @@
     }
 }
 
+/// Reads the fields of a message, in order.
 struct Reader<'b> {
     bytes: &'b [u8],
+    /// Offset of the next field.
     at: usize,
 }
 
--- a/crates/membership/tests/fleet.rs
+++ b/crates/membership/tests/fleet.rs
@@ -291,8 +291,8 @@
         .expect("all views agree after one seed has restarted");
 }
 
-/// In every protocol period a member that holds the key sends forged records by which all others are suspected, dead or
-/// have left.
+/// In every protocol period, one member sends the others forged records that report all members but itself as suspect,
+/// dead and left. It holds the fleet's key, with which it can sign any message.
 #[test]
 fn forged_records_do_not_get_members_declared_dead() {
     const FORGER: MemberId = 7;
@@ -371,8 +371,8 @@
         }
     }
 
-    /// A member that receives arbitrary bytes and records from a holder of the key does not panic, stays within its
-    /// message rate and keeps its view within `max_members`.
+    /// A member that receives arbitrary bytes and records from a process that holds the fleet's key does not panic,
+    /// stays within its message rate and keeps its view within `max_members`.
     #[test]
     fn arbitrary_bytes_and_records_cause_no_panic_and_stay_within_the_limits(
         messages in proptest::collection::vec((any::<u16>(), proptest::collection::vec(any::<u8>(), 0..260)), 0..50),
--- a/crates/membership/tests/simulated_network/mod.rs
+++ b/crates/membership/tests/simulated_network/mod.rs
@@ -19,10 +19,13 @@
 pub struct Datagram {
     /// The time of arrival and the sequence number, reversed because the heap pops the greatest element first.
     arrival: Reverse<(Micros, u64)>,
+    /// The member that sent the datagram.
     from: MemberId,
+    /// The sender's address.
     source: SocketAddr,
     /// The member for which the datagram is sealed. Other members cannot open it.
     recipient: MemberId,
+    /// The address to which the datagram is delivered.
     to: SocketAddr,
     bytes: Vec<u8>,
 }
@@ -176,6 +179,7 @@
         }
     }
 
+    /// Returns the time until which the process at `address` does not run, or `None` if it runs.
     fn paused_until(&self, address: SocketAddr, now: Micros) -> Option<Micros> {
         let stopped_until = self.nodes.get(&address).map_or(0, |node| node.stopped_until);
         if stopped_until > now {
@@ -213,6 +217,7 @@
         }
     }
 
+    /// Puts a datagram on the network that arrives at the time `arrival`.
     fn push(&mut self, arrival: Micros, datagram: Datagram) {
         self.sequence += 1;
         self.in_flight.push(Datagram { arrival: Reverse((arrival, self.sequence)), ..datagram });
