--- a/crates/transport/src/pipe.rs
+++ b/crates/transport/src/pipe.rs
@@ -10,7 +10,8 @@
 use std::pin::Pin;
 use std::task::{Context, Poll};
 
-/// Number of unwritten bytes from which a pipe reads no bytes and takes no commands, as the peer reads too slowly.
+/// While this many bytes or more are unwritten, because the peer reads too slowly, a pipe neither reads bytes nor takes
+/// commands.
 const HIGH_WATER_BYTES: usize = 256 << 10;
 /// Maximum number of bytes per read. The buffer is on the stack, so that an idle connection holds no read buffer.
 const READ_BYTES: usize = 16 << 10;
@@ -30,20 +31,22 @@
     Signal,
     /// The peer violated the protocol. The state machine's output reports that to the peer.
     ProtocolError(E),
-    /// The stream ended or failed, the peer has left, or all senders of commands were dropped.
+    /// The stream ended or failed, the peer has closed it while it was not read, or all senders of commands were dropped.
     Closed,
 }
 
 /// Error of a write to a stream that has ended or failed.
 struct StreamEnded;
 
-/// A stream and its state machine, with a channel of commands from other tasks and a signal.
+/// A stream and its state machine, with a channel of commands from other tasks. The pipe also reports a signal: that the
+/// sender of another channel was dropped.
 pub struct Pipe<C, M = Connection> {
     runtime: Shared,
     stream: Box<dyn Stream>,
     /// The state machine.
     pub conn: M,
     commands: Pin<Box<Receiver<C>>>,
+    /// `None` once the signal was reported.
     signal: Option<Pin<Box<Receiver<()>>>>,
     alarm: Alarm,
     /// The time since which there have been unwritten bytes, and the number of bytes written since then.
@@ -80,7 +83,7 @@
         self.backlog
     }
 
-    /// Replaces the signal. The new one is reported once, as [`Turn::Signal`].
+    /// Watches another signal instead of the one passed before. It is reported once, as [`Turn::Signal`].
     pub fn watch(&mut self, signal: Receiver<()>) {
         self.signal = Some(Box::pin(signal));
     }
--- a/crates/transport/src/unary/client.rs
+++ b/crates/transport/src/unary/client.rs
@@ -9,7 +9,7 @@
 use futures_lite::future;
 use std::net::SocketAddr;
 
-/// Bytes of the flow-control window beyond the maximum response, which hold the gRPC prefix of the response.
+/// Size of the flow-control window beyond the maximum response, in bytes. It leaves space for the gRPC prefix.
 const WINDOW_MARGIN_BYTES: usize = 1024;
 /// Initial flow-control window of HTTP/2 (RFC 9113, section 6.9.2).
 const MIN_WINDOW_BYTES: u32 = 65_535;
@@ -45,7 +45,9 @@
     let mut call = PendingCall { opened: false, body: Deframer::new(max_response), response: None };
     loop {
         match pipe.turn(Some(deadline), true).await {
-            Turn::Time => return Err(Status::new(Code::DeadlineExceeded, "no answer in time")),
+            Turn::Time => {
+                return Err(Status::new(Code::DeadlineExceeded, "the call has not ended by its deadline"))
+            }
             Turn::ProtocolError(error) => return Err(unavailable(error.to_string())),
             Turn::Closed | Turn::Signal => return Err(unavailable("the connection was closed")),
             Turn::Read | Turn::Command(()) => {}
