--- a/crates/platform/src/backend/connection.rs
+++ b/crates/platform/src/backend/connection.rs
@@ -63,6 +63,7 @@
 
 struct Connection {
     context: ConnectionContext,
+    /// Identifies the connection in the pool and in events for the driver.
     number: u64,
     address: SocketAddr,
     /// `None` if there is no usable connection: the next attempt opens one.
--- a/crates/platform/src/backend/mod.rs
+++ b/crates/platform/src/backend/mod.rs
@@ -53,7 +53,8 @@
     pub load_report_fields: Vec<String>,
     /// Timeout for establishing a connection.
     pub connect_timeout: Micros,
-    /// How long a connection may be idle before it is closed. Shorter than the backend's own limit.
+    /// How long a connection may be idle before it is closed. It must be shorter than the backend's own limit, because a
+    /// request that is sent while the backend closes the connection may have run.
     pub idle_timeout: Micros,
     /// Limits the memory of partly received replies, over all connections.
     pub reply_memory: Arc<MemoryBudget>,
--- a/crates/platform/src/client_connection.rs
+++ b/crates/platform/src/client_connection.rs
@@ -35,7 +35,7 @@
     Disconnected,
 }
 
-/// Timers of the connection; `None` for a timer that is not running.
+/// Times at which the connection has to act if nothing else happens before; `None` for a deadline that does not apply now.
 struct Deadlines {
     /// When pending requests are answered as failed, in a graceful shutdown.
     fail_pending: Option<Micros>,
@@ -162,6 +162,7 @@
         } else if pipe.conn.is_idle() && !awaits_partial_command {
             pipe.conn.stop_reading();
         } else {
+            // The gate wants to evict the connection, which is in use: the gate is told so, and may signal again later.
             pipe.watch(self.permit.refuse_eviction());
         }
     }
--- a/crates/platform/src/endpoint_set.rs
+++ b/crates/platform/src/endpoint_set.rs
@@ -8,11 +8,12 @@
 /// Maximum number of backends in a list.
 const MAX_ENDPOINTS: usize = 20_000;
 /// A list that is older than the current one is applied only if older lists, and no others, have arrived for this time. Usually
-/// such a list comes from a discovery agent that serves outdated data, but discovery may also have restarted its version
-/// numbers.
+/// such a list comes from a discovery agent that serves outdated data, but the discovery service may also have restarted its
+/// version numbers.
 const STALE_LIST_DELAY_MICROS: Micros = 3_000_000;
 /// For this time after an older list is applied, backends that the newer list had withdrawn stay unavailable, unless they have
-/// restarted: an agent that is outdated for long cannot be told apart from a discovery that has restarted its version numbers.
+/// restarted. The older list may be outdated: an agent that has served outdated data for long looks the same as a discovery
+/// service that has restarted its version numbers.
 const WITHDRAWAL_MICROS: Micros = 60_000_000;
 
 /// An update of the endpoints, for the core.
@@ -142,7 +143,7 @@
         self.rolled_back_at = None;
     }
 
-    /// Marks backends as draining if they were withdrawn and have not restarted since.
+    /// Marks backends of an older list as draining if a newer list has withdrawn them and they have not restarted since.
     fn keep_withdrawn(&self, endpoints: &mut [(Endpoint, SocketAddr)]) {
         for (endpoint, _) in endpoints {
             let withdrawal = self.withdrawn.get(&endpoint.backend);
--- a/crates/platform/src/ingress.rs
+++ b/crates/platform/src/ingress.rs
@@ -50,7 +50,7 @@
         /// The operating system's error.
         error: std::io::Error,
     },
-    /// The limit of file descriptors is too low.
+    /// The configured limit of file descriptors (`limits.sockets`) is too low.
     #[error("limits.sockets: {0}")]
     Sockets(#[from] BudgetError),
 }
@@ -66,7 +66,7 @@
     discovery_addresses: Sender<SocketAddr>,
     shutdown: ShutdownTimeouts,
     fail_pending_at: Arc<AtomicU64>,
-    /// Dropped to close the listener.
+    /// Dropped to close the listener, which ends the acceptance of clients.
     accept: Option<Sender<()>>,
     _kill: Sender<()>,
 }
@@ -118,7 +118,8 @@
         let outgoing_gossip = gossip_socket.map(|socket| startup.start_gossip(socket));
         let endpoints = startup.start_driver(events, outgoing_gossip);
         let first_list = startup.start_discovery(endpoints, new_addresses);
-        // Clients connect as soon as the ingress listens, so it waits a moment for current endpoints before that.
+        // Clients connect as soon as the ingress listens, so it first waits for current endpoints, for at most
+        // `FIRST_LIST_TIMEOUT_MICROS`.
         let first_endpoints = startup.await_first_list(first_list).await;
 
         let open_connections = Arc::new(AtomicUsize::new(0));
--- a/crates/platform/src/session.rs
+++ b/crates/platform/src/session.rs
@@ -39,7 +39,8 @@
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum ReadPhase {
     Open,
-    /// Only commands that have already been received, completely or in part, are still parsed.
+    /// Only commands that have already been received, completely or in part, are still parsed, and the first command of
+    /// a connection that has sent none.
     Draining,
     /// Only complete commands in the buffer are still parsed.
     BufferedOnly,
@@ -197,7 +198,8 @@
         self.phase == ReadPhase::Stopped
     }
 
-    /// Whether the connection can be closed once its output is written.
+    /// Whether the connection can be closed once its output is written. A draining connection first waits for the client's
+    /// first command.
     pub fn is_finished(&self) -> bool {
         let drained =
             self.phase >= ReadPhase::Draining && self.input.is_empty() && self.commands_received > 0;
--- a/crates/platform/src/shutdown.rs
+++ b/crates/platform/src/shutdown.rs
@@ -5,8 +5,8 @@
 /// How long after SIGTERM connections are accepted. Clients that have not learned of the shutdown connect for up to 0.4 s
 /// after SIGTERM; the remaining 50 ms allow for latency.
 const ACCEPT_MICROS: Micros = 450_000;
-/// The platform sends SIGKILL no sooner than the longest request deadline plus [`KILL_DELAY_MICROS`] after SIGTERM. It caps
-/// the deadline at this value.
+/// Upper limit of the request deadline in the platform's rule for SIGKILL: the platform sends it no sooner than the longest
+/// request deadline, but at most this value, plus [`KILL_DELAY_MICROS`] after SIGTERM.
 const MAX_COUNTED_DEADLINE_MICROS: Micros = 3_000_000;
 /// Shortest time from SIGTERM to SIGKILL, in addition to the longest request deadline.
 const KILL_DELAY_MICROS: Micros = 700_000;
--- a/crates/platform/src/stale_connections.rs
+++ b/crates/platform/src/stale_connections.rs
@@ -7,16 +7,16 @@
 
 use chalkgap_core::Micros;
 
-/// Number of groups of idle times. A group spans a factor of two, from 1 ms; the last one has no upper end.
+/// Number of buckets of idle times. A bucket spans a factor of two, from 1 ms; the last one has no upper end.
 const AGE_BUCKETS: usize = 16;
 /// Time constant of the exponential decay of the counts, in microseconds: 20 s.
 const DECAY_MICROS: f64 = 20e6;
-/// A group of idle times is judged only if its decayed count of resets exceeds this.
+/// A bucket's fraction of resets is considered only if its decayed count of resets exceeds this.
 const MIN_BREAKS: f64 = 1.5;
 /// How far the fraction of uses that end in a reset may exceed the fraction for new connections.
 const MAX_EXCESS_BREAK_RATE: f64 = 0.08;
 
-/// Decayed counts of a group of idle times.
+/// Decayed counts of the uses of connections whose idle time is in one bucket.
 #[derive(Default)]
 struct AgeBucket {
     uses: f64,
@@ -61,13 +61,13 @@
         bucket.decayed_at = now;
     }
 
-    /// Whether a connection that has been idle for `idle_micros` may be reused. If connections of one group are reset too often,
+    /// Whether a connection that has been idle for `idle_micros` may be reused. If connections of one bucket are reset too often,
     /// those with longer idle times are not reused either.
     pub(crate) fn is_reusable(&self, now: Micros, idle_micros: Micros) -> bool {
         let max_break_rate = self.buckets[0].break_rate() + MAX_EXCESS_BREAK_RATE;
         let up_to_this_age = &self.buckets[1..=bucket_index(Some(idle_micros))];
         !up_to_this_age.iter().any(|bucket| {
-            // The counts decay, so that connections of this group are tried again after a while.
+            // The counts decay, so that connections of this bucket are tried again after a while.
             let remaining_breaks = bucket.breaks * bucket.decay_factor(now);
             remaining_breaks > MIN_BREAKS && bucket.break_rate() > max_break_rate
         })
--- a/crates/platform/tests/backend_connections.rs
+++ b/crates/platform/tests/backend_connections.rs
@@ -1,4 +1,4 @@
-//! The ways in which backend connections end, forced on real connections on each run. The table of all of them is
+//! The ways in which backend connections end. Each test forces one of them on a real connection. The table of all of them is
 //! `docs/design/endings.md`.
 
 use common::{known, BackendAction, Journal, Latch, GOOD_REPLY};
--- a/crates/platform/tests/client_connections.rs
+++ b/crates/platform/tests/client_connections.rs
@@ -1,5 +1,5 @@
-//! The ways in which client connections and the process end, forced on real connections on each run: pending replies are still
-//! delivered. The table of all of them is `docs/design/endings.md`.
+//! The ways in which client connections and the process end. Each test forces one of them on real connections and checks that
+//! pending replies are still delivered. The table of all of them is `docs/design/endings.md`.
 
 use common::{BackendAction, Client, Latch, GOOD_REPLY, TEST_TIMEOUT};
 use rig::{always, ms, queries, query, wait_until, Fixture, Script};
@@ -100,7 +100,7 @@
 }
 
 /// SIGKILL comes 0.7 s plus the longest deadline (three seconds at most) after SIGTERM. Before that, all requests are answered and
-/// the process has stopped by itself, whatever clients do.
+/// the process has exited, even if a client neither sends nor closes.
 #[test]
 fn shutdown_ends_before_the_kill_with_any_deadline() {
     let drain_with_deadline = |deadline: u64| {
--- a/crates/platform/tests/discovery.rs
+++ b/crates/platform/tests/discovery.rs
@@ -359,8 +359,8 @@
 }
 
 /// Requests made during an outage are never answered. After the outage, the list must reach the driver well within the drain grace
-/// of two seconds, by which work for a draining backend must have ended. With pauses and a request timeout of up to one second each,
-/// it took up to 2.0 s.
+/// of two seconds, after which no new request may be sent to a draining backend. With a backoff and a request timeout of up to one
+/// second each, it took up to 2.0 s.
 #[test]
 fn after_an_outage_the_list_arrives_well_within_the_drain_grace() {
     let mut worst = 0;
@@ -373,7 +373,7 @@
             fixture.agent().version = 2;
             fixture.agent().behaviour = Behaviour::Healthy;
             *result.lock().unwrap() = fixture.wait_for_version(2).await;
-            // Each request takes a second, and the pause after it at least half of its nominal length.
+            // Each request takes a second, and the backoff after it at least half of its nominal length.
             assert!(fixture.agent().list_requests < 14, "{} requests", fixture.agent().list_requests);
         });
         worst = worst.max(*elapsed.lock().unwrap());
@@ -452,7 +452,7 @@
     });
 }
 
-/// A watch that is reset is opened again after the minimum pause.
+/// A watch that is reset is opened again after the minimum backoff.
 #[test]
 fn a_reset_watch_is_opened_again_at_once() {
     run_test(5, false, |fixture| async move {
--- a/crates/platform/tests/discovery_faults.rs
+++ b/crates/platform/tests/discovery_faults.rs
@@ -137,7 +137,7 @@
     std::thread::sleep(TEST_TIMEOUT);
 }
 
-/// The ingress polls, and the service rejects requests as it is overloaded. The pause before each retry grows, up to four seconds,
+/// The ingress polls, and the service rejects requests as it is overloaded. The delay before each retry grows, up to four seconds,
 /// so that the ingress notices when the service accepts requests again. Observed without backoff: 22 of 32 ingresses sent ten
 /// requests a second each, and no ingress got a change within half a minute.
 #[test]
--- a/crates/platform/tests/state_machines/endpoint_sets.rs
+++ b/crates/platform/tests/state_machines/endpoint_sets.rs
@@ -26,12 +26,12 @@
     assert!(endpoints.apply(3, &endpoint_list(41, false, &[("s-2", "ready")])).is_err());
     assert_eq!(endpoints.version(), 42);
     assert!(endpoints.apply(2_000_000, &endpoint_list(40, true, &[])).is_err());
-    // After three seconds with only lower versions, discovery is taken to have restarted its version count.
+    // After three seconds with only lower versions, discovery is taken to have restarted its version numbers.
     assert!(endpoints.apply(3_000_002, &endpoint_list(2, true, &[("s-3", "ready")])).is_ok());
     assert_eq!(endpoints.version(), 2);
 }
 
-/// An agent that lags behind for long looks like a discovery service that restarted its version count. Backends that were draining
+/// An agent that lags behind for long looks like a discovery service that restarted its version numbers. Backends that were draining
 /// or removed before stay withdrawn, unless the backend was restarted, a list with a newer version names it, or a minute has
 /// passed.
 #[test]
