--- a/crates/ledger/src/reconcile.rs
+++ b/crates/ledger/src/reconcile.rs
@@ -47,7 +47,7 @@
 /// Why a peer's answer is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum PeerError {
-    /// The peer lists more ranges than [`Config::max_ranges`].
+    /// The peer lists this number of ranges, which is more than [`Config::max_ranges`].
     #[error("the peer lists too many ranges: {0}")]
     TooManyRanges(usize),
     /// A range (first number, last number, ingress) is invalid.
@@ -56,7 +56,8 @@
     /// The peer returned an entry that was not requested.
     #[error("the peer returned entry {} of ingress {}, which was not requested", .0.number, .0.ingress)]
     Unrequested(EntryId),
-    /// The peer lists an entry (number) of the local incarnation beyond the last one that was written (its number).
+    /// The peer lists an entry of the local incarnation that was never written. The fields are the number of that entry
+    /// and the number of the last entry that was written.
     #[error("the peer lists entry {0} of the local incarnation, but the last one written is {1}")]
     NeverWritten(u64, u64),
 }
@@ -72,6 +73,7 @@
     allowance: f64,
     /// When the allowance was last refilled.
     allowance_at: Micros,
+    /// The ranges of the last fetch. The peer may return only entries in them.
     requested: Vec<Range>,
 }
 
--- a/crates/ledger/src/recorder/usage_lookup.rs
+++ b/crates/ledger/src/recorder/usage_lookup.rs
@@ -152,7 +152,7 @@
                 }
                 let presumed = unsettled.presumed;
                 self.unsettled.requests.remove(&id);
-                // If 0 units were presumed before, this settlement confirms them.
+                // If the outcome was presumed, with 0 units, this settlement confirms it.
                 self.write_never_ran(now, id);
                 self.corrected += u64::from(presumed);
             }
--- a/crates/ledger/src/store/mod.rs
+++ b/crates/ledger/src/store/mod.rs
@@ -42,7 +42,7 @@
     Damaged {
         /// The file.
         path: PathBuf,
-        /// Offset of the damage in the file, in bytes.
+        /// Offset of the damage in the file, in bytes; 0 for any damage to a snapshot.
         at: usize,
         /// The kind of damage.
         what: Damage,
--- a/crates/ledger/src/store/snapshot_file.rs
+++ b/crates/ledger/src/store/snapshot_file.rs
@@ -1,5 +1,5 @@
-//! The format of a snapshot file: magic, version, the number of the last segment that it replaces, the chain value
-//! after that segment, the usage totals, and a BLAKE3 hash of all preceding bytes.
+//! The format of a snapshot file: magic (8 bytes), version (1), the number of the last segment that it replaces (8,
+//! big-endian), the chain value after that segment (16), the usage totals, and a BLAKE3 hash of all preceding bytes (32).
 
 use super::{failed_at, StoreError, MAX_FILE_BYTES};
 use crate::damage::Damage;
--- a/crates/ledger/src/usage_totals/request.rs
+++ b/crates/ledger/src/usage_totals/request.rs
@@ -36,7 +36,7 @@
     Superseded,
 }
 
-/// A request that was opened.
+/// A request whose open entry was added.
 pub(super) struct Request {
     pub(super) key: SumKey,
     /// Units that the request uses if it runs.
@@ -53,8 +53,8 @@
         self.corrected = true;
     }
 
-    /// Settles the request. If two settlements were written, as after a disk was restored from an old copy, the same
-    /// one counts whichever is added first.
+    /// Settles the request. Two settlements can exist, for example after a disk was restored from an old copy. The one of
+    /// lower rank then counts, whichever is added first.
     pub(super) fn settle(&mut self, new: Settled, sum: &mut Sum) -> Settling {
         if self.settled.as_ref().is_some_and(|old| old.rank() <= new.rank()) {
             return Settling::Superseded;
--- a/crates/ledger/tests/model.rs
+++ b/crates/ledger/tests/model.rs
@@ -13,8 +13,11 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 struct Batch {
+    /// Number of the batch in the stream, from 1.
     number: u8,
+    /// Units of the entries that earlier batches do not contain.
     units: i8,
+    /// Entries from which the batch was computed.
     basis: Entries,
 }
 
@@ -39,6 +42,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct State {
     exporters: Vec<Exporter>,
+    /// The batches that the consumer has stored.
     consumer: Vec<Batch>,
     /// Messages that were sent, with their senders: each may be delivered any number of times or never. Sorted, without
     /// duplicates, so that equal sets are equal states.
@@ -80,7 +84,9 @@
 const ACKNOWLEDGED_AFTER_CRASH: &str = "both exporters know several acknowledged batches after a crash";
 
 /// The protocol of export and reconciliation, with a fault or without.
-struct Export(Fault);
+struct Export {
+    fault: Fault,
+}
 
 fn units(entries: Entries) -> i8 {
     entries as i8
@@ -91,7 +97,7 @@
     fn next_batch(&self, exporter: &Exporter) -> Option<Batch> {
         let exported: i8 = exporter.acknowledged.iter().map(|batch| batch.units).sum();
         let basis = exporter.acknowledged.iter().fold(0, |all, batch| all | batch.basis);
-        if self.0 != Fault::NoBasis && basis & !exporter.entries != 0 {
+        if self.fault != Fault::NoBasis && basis & !exporter.entries != 0 {
             return None;
         }
         let unexported = units(exporter.entries) - exported;
@@ -154,14 +160,15 @@
             Step::Record(index) => state.exporters[index].entries |= 0b100,
             Step::Crash(index) => {
                 state.crashes += 1;
-                if self.0 == Fault::SendBeforeWrite {
+                // Without this fault, everything in an exporter's state is durable.
+                if self.fault == Fault::SendBeforeWrite {
                     state.exporters[index].pending = None;
                 }
             }
             Step::Deliver(position) => match state.network[position] {
                 (from, Message::Send(batch)) => {
                     let next = state.consumer.len() as u8 + 1;
-                    if batch.number == next || (self.0 == Fault::StoredTwice && batch.number < next) {
+                    if batch.number == next || (self.fault == Fault::StoredTwice && batch.number < next) {
                         state.consumer.push(batch);
                     }
                     let stored = *state.consumer.get(usize::from(batch.number) - 1)?;
@@ -172,7 +179,8 @@
                     if usize::from(sent.number) != exporter.acknowledged.len() + 1 {
                         return None; // a reply to a batch that is already acknowledged
                     }
-                    let by_number = matches!(self.0, Fault::NumberOnly | Fault::SendBeforeWrite);
+                    let by_number = matches!(self.fault, Fault::NumberOnly | Fault::SendBeforeWrite);
+                    // With these faults, the exporter takes its own batch as the stored one.
                     let own = exporter.pending.filter(|_| by_number);
                     exporter.acknowledged.push(own.unwrap_or(stored));
                     exporter.pending = None;
@@ -218,7 +226,7 @@
 }
 
 fn check(fault: Fault) -> impl Checker<Export> {
-    Export(fault).checker().finish_when(HasDiscoveries::AnyFailures).spawn_bfs().join()
+    Export { fault }.checker().finish_when(HasDiscoveries::AnyFailures).spawn_bfs().join()
 }
 
 #[test]
--- a/crates/ledger/tests/store.rs
+++ b/crates/ledger/tests/store.rs
@@ -14,6 +14,11 @@
 use std::path::{Path, PathBuf};
 use std::sync::{Arc, Mutex, MutexGuard};
 
+/// The directory of the store on the simulated disk.
+const DIRECTORY: &str = "/l";
+/// Number of bytes after which a segment ends: small, so that a few groups of entries fill several segments.
+const MAX_SEGMENT_BYTES: u64 = 400;
+
 /// The content of a file.
 #[derive(Clone, Default)]
 struct Content {
@@ -168,7 +173,9 @@
 fn commit_groups(runtime: &Shared, from: u64, groups: u64) -> u64 {
     block_on(async {
         let mut acknowledged = 0;
-        let opened = Store::open(runtime.clone(), Path::new("/l"), 400, |_| acknowledged += 1).await;
+        let opened =
+            Store::open(runtime.clone(), Path::new(DIRECTORY), MAX_SEGMENT_BYTES, |_| acknowledged += 1)
+                .await;
         let Ok(mut store) = opened else { return 0 };
         for index in 0..groups {
             let first = from + 3 * index;
@@ -185,7 +192,9 @@
 
 fn entries(runtime: &Shared) -> Vec<Entry> {
     let mut list = Vec::new();
-    let opened = block_on(Store::open(runtime.clone(), Path::new("/l"), 400, |entry| list.push(entry)));
+    let opened = block_on(Store::open(runtime.clone(), Path::new(DIRECTORY), MAX_SEGMENT_BYTES, |entry| {
+        list.push(entry)
+    }));
     opened.expect("the log is not damaged");
     list
 }
@@ -204,10 +213,11 @@
         for quarters in 0..=4 {
             let first_crash = files.disk().after_crash(quarters);
             for recovery_crash_after in 0..4 {
-                let mut disk = first_crash.after_crash(0);
+                let mut disk = first_crash.after_crash(0); // a copy: all bytes of `first_crash` are synced
                 disk.crash_after = Some(recovery_crash_after);
                 let (runtime, files) = runtime_with(disk);
-                let _ = block_on(Store::open(runtime.clone(), Path::new("/l"), 400, |_| ()));
+                let _ =
+                    block_on(Store::open(runtime.clone(), Path::new(DIRECTORY), MAX_SEGMENT_BYTES, |_| ()));
                 let (runtime, _) = runtime_with(files.disk().after_crash(quarters));
                 let found = entries(&runtime);
                 assert!(
@@ -256,7 +266,9 @@
         let mut disk = files.disk().after_crash(0);
         change(&mut disk);
         let (runtime, changed_files) = runtime_with(disk);
-        let error = block_on(Store::open(runtime, Path::new("/l"), 400, |_| ())).err().expect("damage");
+        let error = block_on(Store::open(runtime, Path::new(DIRECTORY), MAX_SEGMENT_BYTES, |_| ()))
+            .err()
+            .expect("damage");
         assert_eq!(changed_files.disk().steps, 1, "the lock file is opened, and no segment is");
         error.to_string()
     };
@@ -340,14 +352,16 @@
 /// Returns the totals of the snapshot and the segments after it, with their sums.
 fn read_totals(runtime: &Shared) -> (UsageTotals, Vec<AccountSum>) {
     block_on(async {
-        let directory = Path::new("/l");
+        let directory = Path::new(DIRECTORY);
         let snapshot = store::read_snapshot(runtime, directory).await.expect("no snapshot is damaged");
         let mut totals = match snapshot {
             Some(snapshot) => UsageTotals::restore(PERIODS, &snapshot.totals).expect("valid totals"),
             None => UsageTotals::new(PERIODS),
         };
         let add = |entry: Entry| assert_eq!(totals.add(&entry), AddOutcome::Added);
-        Store::open(runtime.clone(), directory, 400, add).await.expect("the log is not damaged");
+        Store::open(runtime.clone(), directory, MAX_SEGMENT_BYTES, add)
+            .await
+            .expect("the log is not damaged");
         let sums = totals.sums();
         let sums =
             sums.map(|(account, _, period, sum)| AccountSum { account: account.to_owned(), period, sum });
@@ -371,7 +385,8 @@
 fn a_crash_at_any_step_of_a_compaction_changes_no_sum() {
     let fill = |runtime: &Shared, from: u64| {
         block_on(async {
-            let mut store = Store::open(runtime.clone(), Path::new("/l"), 400, |_| ()).await.unwrap();
+            let mut store =
+                Store::open(runtime.clone(), Path::new(DIRECTORY), MAX_SEGMENT_BYTES, |_| ()).await.unwrap();
             for index in 0..10 {
                 let first = from + 4 * index;
                 let group: Vec<Entry> = (first..first + 4).map(request_entry).collect();
@@ -381,8 +396,8 @@
     };
     let compact = |runtime: &Shared, keep_from: u64| {
         block_on(async {
-            let directory = Path::new("/l");
-            let mut store = Store::open(runtime.clone(), directory, 400, |_| ()).await?;
+            let directory = Path::new(DIRECTORY);
+            let mut store = Store::open(runtime.clone(), directory, MAX_SEGMENT_BYTES, |_| ()).await?;
             let last = store.current_segment() - 1;
             let until = store::last_segment_before(runtime, directory, last, PERIODS, keep_from)
                 .await?
@@ -424,11 +439,12 @@
 fn a_changed_snapshot_is_damage() {
     let (runtime, files) = runtime_with(Disk::default());
     let snapshot = block_on(async {
-        let mut store = Store::open(runtime.clone(), Path::new("/l"), 400, |_| ()).await.unwrap();
+        let mut store =
+            Store::open(runtime.clone(), Path::new(DIRECTORY), MAX_SEGMENT_BYTES, |_| ()).await.unwrap();
         store.commit(&(1..=8).map(request_entry).collect::<Vec<_>>()).await.unwrap();
         store.commit(&(9..=10).map(request_entry).collect::<Vec<_>>()).await.unwrap();
         let snapshot =
-            store::build_snapshot(&runtime, Path::new("/l"), PERIODS, 1, 99).await.unwrap().unwrap();
+            store::build_snapshot(&runtime, Path::new(DIRECTORY), PERIODS, 1, 99).await.unwrap().unwrap();
         store.compact(&snapshot).await.unwrap();
         snapshot
     });
@@ -439,8 +455,8 @@
     for at in 0..length {
         let (runtime, files) = runtime_with(files.disk().after_crash(4));
         files.disk().files.get_mut(path).unwrap().synced[at] ^= 1;
-        let error =
-            block_on(store::read_snapshot(&runtime, Path::new("/l"))).expect_err("the snapshot is changed");
+        let error = block_on(store::read_snapshot(&runtime, Path::new(DIRECTORY)))
+            .expect_err("the snapshot is changed");
         assert!(matches!(error, StoreError::Damaged { .. }), "byte {at}: {error}");
     }
 }
@@ -451,12 +467,12 @@
 fn a_snapshot_keeps_open_requests() {
     let (runtime, _) = runtime_with(Disk::default());
     block_on(async {
-        let mut store = Store::open(runtime.clone(), Path::new("/l"), 10, |_| ()).await.unwrap();
+        let mut store = Store::open(runtime.clone(), Path::new(DIRECTORY), 10, |_| ()).await.unwrap();
         for number in [1, 3, 2, 4] {
             store.commit(&[request_entry(number)]).await.unwrap();
         }
         let snapshot =
-            |until, period| store::build_snapshot(&runtime, Path::new("/l"), PERIODS, until, period);
+            |until, period| store::build_snapshot(&runtime, Path::new(DIRECTORY), PERIODS, until, period);
         assert_eq!(snapshot(3, 0).await.unwrap(), None);
         let snapshot = snapshot(3, 99).await.unwrap().unwrap();
         store.compact(&snapshot).await.unwrap();
