--- a/crates/wire/src/http2/connection/receiving.rs
+++ b/crates/wire/src/http2/connection/receiving.rs
@@ -13,11 +13,11 @@
 };
 use bytes::{Buf, BufMut, Bytes};
 
-/// Cost of a control frame in the allowance.
+/// Cost of a control frame, in tokens of the allowance for control frames.
 const CONTROL_FRAME_COST: f64 = 1.0;
-/// Cost of a frame that arrives on a stream after its reset.
+/// Cost of a frame that arrives on a stream after its reset, in tokens.
 pub(super) const LATE_FRAME_COST: f64 = 0.1;
-/// Payload bytes of SETTINGS that cost one more token, which are one hundred settings.
+/// Payload bytes of a SETTINGS frame, those of 100 settings, that cost one more token of the allowance.
 const SETTINGS_BYTES_PER_COST: f64 = 600.0;
 const SETTING_BYTES: usize = 6;
 const PING_BYTES: usize = 8;
@@ -79,7 +79,7 @@
         Ok(())
     }
 
-    /// Takes `cost` from the allowance for control frames.
+    /// Takes `cost` tokens from the allowance for control frames. `reason` describes the error if too few are left.
     pub(super) fn spend(&mut self, cost: f64, reason: &'static str) -> Result<(), ConnError> {
         self.allowance.spend(self.now, cost, reason)
     }
--- a/crates/wire/src/mqtt/encode.rs
+++ b/crates/wire/src/mqtt/encode.rs
@@ -127,10 +127,11 @@
         PacketType::Publish.first_byte(flags)
     }
 
-    fn ack(&mut self, ack: &Ack, first: u8) -> u8 {
+    /// Appends the body of a packet that acknowledges one PUBLISH. Returns `first_byte`.
+    fn ack(&mut self, ack: &Ack, first_byte: u8) -> u8 {
         self.bytes.put_u16(ack.packet);
         self.code_and_properties(ack.code, &ack.properties);
-        first
+        first_byte
     }
 
     fn subscribe(&mut self, subscribe: &Subscribe) -> u8 {
@@ -149,6 +150,7 @@
         PacketType::Subscribe.first_byte(RESERVED_FLAGS)
     }
 
+    /// Appends the body of SUBACK or UNSUBACK, which has one reason code for each filter.
     fn acks(&mut self, acks: &Acks, packet_type: PacketType) -> u8 {
         self.bytes.put_u16(acks.packet);
         self.properties(&acks.properties);
--- a/crates/wire/src/mqtt/reader.rs
+++ b/crates/wire/src/mqtt/reader.rs
@@ -49,7 +49,7 @@
         Ok(text.to_owned())
     }
 
-    /// Takes the next `length` bytes, those of the properties, as a reader of their own.
+    /// Splits off the next `length` bytes, which are the packet's properties, and returns a reader of them.
     pub fn sub_reader(&mut self, length: usize) -> Result<Reader, Error> {
         if length > self.0.len() {
             return Err(malformed("the properties exceed the packet"));
@@ -57,6 +57,7 @@
         Ok(Reader(self.0.split_to(length)))
     }
 
+    /// Takes all bytes that have not been read.
     pub fn remaining(&mut self) -> Bytes {
         self.0.split_to(self.0.len())
     }
--- a/crates/wire/src/mqtt/server.rs
+++ b/crates/wire/src/mqtt/server.rs
@@ -167,7 +167,7 @@
     ///
     /// # Errors
     /// If the client violated the protocol or a limit. The caller closes the connection after writing the output, which
-    /// contains a DISCONNECT if the version has one for servers.
+    /// contains a DISCONNECT if the client was accepted with MQTT 5.0.
     pub fn receive(&mut self, bytes: &[u8]) -> Result<(), Error> {
         if self.state == State::Closed {
             return Ok(());
@@ -188,7 +188,7 @@
         Ok(())
     }
 
-    /// Closes the connection because of an error of the client, with DISCONNECT if the version has one for servers.
+    /// Closes the connection because of an error of the client. Sends DISCONNECT if the client was accepted with MQTT 5.0.
     fn fail(&mut self, error: Error) -> Error {
         match self.state {
             State::Open => self.disconnect(error.code, None),
@@ -349,8 +349,8 @@
                 self.unanswered = self.unanswered.saturating_sub(1);
                 self.session.inbound.insert(packet, Inbound::Responded(code, properties.clone()));
                 self.session.responded.push_back(packet);
-                // Beyond the limit, the oldest PUBRECs are forgotten, also those that wait for PUBREL. If the client
-                // repeats such a publish with DUP, it is an unknown duplicate.
+                // Beyond the limit, the oldest PUBRECs are forgotten, even if their PUBREL has not arrived. If the client
+                // then repeats such a PUBLISH with DUP, it is returned as `Event::UnknownDuplicate`.
                 while self.session.responded.len() > self.limits.remembered_identifiers {
                     if let Some(oldest) = self.session.responded.pop_front() {
                         self.session.inbound.remove(&oldest);
--- a/crates/wire/src/roster.rs
+++ b/crates/wire/src/roster.rs
@@ -37,11 +37,13 @@
     pub zone: String,
     #[prost(string, tag = "3")]
     pub cell: String,
+    /// Kind of the node's machine.
     #[prost(string, tag = "4")]
     pub kind: String,
     /// 0: accepts requests, 1: draining, 2: removed.
     #[prost(uint32, tag = "5")]
     pub state: u32,
+    /// Capacity of the node relative to other nodes; a positive number.
     #[prost(double, tag = "6")]
     pub size: f64,
     /// Start of the node's process, in milliseconds since 1970.
--- a/crates/wire/tests/hpack.rs
+++ b/crates/wire/tests/hpack.rs
@@ -20,6 +20,7 @@
     assert_eq!(pairs(&fields), expected);
 }
 
+// The fields of the three requests of sections C.3 and C.4.
 const FIRST: [(&str, &str); 4] =
     [(":method", "GET"), (":scheme", "http"), (":path", "/"), (":authority", "www.example.com")];
 const SECOND: [(&str, &str); 5] = [
@@ -37,6 +38,7 @@
     ("custom-key", "custom-value"),
 ];
 
+/// Section C.3.
 #[test]
 fn requests_without_huffman() {
     let decoder = &mut Decoder::new(4096);
@@ -49,6 +51,7 @@
     );
 }
 
+/// Section C.4.
 #[test]
 fn requests_with_huffman() {
     let decoder = &mut Decoder::new(4096);
@@ -57,6 +60,7 @@
     assert_decodes(decoder, "8287 85bf 4088 25a8 49e9 5ba9 7d7f 8925 a849 e95b b8e8 b4bf", &THIRD);
 }
 
+/// Section C.6: Huffman-encoded responses, with a dynamic table of 256 bytes.
 #[test]
 fn responses_with_eviction() {
     let response = |date: &'static str, status: &'static str| {
@@ -67,9 +71,9 @@
             ("location", "https://www.example.com"),
         ]
     };
-    let at21 = "Mon, 21 Oct 2013 20:13:21 GMT";
-    let at22 = "Mon, 21 Oct 2013 20:13:22 GMT";
-    let mut third = response(at22, "200");
+    let date_21 = "Mon, 21 Oct 2013 20:13:21 GMT";
+    let date_22 = "Mon, 21 Oct 2013 20:13:22 GMT";
+    let mut third = response(date_22, "200");
     third.push(("content-encoding", "gzip"));
     third.push(("set-cookie", "foo=ASDJKHQKBZXOQWEOPIUAXQWEOIU; max-age=3600; version=1"));
     let decoder = &mut Decoder::new(256);
@@ -77,9 +81,9 @@
         decoder,
         "4882 6402 5885 aec3 771a 4b61 96d0 7abe 9410 54d4 44a8 2005 9504 0b81 66e0 82a6 2d1b ff6e 919d 29ad 1718
          63c7 8f0b 97c8 e9ae 82ae 43d3",
-        &response(at21, "302"),
+        &response(date_21, "302"),
     );
-    assert_decodes(decoder, "4883 640e ffc1 c0bf", &response(at21, "307"));
+    assert_decodes(decoder, "4883 640e ffc1 c0bf", &response(date_21, "307"));
     assert_decodes(
         decoder,
         "88c1 6196 d07a be94 1054 d444 a820 0595 040b 8166 e084 a62d 1bff c05a 839b d9ab 77ad 94e7 821d d7f2 e6c7
