--- a/crates/platform/tests/backend_connections.rs
+++ b/crates/platform/tests/backend_connections.rs
@@ -111,6 +111,39 @@
     }
 }
 
+/// The kernel of a backend without TCP_NODELAY sends a small second reply only once the first one is acknowledged. On a connection
+/// that has served a request, the ingress's kernel delays that acknowledgement beyond the reuse delay and sends it with the next
+/// request. The second reply then arrives behind the ingress's check of the idle connection, and is served to that request.
+#[test]
+fn a_second_reply_that_the_backends_kernel_delays_is_never_served() {
+    let port = scripted(|_, mut stream| {
+        let mut buffer = bytes::BytesMut::new();
+        let mut first_on_connection = true;
+        while let Some(arguments) = next_command(&mut stream, &mut buffer) {
+            let reply = format!("*3\r\n$16\r\n{}\r\n$-1\r\n$-1\r\n", arguments[2]);
+            let _ = stream.write_all(reply.as_bytes());
+            if !first_on_connection {
+                std::thread::sleep(ms(8));
+                let _ = stream.write_all(reply.as_bytes());
+            }
+            first_on_connection = false;
+        }
+    });
+    let fixture = Fixture::start_with_ports(Journal::default(), &[port], &[]);
+    let mut client = fixture.client();
+    let mut wrong = Vec::new();
+    for id in 1..40u64 {
+        client.query(id, 2000);
+        let expected = format!("{id:016x}");
+        let reply = client.reply_text();
+        if reply != expected {
+            wrong.push((expected, reply));
+        }
+        std::thread::sleep(ms(25)); // longer than the reuse delay, shorter than a delayed acknowledgement
+    }
+    assert!(wrong.is_empty(), "{} wrong replies, as (request, reply): {wrong:?}", wrong.len());
+}
+
 /// If a backend sends half a line on an idle connection, the connection is not used again, and the next requests are served.
 #[test]
 fn a_partial_line_on_an_idle_connection_is_harmless() {
