--- a/crates/gateway/src/connection_gate/mod.rs
+++ b/crates/gateway/src/connection_gate/mod.rs
@@ -104,7 +104,7 @@
     /// Decides on a connection that was accepted from `address`.
     ///
     /// # Errors
-    /// Returns [`Rejection`] if the connection is not admitted.
+    /// Returns `Rejection` if the connection is not admitted.
     pub fn admit(self: &Arc<Self>, address: IpAddr) -> Result<Permit, Rejection> {
         let now = self.runtime.now();
         let mut state = self.state();
