--- a/crates/runtime/src/lib.rs
+++ b/crates/runtime/src/lib.rs
@@ -64,7 +64,7 @@
 pub trait Append: Send {
     /// Appends all of `bytes`. After an error, any part of them may have been written.
     fn append<'a>(&'a mut self, bytes: Vec<u8>) -> BoxFuture<'a, io::Result<()>>;
-    /// Waits until everything appended so far is on disk. After an error it may not be, even if a later call succeeds.
+    /// Waits until all bytes appended so far are on disk. After an error some may never be, even if a later call succeeds.
     fn sync<'a>(&'a mut self) -> BoxFuture<'a, io::Result<()>>;
     /// Appends `bytes` and syncs.
     fn commit<'a>(&'a mut self, bytes: Vec<u8>) -> BoxFuture<'a, io::Result<()>> {
--- a/crates/testbed/src/registry.rs
+++ b/crates/testbed/src/registry.rs
@@ -33,7 +33,7 @@
 
 impl State {
     /// Returns the list with the addresses that are advertised to a gateway.
-    fn advertise(&self, list: &List, gateway: u16) -> List {
+    fn with_advertised_addresses(&self, list: &List, gateway: u16) -> List {
         let mut list = list.clone();
         for node in &mut list.nodes {
             if let Some(address) = self.advertised.get(&(gateway, node.address.clone())) {
@@ -108,8 +108,8 @@
         }
     }
 
-    /// Notes a list in the journal. Called before the list is sent, as the gateway may know it from then on.
-    fn note(&self, gateway: u16, list: &List) {
+    /// Notes a list in the journal. Called before the list is sent, because the gateway may use it as soon as it arrives.
+    fn note_list(&self, gateway: u16, list: &List) {
         let now = self.runtime.now();
         for listed in &list.nodes {
             if let Ok(node) = listed.address.parse() {
@@ -157,8 +157,8 @@
     /// Sends a list to all watching gateways; returns `None` if a stream does not accept it.
     fn push(&mut self, list: &List) -> Option<()> {
         for (stream, gateway) in &self.watching {
-            self.server.note(*gateway, list);
-            let list = lock(&self.server.state).advertise(list, *gateway);
+            self.server.note_list(*gateway, list);
+            let list = lock(&self.server.state).with_advertised_addresses(list, *gateway);
             self.pipe.conn.data(*stream, grpc::frame(&list), false).ok()?;
         }
         Some(())
@@ -177,6 +177,7 @@
         }
     }
 
+    /// Receives bytes of a watch call's request. Bytes that are no valid request get no response.
     fn receive_data(&mut self, stream: u32, data: &[u8]) {
         self.pipe.conn.consumed(stream, data.len());
         let Some(body) = self.incoming.get_mut(&stream) else { return };
@@ -187,11 +188,12 @@
         self.watch(stream, request.ingress as u16);
     }
 
+    /// Responds to a watch call with the present list, and registers the call for later lists.
     fn watch(&mut self, stream: u32, gateway: u16) {
         // The lock is held throughout, so that no list is set between the one that is sent and the registration.
         let mut state = lock(&self.server.state);
-        self.server.note(gateway, &state.list);
-        let list = state.advertise(&state.list, gateway);
+        self.server.note_list(gateway, &state.list);
+        let list = state.with_advertised_addresses(&state.list, gateway);
         let fields =
             vec![Field::constant(":status", "200"), Field::constant("content-type", "application/grpc")];
         let connection = &mut self.pipe.conn;
