--- a/crates/platform/tests/discovery.rs
+++ b/crates/platform/tests/discovery.rs
@@ -147,15 +147,15 @@
     }
 }
 
-/// Starts a follower of the agent at `address` on host `host_number`. Returns its runtime, the host's power switch, the sender of
+/// Starts a follower of the agent at `address` on host `host_number`. Returns its runtime, the guard of the host, the sender of
 /// new agent addresses, and the receiver of its events.
 fn start_follower(
-    world: &Simulation,
+    simulation: &Simulation,
     host_number: u32,
     mode: Discovery,
     agent_address: SocketAddr,
 ) -> (Shared, HostGuard, Sender<SocketAddr>, Receiver<DriverEvent<ForwardedCommand>>) {
-    let (host, power) = world.host(host_number, 0);
+    let (host, guard) = simulation.host(host_number, 0);
     let runtime: Shared = host;
     let (address_changes, address_receiver) = async_channel::bounded(4);
     let (driver, events) = async_channel::bounded(64);
@@ -170,13 +170,13 @@
     };
     let task = follower.run(address_receiver);
     runtime.spawn(Box::pin(task)).detach();
-    (runtime, power, address_changes, events)
+    (runtime, guard, address_changes, events)
 }
 
 /// Two agents and a follower of the first one, in a simulated network.
 struct Fixture {
     runtime: Shared,
-    world: Simulation,
+    simulation: Simulation,
     agents: Vec<(AgentHandle, SocketAddr)>,
     /// Senders of the further followers, which end when theirs is dropped.
     other_address_changes: Vec<Sender<SocketAddr>>,
@@ -184,15 +184,15 @@
     address_changes: Sender<SocketAddr>,
     /// Events that the follower sends to its driver.
     events: Receiver<DriverEvent<ForwardedCommand>>,
-    powers: Vec<HostGuard>,
+    guards: Vec<HostGuard>,
 }
 
 impl Fixture {
-    fn new(world: &Simulation, indent: bool, mode: Discovery) -> Fixture {
+    fn new(simulation: &Simulation, indent: bool, mode: Discovery) -> Fixture {
         let mut agents = Vec::new();
-        let mut powers = Vec::new();
+        let mut guards = Vec::new();
         for host_number in 1..=2 {
-            let (host, power) = world.host(host_number, 0);
+            let (host, guard) = simulation.host(host_number, 0);
             let agent = Agent {
                 version: 1,
                 behaviour: Behaviour::Healthy,
@@ -219,26 +219,26 @@
             };
             runtime.spawn(Box::pin(serve)).detach();
             agents.push((handle, agent_address));
-            powers.push(power);
+            guards.push(guard);
         }
-        let (runtime, power, address_changes, events) = start_follower(world, 3, mode, agents[0].1);
-        powers.push(power);
+        let (runtime, guard, address_changes, events) = start_follower(simulation, 3, mode, agents[0].1);
+        guards.push(guard);
         Fixture {
             runtime,
-            world: world.clone(),
+            simulation: simulation.clone(),
             agents,
             other_address_changes: Vec::new(),
             address_changes,
             events,
-            powers,
+            guards,
         }
     }
 
     /// Starts a further follower of the same agent, which polls. Returns the receiver of its events.
     fn add_polling_follower(&mut self, host_number: u32) -> Receiver<DriverEvent<ForwardedCommand>> {
-        let (_, power, address_changes, events) =
-            start_follower(&self.world, host_number, Discovery::Poll, self.agents[0].1);
-        self.powers.push(power);
+        let (_, guard, address_changes, events) =
+            start_follower(&self.simulation, host_number, Discovery::Poll, self.agents[0].1);
+        self.guards.push(guard);
         self.other_address_changes.push(address_changes);
         events
     }
@@ -297,10 +297,10 @@
     mode: Discovery,
     test: impl FnOnce(Fixture) -> F + 'static,
 ) {
-    let world = Simulation::new(seed, START);
-    let fixture_world = world.clone();
-    let completed = world.run(async move {
-        let fixture = Fixture::new(&fixture_world, indent, mode);
+    let simulation = Simulation::new(seed, START);
+    let fixture_simulation = simulation.clone();
+    let completed = simulation.run(async move {
+        let fixture = Fixture::new(&fixture_simulation, indent, mode);
         fixture.wait_for_version(1).await;
         fixture.sleep(1_000_000).await;
         test(fixture).await;
@@ -458,8 +458,12 @@
     run_test(5, false, |fixture| async move {
         let cut = Some(chalkgap_runtime::link_faults::Cut::Reset);
         let usual_link = chalkgap_runtime::simulated_runtime::DEFAULT_LINK;
-        fixture.world.set_link(1, 3, Some(chalkgap_runtime::link_faults::LinkFaults { cut, ..usual_link }));
-        fixture.world.set_link(1, 3, None);
+        fixture.simulation.set_link(
+            1,
+            3,
+            Some(chalkgap_runtime::link_faults::LinkFaults { cut, ..usual_link }),
+        );
+        fixture.simulation.set_link(1, 3, None);
         fixture.agent().version = 2;
         let elapsed = fixture.wait_for_version(2).await;
         assert!(elapsed <= 50_000 + NETWORK_ALLOWANCE, "{elapsed} us");
@@ -469,10 +473,10 @@
 /// Changes need a complete list to apply to. Until there is one, the follower requests the complete list and no watch.
 #[test]
 fn changes_are_not_watched_before_a_complete_list() {
-    let world = Simulation::new(9, START);
-    let fixture_world = world.clone();
-    let completed = world.run(async move {
-        let mut fixture = Fixture::new(&fixture_world, false, Discovery::Poll);
+    let simulation = Simulation::new(9, START);
+    let fixture_simulation = simulation.clone();
+    let completed = simulation.run(async move {
+        let mut fixture = Fixture::new(&fixture_simulation, false, Discovery::Poll);
         {
             let mut agent = fixture.agent();
             agent.ignore_next = 2;
@@ -492,10 +496,10 @@
 /// requests from each, the last of six followers got the list after more than 7 s.
 #[test]
 fn a_polled_service_gets_one_request_from_each_follower() {
-    let world = Simulation::new(7, START);
-    let fixture_world = world.clone();
-    let completed = world.run(async move {
-        let mut fixture = Fixture::new(&fixture_world, false, Discovery::Poll);
+    let simulation = Simulation::new(7, START);
+    let fixture_simulation = simulation.clone();
+    let completed = simulation.run(async move {
+        let mut fixture = Fixture::new(&fixture_simulation, false, Discovery::Poll);
         let mut others = Vec::new();
         for host_number in 4..9 {
             others.push(fixture.add_polling_follower(host_number));
--- a/crates/platform/tests/discovery_faults.rs
+++ b/crates/platform/tests/discovery_faults.rs
@@ -67,11 +67,11 @@
 /// the new list within 6 s.
 #[test]
 fn a_change_is_applied_within_six_seconds_whatever_happens_to_requests() {
-    let old = Journal::default();
-    let new = Journal::default();
+    let old_journal = Journal::default();
+    let new_journal = Journal::default();
     let ports = [
-        backend(old, |_, _| BackendAction::Reply(GOOD_REPLY)),
-        backend(new.clone(), |_, _| BackendAction::Reply(GOOD_REPLY)),
+        backend(old_journal, |_, _| BackendAction::Reply(GOOD_REPLY)),
+        backend(new_journal.clone(), |_, _| BackendAction::Reply(GOOD_REPLY)),
     ];
     let changed = Arc::new(AtomicBool::new(false));
     let next_list = known(&ports[1..]).replace("\"seq\":1", "\"seq\":2");
@@ -108,7 +108,7 @@
     let fixture = Fixture::start_with_discovery(Journal::default(), discovery, &ports[..1], &[]);
     wait_until("a watch", || calls.lock().unwrap().iter().any(|call| call.1));
     changed.store(true, Ordering::SeqCst);
-    assert_applied_within_six_seconds(&fixture, &new);
+    assert_applied_within_six_seconds(&fixture, &new_journal);
 }
 
 /// Sends queries until one reaches a backend that only the new list names.
@@ -116,13 +116,13 @@
 /// # Panics
 ///
 /// If none does within 6 s.
-fn assert_applied_within_six_seconds(fixture: &Fixture, new: &Journal) {
+fn assert_applied_within_six_seconds(fixture: &Fixture, new_journal: &Journal) {
     let started = Instant::now();
     let mut client = fixture.client();
     for id in 1.. {
         client.query(id, 2000);
         assert_eq!(client.reply_text(), "value");
-        if !new.lock().unwrap().is_empty() {
+        if !new_journal.lock().unwrap().is_empty() {
             return;
         }
         assert!(started.elapsed() < ms(6000), "not applied after {:?}", started.elapsed());
@@ -142,11 +142,11 @@
 /// requests a second each, and no ingress got a change within half a minute.
 #[test]
 fn a_rejecting_service_is_retried_with_backoff() {
-    let old = Journal::default();
-    let new = Journal::default();
+    let old_journal = Journal::default();
+    let new_journal = Journal::default();
     let ports = [
-        backend(old, |_, _| BackendAction::Reply(GOOD_REPLY)),
-        backend(new.clone(), |_, _| BackendAction::Reply(GOOD_REPLY)),
+        backend(old_journal, |_, _| BackendAction::Reply(GOOD_REPLY)),
+        backend(new_journal.clone(), |_, _| BackendAction::Reply(GOOD_REPLY)),
     ];
     let healthy = Arc::new(AtomicBool::new(false));
     let calls = Arc::new(AtomicUsize::new(0));
@@ -168,7 +168,7 @@
     let requests = calls.load(Ordering::SeqCst);
     assert!((2..=6).contains(&requests), "{requests} requests in five seconds");
     healthy.store(true, Ordering::SeqCst);
-    assert_applied_within_six_seconds(&fixture, &new);
+    assert_applied_within_six_seconds(&fixture, &new_journal);
 }
 
 /// The ingress polls, and an outage ends just after it sent a request. During the outage, the service rejects a request after its
@@ -176,11 +176,11 @@
 /// applies the new list within 6 s. Observed when 276 ingresses returned together: eight of them retried after 2 to 4 s, twice.
 #[test]
 fn an_outage_that_ends_between_two_polls_is_noticed() {
-    let old = Journal::default();
-    let new = Journal::default();
+    let old_journal = Journal::default();
+    let new_journal = Journal::default();
     let ports = [
-        backend(old, |_, _| BackendAction::Reply(GOOD_REPLY)),
-        backend(new.clone(), |_, _| BackendAction::Reply(GOOD_REPLY)),
+        backend(old_journal, |_, _| BackendAction::Reply(GOOD_REPLY)),
+        backend(new_journal.clone(), |_, _| BackendAction::Reply(GOOD_REPLY)),
     ];
     let calls = Arc::new(AtomicUsize::new(0));
     let agent_calls = calls.clone();
@@ -201,7 +201,7 @@
     let poll = ("\"membership_mode\":\"push\"", "\"membership_mode\":\"ask\"");
     let fixture = Fixture::start_with_discovery(Journal::default(), discovery, &ports[..1], &[poll]);
     wait_until("a second request", || calls.load(Ordering::SeqCst) == 2);
-    assert_applied_within_six_seconds(&fixture, &new);
+    assert_applied_within_six_seconds(&fixture, &new_journal);
     assert_eq!(calls.load(Ordering::SeqCst), 4);
 }
 
@@ -209,11 +209,11 @@
 /// of its new list.
 #[test]
 fn idle_clients_do_not_block_discovery() {
-    let old = Journal::default();
-    let new = Journal::default();
+    let old_journal = Journal::default();
+    let new_journal = Journal::default();
     let ports = [
-        backend(old, |_, _| BackendAction::Reply(GOOD_REPLY)),
-        backend(new.clone(), |_, _| BackendAction::Reply(GOOD_REPLY)),
+        backend(old_journal, |_, _| BackendAction::Reply(GOOD_REPLY)),
+        backend(new_journal.clone(), |_, _| BackendAction::Reply(GOOD_REPLY)),
     ];
     let reserved = TcpListener::bind("127.0.0.1:0").unwrap();
     let address: SocketAddr = reserved.local_addr().unwrap();
@@ -230,7 +230,7 @@
     let discovery_service = start_discovery_at(address, known(&ports[1..]).replace("\"seq\":1", "\"seq\":2"));
     let started = Instant::now();
     let mut id = 0;
-    while new.lock().unwrap().is_empty() {
+    while new_journal.lock().unwrap().is_empty() {
         id += 1;
         let mut client = fixture.client();
         client.query(id, 2000);
--- a/crates/platform/tests/whole_path.rs
+++ b/crates/platform/tests/whole_path.rs
@@ -132,14 +132,14 @@
     );
 }
 
-/// A silent client and one that sent half a command get an error and a close. Their timeouts are their own: another client that
-/// sends continuously is served.
+/// A silent client and one that sent a part of a command get an error, and their connections are closed. Timeouts are counted
+/// for each client separately: another client that sends continuously is served.
 #[test]
 fn silent_clients_and_partial_commands_time_out() {
     let fixture = Fixture::start(vec![always(BackendAction::Reply(GOOD_REPLY))]);
-    let (mut silent, mut half) = (fixture.client(), fixture.client());
-    half.write(b"*4\r\n$9\r\nSVC.QU");
-    for client in [&mut silent, &mut half] {
+    let (mut silent, mut partial) = (fixture.client(), fixture.client());
+    partial.write(b"*4\r\n$9\r\nSVC.QU");
+    for client in [&mut silent, &mut partial] {
         assert!(client.reply_text().starts_with("-ERR"));
         assert_eq!(client.reply_text(), "closed");
     }
@@ -180,16 +180,16 @@
 #[test]
 fn requests_follow_discovery_changes() {
     let journal = Journal::default();
-    let old = Journal::default();
-    let new = Journal::default();
+    let old_journal = Journal::default();
+    let new_journal = Journal::default();
     let ports = [
-        backend(old.clone(), always(BackendAction::Reply(GOOD_REPLY))),
-        backend(new.clone(), always(BackendAction::Reply(GOOD_REPLY))),
+        backend(old_journal.clone(), always(BackendAction::Reply(GOOD_REPLY))),
+        backend(new_journal.clone(), always(BackendAction::Reply(GOOD_REPLY))),
     ];
     let fixture = Fixture::start_with_ports(journal, &ports[..1], &[]);
     let mut client = fixture.client();
     client.query(1, 2000);
-    assert_eq!((client.reply_text(), old.lock().unwrap().len()), ("value".into(), 1));
+    assert_eq!((client.reply_text(), old_journal.lock().unwrap().len()), ("value".into(), 1));
     while fixture.discovery.watches.lock().unwrap().is_empty() {
         std::thread::sleep(Duration::from_millis(5));
     }
@@ -206,17 +206,17 @@
     );
     fixture.discovery.send_change(&change);
     let mut id = 1;
-    while new.lock().unwrap().is_empty() {
+    while new_journal.lock().unwrap().is_empty() {
         id += 1;
         client.query(id, 2000);
         assert_eq!(client.reply_text(), "value");
     }
-    let before = old.lock().unwrap().len();
+    let before = old_journal.lock().unwrap().len();
     for n in 0..20 {
         client.query(1000 + n, 2000);
         assert_eq!(client.reply_text(), "value");
     }
-    assert_eq!(old.lock().unwrap().len(), before, "a draining backend got requests");
+    assert_eq!(old_journal.lock().unwrap().len(), before, "a draining backend got requests");
     let change = format!(
         r#"{{"seq":3,"whole":true,"hosts":[{},{}]}}"#,
         backend_entry("s-renamed", ports[0], "ready"),
@@ -224,7 +224,7 @@
     );
     fixture.discovery.send_change(&change);
     let mut id = 2000;
-    while old.lock().unwrap().len() == before {
+    while old_journal.lock().unwrap().len() == before {
         id += 1;
         client.query(id, 2000);
         assert_eq!(client.reply_text(), "value");
