--- a/crates/cli/tests/command.rs
+++ b/crates/cli/tests/command.rs
@@ -77,7 +77,8 @@
                 r#""me": 0, "peers": {"listen": "0.0.0.0:7946", "key": "5a" * 32,
                     "view": {"seeds": ["127.0.0.1:9"]}}"#,
             ),
-            "settings.fleet.peers.view.address: expected where others reach this one",
+            "settings.fleet.peers.view.address: expected the address at which other ingresses reach this one, \
+             as `listen` is 0.0.0.0:7946; found none",
         ),
         (SETTINGS.replace("\"me\": 0", "\"my\": 0"), "settings.fleet.my: unknown field `my`"),
         (
--- a/crates/gateway/src/settings/cross_checks.rs
+++ b/crates/gateway/src/settings/cross_checks.rs
@@ -29,7 +29,9 @@
     if needs_address && peers.listen.ip().is_unspecified() {
         // Other gateways cannot send to an unspecified address: to them, it means their own host.
         let listen = peers.listen;
-        let text = format!("expected where others reach this one, as it listens at {listen}; found none");
+        let text = format!(
+            "expected the address at which other ingresses reach this one, as `listen` is {listen}; found none"
+        );
         complaints.add("fleet.peers.view.address", text);
     }
     let discovered = peers.view.is_some() && peers.addresses.is_empty();
--- a/crates/gateway/tests/admission.rs
+++ b/crates/gateway/tests/admission.rs
@@ -293,7 +293,7 @@
         }
         task.await;
         sleep_ms(&fixture.runtime, 100).await;
-        let seen = flood_counts.lock().unwrap().clone();
-        assert!(seen.rejected + seen.closed > 100 && seen.timed_out == 0, "{seen:?}");
+        let counts = flood_counts.lock().unwrap().clone();
+        assert!(counts.rejected + counts.closed > 100 && counts.timed_out == 0, "{counts:?}");
     });
 }
--- a/crates/gateway/tests/fleet.rs
+++ b/crates/gateway/tests/fleet.rs
@@ -1,5 +1,5 @@
-//! The fleet views of ingresses in the simulated runtime. The link faults are those that are used between real processes; the
-//! fleets are larger than one machine could run as processes.
+//! The fleet views of ingresses in the simulated runtime, in fleets that are larger than one machine could run as processes.
+//! The link faults are those that are used between real processes.
 
 mod common;
 
@@ -31,20 +31,21 @@
     settings
 }
 
+/// The running ingresses of a fleet in one simulation.
 struct Fleet {
-    world: Simulation,
+    simulation: Simulation,
     size: u16,
     running: BTreeMap<u16, (Instance, HostGuard)>,
     /// A host without an ingress, which keeps the test's time.
     clock: std::sync::Arc<chalkgap::runtime::simulated_runtime::Host>,
-    _clock_power: HostGuard,
+    _clock_guard: HostGuard,
 }
 
 impl Fleet {
-    async fn start(world: Simulation, count: u16) -> Fleet {
-        let (clock, clock_power) = world.host(0, 0);
+    async fn start(simulation: Simulation, count: u16) -> Fleet {
+        let (clock, clock_guard) = simulation.host(0, 0);
         let mut fleet =
-            Fleet { world, size: count, running: BTreeMap::new(), clock, _clock_power: clock_power };
+            Fleet { simulation, size: count, running: BTreeMap::new(), clock, _clock_guard: clock_guard };
         for n in 0..count {
             fleet.start_ingress(n).await;
         }
@@ -52,14 +53,14 @@
     }
 
     async fn start_ingress(&mut self, n: u16) {
-        let (host, power) = self.world.host(u32::from(n) + 1, 0);
+        let (host, guard) = self.simulation.host(u32::from(n) + 1, 0);
         let instance = Instance::start(ingress_settings(n, self.size), host).await.unwrap();
-        self.running.insert(n, (instance, power));
+        self.running.insert(n, (instance, guard));
     }
 
     fn kill(&mut self, n: u16) {
-        if let Some((instance, mut power)) = self.running.remove(&n) {
-            power.kill();
+        if let Some((instance, mut guard)) = self.running.remove(&n) {
+            guard.kill();
             drop(instance);
         }
     }
@@ -89,11 +90,12 @@
     fn set_link_faults(&self, faults: Option<LinkFaults>, affected: impl Fn(u16, u16) -> bool) {
         let all = || 0..self.size;
         for (a, b) in all().flat_map(|a| all().map(move |b| (a, b))).filter(|(a, b)| affected(*a, *b)) {
-            self.world.set_link(u32::from(a) + 1, u32::from(b) + 1, faults);
+            self.simulation.set_link(u32::from(a) + 1, u32::from(b) + 1, faults);
         }
     }
 }
 
+/// Whether all views have `member_count` members and are the same.
 fn agreed(views: &[FleetSnapshot], member_count: u16) -> bool {
     views.iter().all(|v| {
         v.member_count == member_count && v.digest == views[0].digest && v.version == views[0].version
@@ -102,11 +104,11 @@
 
 /// A fleet starts at once, one ingress is killed and restarted, and a partition splits the fleet in halves and heals.
 fn kill_restart_and_partition(count: u16) {
-    let world = Simulation::new(u64::from(count), 1_800_000_000 * SECOND);
-    world.set_default_link(LinkFaults { loss: 0.02, delay: (500, 8000), ..DEFAULT_LINK });
-    let fleet_world = world.clone();
-    let completed = world.run(async move {
-        let mut fleet = Fleet::start(fleet_world, count).await;
+    let simulation = Simulation::new(u64::from(count), 1_800_000_000 * SECOND);
+    simulation.set_default_link(LinkFaults { loss: 0.02, delay: (500, 8000), ..DEFAULT_LINK });
+    let fleet_simulation = simulation.clone();
+    let completed = simulation.run(async move {
+        let mut fleet = Fleet::start(fleet_simulation, count).await;
         let converged =
             fleet.wait_until(60 * SECOND, |views| agreed(views, count)).await.expect("all views agree");
         let max_detection_time = fleet.views()[0].max_detection_time;
@@ -132,7 +134,7 @@
         fleet
             .wait_until(timeout, |views| views.iter().all(|v| v.member_count == count / 2))
             .await
-            .expect("each view holds its half");
+            .expect("each view has the members of its side of the partition");
         fleet.set_link_faults(None, |_, _| true);
         let healed =
             fleet.wait_until(60 * SECOND, |views| agreed(views, count)).await.expect("all views agree again");
--- a/crates/gateway/tests/interop.rs
+++ b/crates/gateway/tests/interop.rs
@@ -31,7 +31,7 @@
     _node: Node,
 }
 
-/// Starts an ingress and a node on a thread of their own.
+/// Starts an ingress and a node on one background thread.
 fn start_fixture(settings: Settings) -> Fixture {
     let system = System::new();
     system.threads(1);
@@ -46,7 +46,7 @@
     Fixture { system, ingress, _node: node }
 }
 
-/// Runs a future on a tokio runtime of its own.
+/// Runs a future on a new tokio runtime.
 fn run_tokio<T>(main: impl std::future::Future<Output = T>) -> T {
     tokio::runtime::Builder::new_multi_thread().worker_threads(1).enable_all().build().unwrap().block_on(main)
 }
@@ -135,13 +135,14 @@
     client_thread.join().unwrap();
 }
 
-/// Starts a node on the h2 crate. `plan` holds its action for the n-th call; later calls are served. Returns its address and a
-/// log with the path and the idempotency key of each call.
+/// Starts a node on the h2 crate. `plan` holds its action for the n-th call; later calls are served. The actions are `serve`,
+/// `refuse` (REFUSED_STREAM), `503` (this HTTP status), `truncate` (a part of the response, then a reset) and `goaway` (sends
+/// GOAWAY and serves the call). Returns its address and the path and the idempotency key of each call.
 #[expect(clippy::too_many_lines, reason = "one scenario in its order")]
 fn h2_node(plan: &'static [&'static str]) -> (SocketAddr, Arc<Mutex<Vec<String>>>) {
-    let seen = Arc::new(Mutex::new(Vec::new()));
+    let calls = Arc::new(Mutex::new(Vec::new()));
     let (address_sender, address) = std::sync::mpsc::channel();
-    let log = seen.clone();
+    let log = calls.clone();
     std::thread::spawn(move || {
         run_tokio(async {
             let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
@@ -189,7 +190,7 @@
                             }
                             let done = Done { body: Bytes::from(work.account), ..Done::default() };
                             let message = chalkgap_wire::grpc::frame(&done);
-                            if action == "half" {
+                            if action == "truncate" {
                                 body_sender.send_data(message.slice(..3), false).unwrap();
                                 tokio::time::sleep(std::time::Duration::from_millis(5)).await;
                                 return body_sender.send_reset(h2::Reason::INTERNAL_ERROR);
@@ -208,7 +209,7 @@
             }
         });
     });
-    (address.recv().unwrap(), seen)
+    (address.recv().unwrap(), calls)
 }
 
 /// Starts an ingress whose only node is `node`, and connects a client.
@@ -222,7 +223,7 @@
 
 #[test]
 fn h2_server_as_a_node() {
-    let (node, seen) = h2_node(&["serve", "refuse", "serve", "503", "goaway", "serve"]);
+    let (node, calls) = h2_node(&["serve", "refuse", "serve", "503", "goaway", "serve"]);
     common::run(|system| async move {
         let (_ingress, client) = start_with_node(&system, node).await;
         let mut keyed = client_request(1, "big", "report-upload");
@@ -233,7 +234,7 @@
         // REFUSED_STREAM proves that the request did not run (RFC 9113, section 8.7): even an unsafe one is retried.
         let result = client.call(&client_request(2, "big", "referral")).await;
         assert_eq!(result.answer, Answer::Served, "{}", result.message);
-        assert_eq!(seen.lock().unwrap().len(), 3);
+        assert_eq!(calls.lock().unwrap().len(), 3);
         // After any other error the request may have run: an unsafe one is not retried.
         let result = client.call(&client_request(3, "big", "referral")).await;
         assert_eq!(result.answer, Answer::Failed { code: 14 });
@@ -241,12 +242,12 @@
         for n in 4..6 {
             assert_eq!(client.call(&client_request(n, "big", "referral")).await.answer, Answer::Served);
         }
-        let seen = seen.lock().unwrap().clone();
+        let calls = calls.lock().unwrap().clone();
         assert!(
-            seen[0].starts_with("/chalkgap.intake.v1.Intake/report-upload ") && seen[0].len() > 60,
-            "{seen:?}"
+            calls[0].starts_with("/chalkgap.intake.v1.Intake/report-upload ") && calls[0].len() > 60,
+            "{calls:?}"
         );
-        assert_eq!(seen[1], "/chalkgap.intake.v1.Intake/referral ");
+        assert_eq!(calls[1], "/chalkgap.intake.v1.Intake/referral ");
     });
 }
 
@@ -277,16 +278,16 @@
     });
 }
 
-/// If a node resets a response halfway, a keyed request is sent again with the same key.
+/// If a node resets the stream after a part of the response, a keyed request is retried with the same key.
 #[test]
-fn a_keyed_request_is_retried_after_half_a_response() {
-    let (node, seen) = h2_node(&["half", "serve"]);
+fn a_keyed_request_is_retried_after_a_truncated_response() {
+    let (node, calls) = h2_node(&["truncate", "serve"]);
     common::run(|system| async move {
         let (_ingress, client) = start_with_node(&system, node).await;
         let result = client.call(&client_request(1, "big", "report-upload")).await;
         assert_eq!(result.answer, Answer::Served, "{}", result.message);
-        let seen = seen.lock().unwrap().clone();
-        assert_eq!(seen.len(), 2);
-        assert_eq!(seen[0], seen[1], "the same class and key");
+        let calls = calls.lock().unwrap().clone();
+        assert_eq!(calls.len(), 2);
+        assert_eq!(calls[0], calls[1], "the same class and key");
     });
 }
--- a/crates/gateway/tests/ledger/main.rs
+++ b/crates/gateway/tests/ledger/main.rs
@@ -87,8 +87,8 @@
 }
 
 /// Units by account and period that the consumer has received.
-fn units_billed(vault: &BatchStore) -> BTreeMap<(String, u64), i64> {
-    let batches = vault.batches();
+fn units_billed(batch_store: &BatchStore) -> BTreeMap<(String, u64), i64> {
+    let batches = batch_store.batches();
     units_in_batches(batches.values().flatten().map(|bytes| Batch::decode(bytes.clone()).unwrap()))
 }
 
@@ -134,8 +134,8 @@
     run(|system| async move {
         let system: Shared = system;
         let folder = Directory::new();
-        let vault = BatchStore::default();
-        let consumer = Consumer::start(system.clone(), free_address(), vault.clone(), seed).unwrap();
+        let batch_store = BatchStore::default();
+        let consumer = Consumer::start(system.clone(), free_address(), batch_store.clone(), seed).unwrap();
         consumer.faults(ConsumerFaults { refuse: 0.2, silent: 0.2 });
         let execution_logs: Vec<ExecutionLog> = (0..3).map(|_| ExecutionLog::default()).collect();
         let journal = Journal::default();
@@ -211,12 +211,12 @@
         }
         eventually(&system, "billed units equal executed units", || {
             let executed = units_executed(&execution_logs);
-            !executed.is_empty() && units_billed(&vault) == executed
+            !executed.is_empty() && units_billed(&batch_store) == executed
         })
         .await;
         // No further units are billed.
         sleep_ms(&system, 300).await;
-        assert_eq!(units_billed(&vault), units_executed(&execution_logs), "seed {seed}");
+        assert_eq!(units_billed(&batch_store), units_executed(&execution_logs), "seed {seed}");
         assert!(units_executed(&execution_logs).len() >= 2, "expected more than one period");
         for ingress in ingresses.iter().flatten() {
             let counts = ingress.counts();
@@ -353,8 +353,8 @@
 fn an_unknown_outcome_is_presumed_and_corrected_later() {
     run(|system| async move {
         let folder = Directory::new();
-        let vault = BatchStore::default();
-        let consumer = Consumer::start(system.clone(), free_address(), vault.clone(), 1).unwrap();
+        let batch_store = BatchStore::default();
+        let consumer = Consumer::start(system.clone(), free_address(), batch_store.clone(), 1).unwrap();
         let mut settings = settings();
         let mut ledger = ledger_settings(&folder, "0", Some(ExportTo::Grpc(consumer.address())));
         ledger.truth_ms = 200;
@@ -370,10 +370,10 @@
         })
         .await;
         sleep_ms(&fixture.runtime, 1500).await; // past the end of its period
-        assert!(units_billed(&vault).is_empty());
+        assert!(units_billed(&batch_store).is_empty());
         fixture.nodes[0].faults(Faults::default());
         eventually(&fixture.runtime, "the correction is billed", || {
-            units_billed(&vault) == units_executed(&fixture.execution_logs)
+            units_billed(&batch_store) == units_executed(&fixture.execution_logs)
         })
         .await;
     });
@@ -386,8 +386,8 @@
     run(|system| async move {
         let system: Shared = system;
         let folder = Directory::new();
-        let vault = BatchStore::default();
-        let consumer = Consumer::start(system.clone(), free_address(), vault.clone(), 1).unwrap();
+        let batch_store = BatchStore::default();
+        let consumer = Consumer::start(system.clone(), free_address(), batch_store.clone(), 1).unwrap();
         let mut settings = settings();
         let ledger = ledger_settings(&folder, "0", Some(ExportTo::Grpc(consumer.address())));
         settings.ledger = Some(Ledger { keep_s: 1, segment: 4096, ..ledger });
@@ -402,7 +402,7 @@
                 sleep_ms(&system, 12).await;
             }
             eventually(&system, "billed units equal executed units", || {
-                units_billed(&vault) == units_executed(&fixture.execution_logs)
+                units_billed(&batch_store) == units_executed(&fixture.execution_logs)
             })
             .await;
             assert_eq!(count_files(".snap"), 1, "expected one snapshot");
@@ -419,7 +419,7 @@
                 Client::connect(system.clone(), address, 0, fixture.journal.clone()).await.unwrap();
         }
         sleep_ms(&system, 1500).await;
-        assert_eq!(units_billed(&vault), units_executed(&fixture.execution_logs));
+        assert_eq!(units_billed(&batch_store), units_executed(&fixture.execution_logs));
         assert_eq!(fixture.ingress.counts().ledger_conflicts, 0);
     });
 }
--- a/crates/gateway/tests/mqtt.rs
+++ b/crates/gateway/tests/mqtt.rs
@@ -53,13 +53,13 @@
 }
 
 /// Number of journal entries that match `wanted`.
-fn count_seen(fixture: &Fixture, wanted: impl Fn(&Seen) -> bool) -> usize {
+fn count_entries(fixture: &Fixture, wanted: impl Fn(&Seen) -> bool) -> usize {
     fixture.journal.entries().iter().filter(|e| wanted(&e.1)).count()
 }
 
-/// Number of times that nodes ran a request.
+/// Number of executions by nodes, over all requests.
 fn executions(fixture: &Fixture) -> usize {
-    count_seen(fixture, |seen| matches!(seen, Seen::Ran { .. }))
+    count_entries(fixture, |seen| matches!(seen, Seen::Ran { .. }))
 }
 
 /// A client that sends and receives single packets.
@@ -109,7 +109,7 @@
     }
 }
 
-/// A CONNECT without a user, for a session that expires after 60 s where the version has that.
+/// A CONNECT without a user. In MQTT 5 its session expires 60 s after the connection ends.
 fn connect_packet(version: Version, client: &str) -> Connect {
     Connect {
         version,
@@ -227,7 +227,8 @@
             .properties
             .find(|p| matches!(p, Property::AssignedClientIdentifier(_)).then_some(()))
             .is_some());
-        // A topic without a filter, the topic of a user's own account without a user, an unknown account; then a retained message.
+        // Rejected: a topic that no filter matches, a topic that is charged to the user by a client without a user name, and an
+        // unknown account. A retained message ends the connection.
         for (topic, expected) in [
             ("elsewhere", NOT_AUTHORIZED),
             ("mine/sig-check", NOT_AUTHORIZED),
@@ -261,7 +262,7 @@
         let (mut client, _) = RawClient::open(&fixture, connect_packet(Version::V5, "c")).await;
         client.send(&Packet::Publish(publish(UNSAFE_TOPIC, QoS::ExactlyOnce, 7, 1))).await;
         eventually(&fixture.runtime, "the request arrived at a node", || {
-            count_seen(&fixture, |seen| matches!(seen, Seen::Arrived { .. })) == 1
+            count_entries(&fixture, |seen| matches!(seen, Seen::Arrived { .. })) == 1
         })
         .await;
         drop(client);
@@ -409,7 +410,7 @@
         .await;
         drop(client);
         eventually(&fixture.runtime, "the will has run", || {
-            count_seen(&fixture, |seen| matches!(seen, Seen::Ran { call: 5, .. })) == 1
+            count_entries(&fixture, |seen| matches!(seen, Seen::Ran { call: 5, .. })) == 1
         })
         .await;
         // DISCONNECT discards the will.
@@ -435,8 +436,8 @@
     });
 }
 
-/// A restarted ingress knows the QoS 2 state of its sessions: it completes a PUBREL for a PUBLISH of before the restart, and does
-/// not run a repeated PUBLISH again.
+/// A restarted ingress restores the QoS 2 state of its sessions: it completes a PUBREL for a PUBLISH that it received before
+/// the restart, and does not run a repeated PUBLISH again.
 #[test]
 fn sessions_survive_a_restart() {
     run(|system| async move {
--- a/crates/gateway/tests/simulated_runtime.rs
+++ b/crates/gateway/tests/simulated_runtime.rs
@@ -21,19 +21,20 @@
     settings
 }
 
-/// Sends requests one at a time for ten minutes. The node fails one request in ten halfway; the ingress is killed after half of
-/// the time and restarts from its disk. Returns what clients and nodes saw, and the number of ledger entries.
+/// Sends requests one at a time for ten minutes. The node truncates the response of one request in ten; the ingress is killed
+/// after half of the time and restarts from its disk. Returns the journal of clients and nodes, and the number of ledger
+/// entries.
 fn ten_minutes(seed: u64) -> (Vec<Entry>, u64) {
-    let world = Simulation::new(seed, 1_800_000_000_000_000);
-    world.set_default_link(LinkFaults { delay: (100, 3000), ..DEFAULT_LINK });
-    let (node_host, _node_power) = world.host(0, 0);
-    let (client_host, _client_power) = world.host(2, 0);
+    let simulation = Simulation::new(seed, 1_800_000_000_000_000);
+    simulation.set_default_link(LinkFaults { delay: (100, 3000), ..DEFAULT_LINK });
+    let (node_host, _node_guard) = simulation.host(0, 0);
+    let (client_host, _client_guard) = simulation.host(2, 0);
     let journal = Journal::default();
     let recorded = journal.clone();
     let ledger_entries = Arc::new(Mutex::new(0));
     let entry_count = ledger_entries.clone();
-    let ingress_world = world.clone();
-    let completed = world.run(async move {
+    let ingress_simulation = simulation.clone();
+    let completed = simulation.run(async move {
         let node_address = SocketAddr::new(address(0), 7001);
         let work = [("sig-check".to_owned(), 20_000.0), ("referral".to_owned(), 30_000.0)];
         let machine = Machine { work: work.into_iter().collect(), seed, ..Machine::default() };
@@ -42,7 +43,7 @@
         let client_runtime: Shared = client_host;
         let mut call = 0;
         for incarnation in 0..2 {
-            let (host, mut power) = ingress_world.host(1, 0);
+            let (host, mut guard) = ingress_simulation.host(1, 0);
             let ingress = Instance::start(with_ledger(), host).await.unwrap();
             ingress.set_node_list(node_list(&[&node])).await;
             let address = ingress.grpc_address();
@@ -55,7 +56,7 @@
             }
             *entry_count.lock().unwrap() += ingress.counts().ledger_entries;
             if incarnation == 0 {
-                power.kill();
+                guard.kill();
             }
             drop(ingress);
         }
