--- a/crates/cli/src/drill.rs
+++ b/crates/cli/src/drill.rs
@@ -4,7 +4,7 @@
 use chalkgap::runtime::system::System;
 use chalkgap_fault_injection::audit::Verdict;
 use chalkgap_fault_injection::day::Day;
-use chalkgap_fault_injection::drill::{self, DrillError, Home};
+use chalkgap_fault_injection::drill::{self, DrillError, IngressPlacement};
 use std::path::PathBuf;
 
 /// Run a fault-injection drill against real ingresses and audit it.
@@ -44,9 +44,9 @@
         Ok(day) => day,
         Err(e) => return fail(Exit::Settings, e),
     };
-    let home = match std::env::current_exe() {
-        _ if !args.processes => Home::InProcess,
-        Ok(program) => Home::Processes(program),
+    let placement = match std::env::current_exe() {
+        _ if !args.processes => IngressPlacement::InProcess,
+        Ok(program) => IngressPlacement::Processes(program),
         Err(e) => return fail(Exit::System, format!("path of this program: {e}")),
     };
     let system = System::new();
@@ -55,7 +55,7 @@
     if !args.json {
         println!("{name}: {ingresses} ingresses, {seconds} s ...");
     }
-    match system.clone().run(drill::play(system, day, home)) {
+    match system.clone().run(drill::play(system, day, placement)) {
         Ok(verdict) => {
             if args.json {
                 println!("{}", serde_json::to_string(&verdict).unwrap_or_default());
--- a/crates/cli/tests/scenarios.rs
+++ b/crates/cli/tests/scenarios.rs
@@ -1,44 +1,44 @@
-//! The same scenarios with ingresses in this process and with ingresses in processes of their own.
+//! Runs scenarios of fault injection, with all ingresses in this process and with each ingress in a separate process.
 
 use chalkgap::runtime::system::System;
 use chalkgap_fault_injection::audit::Verdict;
 use chalkgap_fault_injection::day::Day;
-use chalkgap_fault_injection::drill::{play, Home};
+use chalkgap_fault_injection::drill::{play, IngressPlacement};
 use chalkgap_fault_injection::fleet::Statement;
 use std::sync::{Mutex, PoisonError};
 
-fn homes() -> [Home; 2] {
-    [Home::InProcess, Home::Processes(env!("CARGO_BIN_EXE_chalkgap").into())]
+fn placements() -> [IngressPlacement; 2] {
+    [IngressPlacement::InProcess, IngressPlacement::Processes(env!("CARGO_BIN_EXE_chalkgap").into())]
 }
 
 /// Held while a day runs. The audit depends on times, and parallel days would share two cores.
 static ONE_AT_A_TIME: Mutex<()> = Mutex::new(());
 
-fn run(script: &str, home: Home) -> Verdict {
-    run_over(None, script, home)
+fn run(script: &str, placement: IngressPlacement) -> Verdict {
+    run_over(None, script, placement)
 }
 
-/// Runs a day. With `door`, all clients use that protocol.
-fn run_over(door: Option<&str>, script: &str, home: Home) -> Verdict {
+/// Runs a scenario. `door` is the protocol that all clients use; `None` leaves that to the script.
+fn run_over(door: Option<&str>, script: &str, placement: IngressPlacement) -> Verdict {
     let _guard = ONE_AT_A_TIME.lock().unwrap_or_else(PoisonError::into_inner);
     let given: Vec<(String, String)> = door.iter().map(|d| ("door".to_owned(), (*d).to_owned())).collect();
     let day = Day::read("day.star", script.into(), &given).expect("a valid day");
     let system = System::new();
     system.threads(1);
-    system.clone().run(play(system, day, home)).expect("the drill runs")
+    system.clone().run(play(system, day, placement)).expect("the drill runs")
 }
 
 #[test]
 fn the_short_day_violates_no_rule() {
-    for home in homes() {
-        let verdict = run(include_str!("../../fault-injection/scenarios/short.star"), home.clone());
-        assert!(verdict.violations.is_empty(), "{home:?}: {:#?}", verdict.violations);
+    for placement in placements() {
+        let verdict = run(include_str!("../../fault-injection/scenarios/short.star"), placement.clone());
+        assert!(verdict.violations.is_empty(), "{placement:?}: {:#?}", verdict.violations);
         assert!(
             verdict.calls > 800 && verdict.served > 500 && verdict.refused > 20,
-            "{home:?}: too little traffic: {verdict:?}"
+            "{placement:?}: too little traffic: {verdict:?}"
         );
         let billing = verdict.billing.expect("the day has ledgers");
-        assert!(billing.differences.is_empty(), "{home:?}: {:#?}", billing.differences);
+        assert!(billing.differences.is_empty(), "{placement:?}: {:#?}", billing.differences);
         assert!(billing.counted > 500, "{billing:?}");
     }
 }
@@ -46,7 +46,7 @@
 /// The same scenario with MQTT for all clients.
 #[test]
 fn the_short_day_over_mqtt_alone() {
-    let [in_process, _] = homes();
+    let [in_process, _] = placements();
     let verdict =
         run_over(Some("mqtt"), include_str!("../../fault-injection/scenarios/short.star"), in_process);
     assert!(verdict.violations.is_empty(), "{:#?}", verdict.violations);
@@ -58,13 +58,13 @@
     assert!(billing.differences.is_empty(), "{:#?}", billing.differences);
 }
 
-/// Requests that waited in the socket of a suspended ingress have less time left. Guards against the following failure: the
-/// ingress counted the timeout from when it read the request, and so answered about 100 ms late, with an attempt sent after
-/// the client's deadline.
+/// The time that a request waits in the socket of a suspended ingress counts against its timeout. Guards against the following
+/// failure: the ingress counted the timeout from when it read the request, and so answered about 100 ms late, with an attempt
+/// sent after the client's deadline.
 #[test]
 fn time_in_the_socket_of_a_suspended_ingress_counts_against_the_timeout() {
     for door in ["grpc", "mqtt"] {
-        let [_, processes] = homes();
+        let [_, processes] = placements();
         let verdict =
             run_over(Some(door), include_str!("../../fault-injection/scenarios/stalled.star"), processes);
         assert!(verdict.violations.is_empty(), "{door}: {:#?}", verdict.violations);
@@ -76,7 +76,7 @@
 fn served_requests_match_the_bursts_in_every_kind_of_run() {
     let script = include_str!("../../fault-injection/scenarios/counted.star");
     let doors = ["grpc", "mqtt"].into_iter();
-    let verdicts = doors.flat_map(|d| homes().map(|home| run_over(Some(d), script, home)));
+    let verdicts = doors.flat_map(|d| placements().map(|placement| run_over(Some(d), script, placement)));
     for verdict in verdicts {
         assert!(verdict.violations.is_empty(), "{:#?}", verdict.violations);
         assert_eq!(
@@ -92,7 +92,7 @@
     let given: Vec<(String, String)> = given.iter().map(|g| (g.0.to_owned(), g.1.to_owned())).collect();
     let script = include_str!("../../fault-injection/scenarios/fleet-view.star").to_owned();
     let day = Day::read("fleet-view.star", script, &given).expect("a valid day");
-    let [_, processes] = homes();
+    let [_, processes] = placements();
     let system = System::new();
     system.threads(1);
     let verdict = system.clone().run(play(system, day, processes)).expect("the drill runs");
--- a/crates/fault-injection/benches/ingress.rs
+++ b/crates/fault-injection/benches/ingress.rs
@@ -703,7 +703,8 @@
     begun.elapsed().as_secs_f64() * 1e6 / f64::from(rounds * calls)
 }
 
-/// Compares an ingress with a ledger and an ingress without one, for nodes with different processing times.
+/// Compares an ingress with a ledger and an ingress without one, for nodes with different processing times. The column
+/// `to without` has the latencies as multiples of those without a ledger.
 fn ledger(system: &Arc<System>, seconds: f64) {
     println!("\nIngress and node with and without a ledger, open loop over 16 connections\n");
     println!("| node's work ms | calls a second | ledger | p50 / p99 / p99.9 ms | to without | CPU us a call | bad |");
--- a/crates/fault-injection/src/day.rs
+++ b/crates/fault-injection/src/day.rs
@@ -204,7 +204,7 @@
     /// Pause before a retry in milliseconds, if the answer does not name one.
     #[garde(range(min = 0, max = 60_000))]
     pub pause_ms: u64,
-    /// Minimum timeout of a try, as a share of the deadline of its class. The timeout is drawn from this share to 1.
+    /// Minimum timeout of a call, as a share of the deadline of its class. The share of each call is drawn between this and 1.
     #[garde(range(min = 0.001, max = 1.0))]
     pub patience: f64,
     /// Share of the requests whose timeouts are less than 30 ms.
--- a/crates/fault-injection/src/drill/mod.rs
+++ b/crates/fault-injection/src/drill/mod.rs
@@ -29,10 +29,10 @@
 
 /// Where ingresses run.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Home {
+pub enum IngressPlacement {
     /// In this process, each as an instance of the library.
     InProcess,
-    /// Each in a process of its own, which runs this program with `serve` and a settings file.
+    /// Each in a separate process, which runs the program at this path with `serve` and a settings file.
     Processes(PathBuf),
 }
 
@@ -75,7 +75,7 @@
 struct DrillRun {
     runtime: Shared,
     day: Day,
-    home: Home,
+    placement: IngressPlacement,
     folder: PathBuf,
     journal: Journal,
     slots: Mutex<Vec<IngressSlot>>,
@@ -149,8 +149,8 @@
 /// # Errors
 /// [`DrillError`] if the day or its settings are invalid, or if an ingress, a socket, a file or a process fails to start.
 /// Violations are no errors; they are part of the verdict.
-pub async fn play(runtime: Shared, day: Day, home: Home) -> Result<Verdict, DrillError> {
-    let drill = DrillRun::new(runtime, day, home)?;
+pub async fn play(runtime: Shared, day: Day, placement: IngressPlacement) -> Result<Verdict, DrillError> {
+    let drill = DrillRun::new(runtime, day, placement)?;
     let played = drill.play().await;
     // Processes are ended and files removed even after an error.
     let mut slots = std::mem::take(&mut *lock(&drill.slots));
@@ -161,8 +161,8 @@
 
 impl DrillRun {
     #[expect(clippy::too_many_lines, reason = "not split yet, see docs/ROADMAP.md")]
-    fn new(runtime: Shared, day: Day, home: Home) -> Result<Arc<DrillRun>, DrillError> {
-        if day.fleet.is_some() && home == Home::InProcess {
+    fn new(runtime: Shared, day: Day, placement: IngressPlacement) -> Result<Arc<DrillRun>, DrillError> {
+        if day.fleet.is_some() && placement == IngressPlacement::InProcess {
             return Err(DrillError::Day {
                 path: "day.fleet".into(),
                 what: "requires a process for each ingress (--processes)".into(),
@@ -194,13 +194,13 @@
         let mut billing = None;
         let mut ledgers = BTreeMap::new();
         if day.settings.get("ledger").is_some() {
-            let vault = BatchStore::default();
+            let batch_store = BatchStore::default();
             let at = ([127, 0, 0, 1], 0).into();
-            let consumer = Consumer::start(runtime.clone(), at, vault.clone(), day.seed);
+            let consumer = Consumer::start(runtime.clone(), at, batch_store.clone(), day.seed);
             let consumer = consumer.map_err(io_error("billing consumer"))?;
-            // Some calls are refused, some get no reply: the ingress has to repeat them, and each batch counts once.
+            // Some calls are refused, some get no reply: the ingress has to retry them, and each batch counts once.
             consumer.faults(billing::Faults { refuse: 0.1, silent: 0.1 });
-            billing = Some((consumer, vault));
+            billing = Some((consumer, batch_store));
             for n in 0..numbers {
                 ledgers.insert(n, free_port()?);
             }
@@ -213,16 +213,16 @@
                 return Ok(at);
             }
             let link = (Party::Ingress(from), to);
-            let way = StreamRelay::start(
+            let proxy = StreamRelay::start(
                 runtime.clone(),
                 network.clone(),
                 link,
                 at,
                 day.seed ^ u64::from(from) << 8,
             );
-            let way = way.map_err(io_error("stream proxy"))?;
-            let address = way.address();
-            stream_proxies.push(way);
+            let proxy = proxy.map_err(io_error("stream proxy"))?;
+            let address = proxy.address();
+            stream_proxies.push(proxy);
             Ok::<_, DrillError>(address)
         };
         for n in 0..numbers {
@@ -341,7 +341,7 @@
         Ok(Arc::new(DrillRun {
             runtime,
             day,
-            home,
+            placement,
             folder,
             journal,
             slots: Mutex::new(slots),
@@ -462,13 +462,13 @@
     /// Waits until the consumer was billed for all units that nodes counted, for at most [`BILLING_TIMEOUT_US`]. Returns
     /// `None` if the ingresses keep no ledgers.
     async fn billing(&self, settings: &Settings) -> Option<Billing> {
-        let (ledger, (_, vault)) = (settings.ledger.as_ref()?, self.billing.as_ref()?);
+        let (ledger, (_, batch_store)) = (settings.ledger.as_ref()?, self.billing.as_ref()?);
         let periods = chalkgap::periods(ledger.period);
         let end = self.runtime.now() + BILLING_TIMEOUT_US;
         loop {
             let tallies: Vec<_> =
                 lock(&self.nodes).iter().map(|n| n.machine.executions.completed()).collect();
-            let billing = match billed(&vault.batches()) {
+            let billing = match billed(&batch_store.batches()) {
                 Ok(billed) => compare(&counted(tallies, periods), &billed),
                 Err(error) => Billing { differences: vec![error.to_string()], ..Billing::default() },
             };
--- a/crates/fault-injection/src/drill/processes.rs
+++ b/crates/fault-injection/src/drill/processes.rs
@@ -1,6 +1,6 @@
 //! Starts, kills, drains and replaces ingresses and nodes, and publishes the node list.
 
-use super::{io_error, lock, DrillError, DrillRun, Home};
+use super::{io_error, lock, DrillError, DrillRun, IngressPlacement};
 use crate::fleet::{FleetAction, ViewLogLine};
 use chalkgap::runtime::Micros;
 use chalkgap::settings::Settings;
@@ -96,11 +96,11 @@
             let slot = &slots[usize::from(n)];
             (slot.settings.clone(), slot.grpc)
         };
-        let state = match &self.home {
-            Home::InProcess => {
+        let state = match &self.placement {
+            IngressPlacement::InProcess => {
                 IngressState::InProcess(Instance::start(settings, self.runtime.clone()).await?)
             }
-            Home::Processes(program) => {
+            IngressPlacement::Processes(program) => {
                 let file = self.folder.join(format!("ingress-{n}.star"));
                 let value = serde_json::to_value(&settings).unwrap_or_default();
                 std::fs::write(&file, format!("settings = {}\n", literal(&value)))
--- a/crates/fault-injection/src/drill/traffic.rs
+++ b/crates/fault-injection/src/drill/traffic.rs
@@ -35,16 +35,16 @@
     }
 }
 
-/// Changes of the clients' behaviour by the current troubles.
+/// How the current troubles change the clients' behaviour.
 #[derive(Default)]
 pub(super) struct TrafficState {
-    /// Factor on the request rate of single accounts, by group and number.
+    /// Factor on the request rate of each listed account, by group and number; 1 for an account that is not listed.
     pub(super) hot: HashMap<(String, usize), f64>,
     /// Factor on the request rate of all accounts.
     pub(super) burst: f64,
     /// Clients retry after 1 ms.
     pub(super) abuse: bool,
-    /// Factor on the timeouts of the tries.
+    /// Factor on the timeouts of calls.
     pub(super) patience: f64,
     /// Position of the busiest ingress among those of an account.
     pub(super) shift: usize,
@@ -114,12 +114,13 @@
         }
     }
 
-    /// Sends a request and its retries.
+    /// Sends a request and its retries, until it is served, fails with an error that clients do not retry, or has no time or
+    /// retry left.
     async fn request(&self, group: &AccountGroup, i: usize, class: String, seed: u64) {
         let mut rng = SmallRng::seed_from_u64(seed);
         let clients = &self.day.clients;
-        let deadline = self.deadlines.get(&class).copied().unwrap_or(1_000_000);
-        let end = self.runtime.now() + deadline;
+        let class_deadline = self.deadlines.get(&class).copied().unwrap_or(1_000_000);
+        let end = self.runtime.now() + class_deadline;
         let units = clients.units.get(&class).copied().unwrap_or(1);
         let key = format!("{i}-{seed:x}");
         let width = group.width.min(self.day.ingresses).max(1);
@@ -135,11 +136,11 @@
                 if to_busiest { shift % usize::from(width) } else { rng.random_range(0..usize::from(width)) };
             let ingress = ((i + nth) % usize::from(self.day.ingresses)) as u16;
             let share = rng.random_range(clients.patience.min(0.999)..=1.0) * patience;
-            let left = end.saturating_sub(self.runtime.now());
+            let time_left = end.saturating_sub(self.runtime.now());
             let timeout =
-                if hurried { rng.random_range(0..30_000) } else { (deadline as f64 * share) as Micros };
-            let timeout = timeout.min(left);
-            if left == 0 {
+                if hurried { rng.random_range(0..30_000) } else { (class_deadline as f64 * share) as Micros };
+            let timeout = timeout.min(time_left);
+            if time_left == 0 {
                 return;
             }
             let call = self.next_call.fetch_add(1, Ordering::Relaxed);
@@ -152,6 +153,7 @@
             };
             let pause = match answer {
                 Answer::Served | Answer::Left => return,
+                // UNAVAILABLE (14) and DEADLINE_EXCEEDED (4) are retried.
                 Answer::Failed { code } if code != 14 && code != 4 => return,
                 Answer::Refused { pause } if pause > 0 && !abuse => pause,
                 _ if abuse => 1000,
--- a/crates/fault-injection/src/drill/troubles.rs
+++ b/crates/fault-injection/src/drill/troubles.rs
@@ -34,7 +34,7 @@
         list
     }
 
-    /// Returns the ingress numbers and process ids of those ingresses that run in a process of their own.
+    /// Returns the ingress numbers and process ids of those ingresses that run in a separate process.
     fn pids(&self, list: &[usize]) -> Vec<(u16, u32)> {
         let slots = lock(&self.slots);
         let pid = |n: &usize| match &slots[*n].state {
@@ -113,7 +113,7 @@
         pairs.iter().for_each(|(from, to)| self.network.set(*from, *to, None));
     }
 
-    /// Runs one trouble from its start to its end.
+    /// Injects a trouble, and ends it after its duration if it has one.
     #[expect(clippy::too_many_lines, reason = "not split yet, see docs/ROADMAP.md")]
     pub(super) async fn run_trouble(
         self: &Arc<Self>,
@@ -123,15 +123,15 @@
         tracing::info!(kind = ?trouble.kind, "drill: trouble begins");
         let ingresses = usize::from(self.day.ingresses);
         let nodes = lock(&self.nodes).len();
-        let numbers = ingresses + usize::from(self.day.reserve);
-        let all = |set: &dyn Fn(&mut Faults)| {
+        let with_reserve = ingresses + usize::from(self.day.reserve);
+        let set_faults = |set: &dyn Fn(&mut Faults)| {
             for n in self.affected(trouble, nodes, seed) {
                 self.change_node(n, set);
             }
         };
         match trouble.kind {
             Kind::BalancerCrash | Kind::Kill => {
-                let list = self.affected(trouble, numbers, seed);
+                let list = self.affected(trouble, with_reserve, seed);
                 list.iter().for_each(|n| self.kill_ingress(*n as u16));
                 self.pause(trouble.lasts).await;
                 // `Kill` without a duration is permanent.
@@ -148,28 +148,28 @@
                 }
             }
             Kind::Hang => {
-                all(&|f| f.hang = true);
+                set_faults(&|f| f.hang = true);
                 self.pause(trouble.lasts).await;
-                all(&|f| f.hang = false);
+                set_faults(&|f| f.hang = false);
             }
             Kind::Mute => {
-                all(&|f| f.mute = true);
+                set_faults(&|f| f.mute = true);
                 self.pause(trouble.lasts).await;
-                all(&|f| f.mute = false);
+                set_faults(&|f| f.mute = false);
             }
             Kind::FastErrors => {
-                all(&|f| f.fail = trouble.strength);
+                set_faults(&|f| f.fail = trouble.strength);
                 self.pause(trouble.lasts).await;
-                all(&|f| f.fail = 0.0);
+                set_faults(&|f| f.fail = 0.0);
             }
             Kind::ClassFail => {
                 let class = trouble.group.clone();
-                all(&|f| (f.fail, f.fail_class) = (trouble.strength, class.clone()));
+                set_faults(&|f| (f.fail, f.fail_class) = (trouble.strength, class.clone()));
                 self.pause(trouble.lasts).await;
-                all(&|f| (f.fail, f.fail_class) = (0.0, None));
+                set_faults(&|f| (f.fail, f.fail_class) = (0.0, None));
             }
             Kind::BalancerStall => {
-                let list = self.pids(&self.affected(trouble, numbers, seed));
+                let list = self.pids(&self.affected(trouble, with_reserve, seed));
                 let begun = self.runtime.now();
                 list.iter().for_each(|(n, pid)| self.suspend(*n, *pid));
                 self.pause(trouble.lasts).await;
@@ -177,7 +177,7 @@
                 self.record_stalls(&list, begun);
             }
             Kind::Slow => {
-                let list = self.pids(&self.affected(trouble, numbers, seed));
+                let list = self.pids(&self.affected(trouble, with_reserve, seed));
                 let begun = self.runtime.now();
                 let slice = trouble.strength / 1000.0;
                 let end = begun + (trouble.lasts * 1e6) as Micros;
@@ -192,17 +192,17 @@
                 self.record_stalls(&list, begun);
             }
             Kind::Leave => {
-                for n in self.affected(trouble, numbers, seed) {
+                for n in self.affected(trouble, with_reserve, seed) {
                     self.drain_ingress(n as u16).await;
                 }
             }
             Kind::Join => {
-                for n in self.affected(trouble, numbers, seed) {
+                for n in self.affected(trouble, with_reserve, seed) {
                     self.start_ingress(n as u16).await?;
                 }
             }
             Kind::Replace => {
-                for n in self.affected(trouble, numbers, seed) {
+                for n in self.affected(trouble, with_reserve, seed) {
                     self.replace_ingress(n as u16).await?;
                 }
             }
@@ -242,14 +242,14 @@
                 self.disturb_links(trouble, &late).await;
             }
             Kind::Halfway => {
-                all(&|f| f.halfway = trouble.strength);
+                set_faults(&|f| f.halfway = trouble.strength);
                 self.pause(trouble.lasts).await;
-                all(&|f| f.halfway = 0.0);
+                set_faults(&|f| f.halfway = 0.0);
             }
             Kind::Neighbour => {
-                all(&|f| f.slow = trouble.strength);
+                set_faults(&|f| f.slow = trouble.strength);
                 self.pause(trouble.lasts).await;
-                all(&|f| f.slow = 0.0);
+                set_faults(&|f| f.slow = 0.0);
             }
             Kind::HeavyTail => {
                 let share = if trouble.share > 0.0 { trouble.share } else { 0.02 };
--- a/crates/fault-injection/src/fleet/tests.rs
+++ b/crates/fault-injection/src/fleet/tests.rs
@@ -24,8 +24,9 @@
     }
 }
 
-/// A day of 100 seconds on which four processes are started in the first second, followed by `actions`.
-fn day(actions: Vec<(u64, FleetAction)>, mut lines: Vec<ViewLogLine>) -> Evidence {
+/// Evidence of a day of 100 seconds on which four processes are started after one second, followed by `actions`, each with
+/// its time in seconds.
+fn evidence(actions: Vec<(u64, FleetAction)>, mut lines: Vec<ViewLogLine>) -> Evidence {
     let starts = (0..4).map(|n| (SECOND_US, FleetAction::Up(n)));
     let actions = starts.chain(actions.into_iter().map(|(at, a)| (at * SECOND_US, a))).collect();
     lines.sort_by_key(|l| l.at);
@@ -37,7 +38,8 @@
     }
 }
 
-fn broken(evidence: &Evidence, stated: Stated) -> Vec<String> {
+/// Returns a description of each violation of the stated bounds.
+fn violations(evidence: &Evidence, stated: Stated) -> Vec<String> {
     judge(evidence, &stated).into_iter().flat_map(|s| s.broken).collect()
 }
 
@@ -46,30 +48,33 @@
     let stated = Stated { death_s: Some(5.0), ..Stated::default() };
     let actions = || vec![(20, FleetAction::Down(3))];
     let detections = |last| (0..3).map(|n| line(n, if n == 2 { last } else { 22 }, 3, "lost", "a")).collect();
-    assert_eq!(broken(&day(actions(), detections(24)), stated), Vec::<String>::new());
-    assert_eq!(broken(&day(actions(), detections(26)), stated), ["2 of 3: 6.00 s"]);
-    assert_eq!(broken(&day(actions(), Vec::new()), stated).len(), 3);
+    assert_eq!(violations(&evidence(actions(), detections(24)), stated), Vec::<String>::new());
+    assert_eq!(violations(&evidence(actions(), detections(26)), stated), ["2 of 3: 6.00 s"]);
+    assert_eq!(violations(&evidence(actions(), Vec::new()), stated).len(), 3);
     // A partitioned or suspended process cannot detect the death. A day without a death has nothing to measure.
     let partitioned =
         vec![(19, FleetAction::Parts(vec![vec![0, 1, 3], vec![2]])), (20, FleetAction::Down(3))];
-    assert_eq!(broken(&day(partitioned, detections(90)), stated), Vec::<String>::new());
+    assert_eq!(violations(&evidence(partitioned, detections(90)), stated), Vec::<String>::new());
     let stopped = vec![(19, FleetAction::Stop(2)), (20, FleetAction::Down(3)), (60, FleetAction::Go(2))];
-    assert_eq!(broken(&day(stopped, detections(90)), stated), Vec::<String>::new());
-    assert_eq!(broken(&day(Vec::new(), Vec::new()), stated), ["nothing to measure on this day"]);
+    assert_eq!(violations(&evidence(stopped, detections(90)), stated), Vec::<String>::new());
+    assert_eq!(violations(&evidence(Vec::new(), Vec::new()), stated), ["nothing to measure on this day"]);
 }
 
 #[test]
 fn a_reachable_member_listed_as_lost_is_reported() {
     let lost = || vec![line(0, 50, 3, "lost", "a")];
-    assert_eq!(broken(&day(Vec::new(), lost()), Stated::default()), ["0 listed 3 as lost"]);
+    assert_eq!(violations(&evidence(Vec::new(), lost()), Stated::default()), ["0 listed 3 as lost"]);
     for action in
         [FleetAction::Down(3), FleetAction::Stop(3), FleetAction::Parts(vec![vec![0, 1], vec![2, 3]])]
     {
-        assert_eq!(broken(&day(vec![(40, action)], lost()), Stated::default()), Vec::<String>::new());
+        assert_eq!(
+            violations(&evidence(vec![(40, action)], lost()), Stated::default()),
+            Vec::<String>::new()
+        );
     }
     // The process was resumed long before it was listed as lost.
     let resumed = vec![(10, FleetAction::Stop(3)), (20, FleetAction::Go(3))];
-    assert_eq!(broken(&day(resumed, lost()), Stated::default()).len(), 1);
+    assert_eq!(violations(&evidence(resumed, lost()), Stated::default()).len(), 1);
 }
 
 #[test]
@@ -81,11 +86,11 @@
         let all = (0..4).map(|n| line(n, 2, 0, "in", "a")).chain((0..4).map(|n| line(n, 43, 0, "in", "b")));
         all.chain([line(3, 44, 0, "in", last)]).collect::<Vec<_>>()
     };
-    assert_eq!(broken(&day(actions(), lines("b")), stated).len(), 0);
+    assert_eq!(violations(&evidence(actions(), lines("b")), stated).len(), 0);
     // Views are not compared during a disturbance.
     let disturbed = actions().into_iter().chain([(41, FleetAction::Rough(true))]).collect();
-    assert_eq!(broken(&day(disturbed, lines("c")), stated).len(), 0);
-    let found = broken(&day(actions(), lines("c")), stated);
+    assert_eq!(violations(&evidence(disturbed, lines("c")), stated).len(), 0);
+    let found = violations(&evidence(actions(), lines("c")), stated);
     assert!(found.len() == 1 && found[0].starts_with("after Parts([])"), "{found:?}");
 }
 
@@ -94,14 +99,15 @@
     let stated = Stated { cut_s: Some(5.0), ..Stated::default() };
     let cut = || vec![(20, FleetAction::Parts(vec![vec![0], vec![1, 2, 3]]))];
     let good = vec![status_line(0, 23, "cut off"), status_line(1, 23, "most")];
-    assert_eq!(broken(&day(cut(), good), stated), Vec::<String>::new());
-    assert_eq!(broken(&day(cut(), vec![status_line(0, 27, "cut off")]), stated).len(), 1);
+    assert_eq!(violations(&evidence(cut(), good), stated), Vec::<String>::new());
+    assert_eq!(violations(&evidence(cut(), vec![status_line(0, 27, "cut off")]), stated).len(), 1);
     assert_eq!(
-        broken(&day(cut(), vec![status_line(0, 23, "cut off"), status_line(0, 24, "most")]), stated).len(),
+        violations(&evidence(cut(), vec![status_line(0, 23, "cut off"), status_line(0, 24, "most")]), stated)
+            .len(),
         1
     );
     let wrong = vec![status_line(0, 23, "cut off"), status_line(2, 23, "cut off")];
-    assert_eq!(broken(&day(cut(), wrong), stated).len(), 1);
+    assert_eq!(violations(&evidence(cut(), wrong), stated).len(), 1);
 }
 
 #[test]
@@ -109,17 +115,17 @@
     let stated = Stated { takeover_s: Some(2.0), ..Stated::default() };
     let superseded = |at| ViewLogLine { message: "superseded: ...".into(), ..status_line(1, at, "") };
     let actions = || vec![(30, FleetAction::Replace(1)), (30, FleetAction::Up(1))];
-    assert_eq!(broken(&day(actions(), vec![superseded(31)]), stated).len(), 0);
-    assert_eq!(broken(&day(actions(), vec![superseded(40)]), stated).len(), 1);
-    assert_eq!(broken(&day(actions(), Vec::new()), stated).len(), 1);
+    assert_eq!(violations(&evidence(actions(), vec![superseded(31)]), stated).len(), 0);
+    assert_eq!(violations(&evidence(actions(), vec![superseded(40)]), stated).len(), 1);
+    assert_eq!(violations(&evidence(actions(), Vec::new()), stated).len(), 1);
     let rates = |messages, bytes| Stated {
         messages_per_s: Some(messages),
         bytes_per_s: Some(bytes),
         ..Stated::default()
     };
-    assert_eq!(broken(&day(Vec::new(), Vec::new()), rates(10.0, 100.0)).len(), 0);
-    assert_eq!(broken(&day(Vec::new(), Vec::new()), rates(9.0, 100.0)).len(), 1);
-    assert_eq!(broken(&day(Vec::new(), Vec::new()), rates(10.0, 99.0)).len(), 1);
+    assert_eq!(violations(&evidence(Vec::new(), Vec::new()), rates(10.0, 100.0)).len(), 0);
+    assert_eq!(violations(&evidence(Vec::new(), Vec::new()), rates(9.0, 100.0)).len(), 1);
+    assert_eq!(violations(&evidence(Vec::new(), Vec::new()), rates(10.0, 99.0)).len(), 1);
 }
 
 #[test]
