--- a/crates/cli/tests/platform.rs
+++ b/crates/cli/tests/platform.rs
@@ -48,11 +48,11 @@
 /// SIGHUP switches to another discovery address while clients send requests. An invalid file changes nothing.
 #[test]
 fn sighup_changes_the_discovery_address_under_load() {
-    let old = Journal::default();
-    let new = Journal::default();
+    let old_journal = Journal::default();
+    let new_journal = Journal::default();
     let ports = [
-        backend(old.clone(), |_, _| BackendAction::Reply(GOOD_REPLY)),
-        backend(new.clone(), |_, _| BackendAction::Reply(GOOD_REPLY)),
+        backend(old_journal.clone(), |_, _| BackendAction::Reply(GOOD_REPLY)),
+        backend(new_journal.clone(), |_, _| BackendAction::Reply(GOOD_REPLY)),
     ];
     let old_discovery = discovery(known(&ports[..1], 5));
     let new_discovery = discovery(known(&ports[1..], 6));
@@ -68,17 +68,21 @@
     std::fs::write(&running.file, "not JSON").unwrap();
     running.signal(Signal::HUP);
     (0..20).for_each(|_| ask(&mut client));
-    assert!(new.lock().unwrap().is_empty());
+    assert!(new_journal.lock().unwrap().is_empty());
     std::fs::write(&running.file, config(1, new_discovery.port, &ports[..1])).unwrap();
     running.signal(Signal::HUP);
     let until = Instant::now() + common::TEST_TIMEOUT;
-    while new.lock().unwrap().is_empty() {
+    while new_journal.lock().unwrap().is_empty() {
         assert!(Instant::now() < until, "requests go to the backend of the new list");
         ask(&mut client);
     }
-    let before = old.lock().unwrap().len();
+    let before = old_journal.lock().unwrap().len();
     (0..20).for_each(|_| ask(&mut client));
-    assert_eq!(old.lock().unwrap().len(), before, "no requests go to the backend that the new list lacks");
+    assert_eq!(
+        old_journal.lock().unwrap().len(),
+        before,
+        "no requests go to the backend that the new list lacks"
+    );
     assert!(running.child.try_wait().unwrap().is_none(), "the process runs after SIGHUP");
 }
 
--- a/crates/cli/tests/platform_faults.rs
+++ b/crates/cli/tests/platform_faults.rs
@@ -38,7 +38,7 @@
 
 type Arrivals = Arc<Mutex<Vec<Arrival>>>;
 
-/// Decides what a backend does with its n-th request.
+/// Decides what a backend does with its n-th request, counted from 0.
 type BackendScript = Arc<dyn Fn(usize) -> BackendAction + Send + Sync>;
 
 /// Held while a fleet runs, so that fleets do not compete for the machine.
@@ -70,7 +70,7 @@
         let backend = |(number, script): (usize, BackendScript)| {
             let arrivals = arrivals.clone();
             common::backend(Journal::default(), move |count, words| {
-                let entry = |name: &str| {
+                let attribute = |name: &str| {
                     words[3].split(',').find_map(|e| e.strip_prefix(name)).unwrap_or_default().to_owned()
                 };
                 arrivals.lock().unwrap().push(Arrival {
@@ -78,7 +78,7 @@
                     backend: number,
                     customer: u64::from_str_radix(&words[1], 16).unwrap(),
                     id: u64::from_str_radix(&words[2], 16).unwrap(),
-                    class: entry("c="),
+                    class: attribute("c="),
                 });
                 script(count)
             })
@@ -98,7 +98,7 @@
             processes: (0..n).map(|_| None).collect(),
             _guard: guard,
         };
-        (0..n).for_each(|i| fleet.run(i));
+        (0..n).for_each(|i| fleet.start_process(i));
         fleet
     }
 
@@ -106,8 +106,8 @@
         running::client_address(self.no, i)
     }
 
-    /// Starts a process and waits until it answers. A process that runs with its number is killed before.
-    fn run(&mut self, i: usize) {
+    /// Starts process `i` and waits until it answers. A running process of that number is killed first.
+    fn start_process(&mut self, i: usize) {
         self.processes[i] = None;
         let text =
             running::member_config(self.no, i, &self.links.peers_of(i), self.discovery.port, &self.ports);
@@ -161,7 +161,7 @@
     static IDS: AtomicU64 = AtomicU64::new(1);
     let n = fleet.processes.len();
     let start = |customer: u64| {
-        let all: Vec<SocketAddr> = (0..n).map(|i| fleet.client_address(i)).collect();
+        let addresses: Vec<SocketAddr> = (0..n).map(|i| fleet.client_address(i)).collect();
         let stop = stop.clone();
         std::thread::spawn(move || {
             let rate = if HEAVY.contains(&customer) { 3.0 * RATE } else { 0.5 * RATE };
@@ -174,19 +174,19 @@
                 sleep(next.saturating_duration_since(Instant::now()));
                 next += pause;
                 let id = IDS.fetch_add(1, Ordering::SeqCst);
-                let at = all[(first + (id as usize * 7 / 3) % SPREAD) % n];
-                let client = match connections.entry(at) {
-                    Entry::Occupied(place) => place.into_mut(),
-                    Entry::Vacant(place) => match Client::try_connect(at) {
-                        Some(client) => place.insert(client),
+                let address = addresses[(first + (id as usize * 7 / 3) % SPREAD) % n];
+                let client = match connections.entry(address) {
+                    Entry::Occupied(entry) => entry.into_mut(),
+                    Entry::Vacant(entry) => match Client::try_connect(address) {
+                        Some(client) => entry.insert(client),
                         None => continue, // the process is down
                     },
                 };
-                let list = format!("c=sig-check,t=team,d=2000,units=1,spread={SPREAD},first={first}");
-                client.send(&["SVC.QUERY", &format!("{customer:016x}"), &format!("{id:016x}"), &list]);
+                let attributes = format!("c=sig-check,t=team,d=2000,units=1,spread={SPREAD},first={first}");
+                client.send(&["SVC.QUERY", &format!("{customer:016x}"), &format!("{id:016x}"), &attributes]);
                 requests += 1;
                 if client.reply_text() == "closed" {
-                    connections.remove(&at);
+                    connections.remove(&address);
                 }
             }
             (customer, requests)
@@ -195,17 +195,18 @@
     (HEAVY.start..LIGHT.end).map(start).collect()
 }
 
-/// Returns the share of the admitted units that exceeds the quotas, over a period that begins with full token buckets.
+/// Returns the share of the admitted units that exceeds the customers' quotas between two times, in seconds since the start of
+/// the test. A quota includes one burst, as for a token bucket that is full at the first time.
 fn share_beyond_quota(fleet: &Fleet, from: f64, to: f64) -> f64 {
     let mut excess = 0.0;
-    let mut all = 0.0;
+    let mut all_admitted = 0.0;
     for customer in HEAVY.start..LIGHT.end {
         let admitted = fleet.admitted_units(customer, from, to);
-        all += admitted;
+        all_admitted += admitted;
         excess += (admitted - (RATE * (to - from) + BURST)).max(0.0);
     }
-    println!("{from:.1} to {to:.1} s: {excess:.0} of {all} units beyond quotas");
-    excess / all
+    println!("{from:.1} to {to:.1} s: {excess:.0} of {all_admitted} units beyond quotas");
+    excess / all_admitted
 }
 
 /// Without faults, at most a tenth of the admitted units exceeds the quotas, although processes learn of each other's usage
@@ -232,12 +233,12 @@
     }
 }
 
-/// The check reports a fleet whose processes receive nothing from each other.
+/// [`share_beyond_quota`] exceeds the limit of the other tests if processes receive nothing from each other.
 #[test]
 fn a_fleet_without_links_exceeds_its_quotas() {
     let fleet =
         Fleet::start(15, 4, vec![immediate_answers(), immediate_answers(), immediate_answers()], &QUOTA);
-    (0..4).for_each(|i| fleet.links.part(&[i]));
+    (0..4).for_each(|i| fleet.links.partition(&[i]));
     let stop = Arc::new(AtomicBool::new(false));
     let from = fleet.now();
     let clients = start_customers(&fleet, &stop);
@@ -259,7 +260,7 @@
     let stop = Arc::new(AtomicBool::new(false));
     let clients = start_customers(&fleet, &stop);
     sleep(ms(2500));
-    fleet.links.part(&[0, 1]);
+    fleet.links.partition(&[0, 1]);
     let cut = fleet.now();
     sleep(ms(4000));
     fleet.links.heal();
@@ -274,6 +275,7 @@
         let admitted = fleet.admitted_units(customer, cut, healed);
         let max = 2.0 * (RATE * (healed - cut) + BURST);
         println!("customer {customer}: {admitted} units of at most {max:.0} during the partition");
+        // A tenth more is tolerated.
         assert!(
             admitted <= 1.1 * max,
             "customer {customer}: {admitted} units during the partition, at most {max}"
@@ -297,7 +299,7 @@
         for i in [round, round + 2] {
             fleet.kill(i);
             sleep(ms(200));
-            fleet.run(i);
+            fleet.start_process(i);
         }
         sleep(ms(1000));
         fleet.links.heal();
@@ -312,12 +314,13 @@
         let admitted = fleet.admitted_units(customer, from, to);
         let max = RATE * (to - from) + BURST * 5.0;
         println!("customer {customer}: {admitted} units of at most {max:.0} with four restarts");
+        // A tenth more is tolerated.
         assert!(admitted <= 1.1 * max, "customer {customer}: {admitted} units, at most {max}");
     }
     assert!(share_beyond_quota(&fleet, from, to) <= 0.1);
 }
 
-// ---- the rules ----
+// ---- rules for each request ----
 
 /// A request and its answer, as the client saw them. Times are in seconds since the start of the test.
 #[derive(Clone, Debug)]
@@ -333,7 +336,7 @@
 }
 
 /// Starts four clients for each process, each with one open request at a time, until `stop` is set. Half of the requests may
-/// be repeated.
+/// be retried by the gateway.
 fn start_clients(fleet: &Fleet, seed: u64, stop: &Arc<AtomicBool>) -> Vec<JoinHandle<Vec<ClientRecord>>> {
     let n = fleet.processes.len();
     let begin = fleet.begin;
@@ -355,12 +358,13 @@
                 let timeout_ms = [600, 1500, 2500][rng.random_range(0..3)];
                 let customer = format!("{:016x}", rng.random_range(0..40u64));
                 let class = if rng.random() { "sig-check" } else { "report-upload" };
-                let list = format!("c={class},t=team,d={timeout_ms},units=1,spread={n},first={}", t % n);
+                let attributes =
+                    format!("c={class},t=team,d={timeout_ms},units=1,spread={n},first={}", t % n);
                 let id_text = format!("{id:016x}");
                 let sent = begin.elapsed().as_secs_f64();
                 match class {
-                    "sig-check" => client.send(&["SVC.QUERY", &customer, &id_text, &list]),
-                    _ => client.send(&["SVC.SUBMIT", &customer, &id_text, &list, "body"]),
+                    "sig-check" => client.send(&["SVC.QUERY", &customer, &id_text, &attributes]),
+                    _ => client.send(&["SVC.SUBMIT", &customer, &id_text, &attributes, "body"]),
                 }
                 let text = client.reply_text();
                 let ended = begin.elapsed().as_secs_f64();
@@ -376,7 +380,7 @@
     (0..4 * n).map(start).collect()
 }
 
-/// Backends of which some requests hang, fail, or have truncated answers. The last backend has no faults; it drains during the
+/// Backends at which some requests hang, fail, or get truncated answers. The last backend has no faults; it drains during the
 /// test.
 fn faulty_backends() -> Vec<BackendScript> {
     let never = Latch::closed();
@@ -399,7 +403,7 @@
     ]
 }
 
-/// Maximum seconds in which a backend may receive new requests after it began to drain.
+/// Maximum time in seconds during which a backend may receive new requests after it began to drain.
 const DRAIN_GRACE_S: f64 = 1.0;
 
 /// Record of a test: the clients' requests, the arrivals at backends, the kills, and the backend that drained.
@@ -407,9 +411,9 @@
 struct History {
     requests: Vec<ClientRecord>,
     arrivals: Vec<Arrival>,
-    /// Killed processes: number, time before the kill, time after the end of the process.
+    /// Killed processes: number, time before the kill, and time when the process had ended.
     killed: Vec<(usize, f64, f64)>,
-    /// The backend that drained, and since when.
+    /// The backend that drained, and the time when that was announced.
     drained: (usize, f64),
 }
 
@@ -421,7 +425,7 @@
         self.arrivals.iter().for_each(|a| arrivals.entry(a.id).or_default().push(a));
         for request in &self.requests {
             let mut report = |what: &str| violations.push(format!("{what}: {request:?}"));
-            // An answer that is up to half a second late has no value, but violates no rule.
+            // An answer that is up to half a second late is useless to the client, but violates no rule.
             if request.ended - request.sent > request.timeout + 0.5 {
                 report("answered too late");
             }
@@ -445,9 +449,10 @@
         for list in arrivals.values().filter(|list| list.len() > 1 && list[0].class == "report-upload") {
             violations.push(format!("sent more than once: {list:?}"));
         }
-        let (last, at) = self.drained;
-        for a in self.arrivals.iter().filter(|a| a.backend == last && a.at > at + DRAIN_GRACE_S + 0.05) {
-            violations.push(format!("sent to a backend that drains since {at:.2}: {a:?}"));
+        let (drained_backend, drained_at) = self.drained;
+        let last_allowed = drained_at + DRAIN_GRACE_S + 0.05;
+        for a in self.arrivals.iter().filter(|a| a.backend == drained_backend && a.at > last_allowed) {
+            violations.push(format!("sent to a backend that drains since {drained_at:.2} s: {a:?}"));
         }
         violations
     }
@@ -493,9 +498,9 @@
         ("sent to a backend that drains", |h| (h.arrivals[2].backend, h.arrivals[2].at) = (3, 1.6)),
     ];
     for (what, change) in changes {
-        let mut h = good.clone();
-        change(&mut h);
-        let found = h.violations();
+        let mut history = good.clone();
+        change(&mut history);
+        let found = history.violations();
         assert!(found.len() == 1 && found[0].starts_with(what), "{what}: {found:?}");
     }
 }
@@ -520,7 +525,7 @@
                 fleet.kill(i);
                 killed.push((i, before, fleet.now()));
                 sleep(ms(rng.random_range(0..300)));
-                fleet.run(i);
+                fleet.start_process(i);
             }
             1 => {
                 let process = fleet.processes[i].as_ref().unwrap();
@@ -532,12 +537,12 @@
                 let mut process = fleet.processes[i].take().unwrap();
                 process.signal(Signal::TERM);
                 assert_eq!(process.exit_code(), Some(0), "seed {seed}: exit code after SIGTERM");
-                fleet.run(i);
+                fleet.start_process(i);
             }
             _ => {
                 fleet.links.heal();
                 fleet.links.cut(i, rng.random_range(0..4));
-                fleet.links.part(&[rng.random_range(0..4)]);
+                fleet.links.partition(&[rng.random_range(0..4)]);
             }
         }
         if round == 4 {
--- a/crates/cli/tests/platform_fleet.rs
+++ b/crates/cli/tests/platform_fleet.rs
@@ -17,8 +17,8 @@
 
 /// Requests per second that a warm backend can process.
 const CAPACITY: f64 = 15.0;
-/// A backend is overloaded by more than this factor of its capacity within a window.
-const FACTOR: f64 = 1.2;
+/// A backend is overloaded if it gets more than this multiple of its capacity within a window.
+const OVERLOAD_FACTOR: f64 = 1.2;
 /// Length of a window in seconds.
 const WINDOW_S: f64 = 2.0;
 const BACKENDS: usize = 8;
@@ -28,44 +28,46 @@
 /// Load as a share of the fleet's capacity.
 const LOAD: f64 = 0.8;
 
-/// Slow start of a backend.
+/// Slow start of a backend: its capacity grows linearly from a share to the whole.
 #[derive(Clone, Copy)]
-struct Cold {
+struct SlowStart {
     /// Capacity at the start as a share of a warm backend's.
-    from: f64,
+    initial_share: f64,
     /// Seconds until the backend is warm.
-    time: f64,
+    duration_s: f64,
 }
 
-const COLD: Cold = Cold { from: 0.2, time: 10.0 };
+const SLOW_START: SlowStart = SlowStart { initial_share: 0.2, duration_s: 10.0 };
 
-impl Cold {
-    /// Returns the maximum number of requests in the window that ends at this age: the number n that the settings allow, plus
-    /// 2 sqrt(n) + 2 for random variation.
+impl SlowStart {
+    /// Returns the maximum number of requests in the window that ends `age` seconds after the start of the backend: the number
+    /// n that the settings allow by the capacity in the middle of the window, plus 2 sqrt(n) + 2 for random variation.
     fn max_requests(self, age: f64) -> f64 {
-        let warmth = self.from + (1.0 - self.from) * ((age - WINDOW_S / 2.0).max(0.0) / self.time).min(1.0);
-        let n = FACTOR * warmth * CAPACITY * WINDOW_S;
+        let progress = ((age - WINDOW_S / 2.0).max(0.0) / self.duration_s).min(1.0);
+        let capacity_share = self.initial_share + (1.0 - self.initial_share) * progress;
+        let n = OVERLOAD_FACTOR * capacity_share * CAPACITY * WINDOW_S;
         n + 2.0 * n.sqrt() + 2.0
     }
 
-    /// Returns the largest excess over the maximum in any window of these arrivals, at a backend that started at `born`.
-    fn max_excess(self, born: f64, arrivals: &[f64]) -> f64 {
+    /// Returns the largest excess over [`SlowStart::max_requests`] in any window of these arrivals, at a backend that started
+    /// at `started_at`. Negative if all windows are below the maximum.
+    fn max_excess(self, started_at: f64, arrivals: &[f64]) -> f64 {
         let mut max_excess = f64::MIN;
         for (i, at) in arrivals.iter().enumerate() {
             let sent = arrivals[..=i].iter().filter(|t| **t > at - WINDOW_S).count() as f64;
-            max_excess = max_excess.max(sent - self.max_requests(at - born));
+            max_excess = max_excess.max(sent - self.max_requests(at - started_at));
         }
         max_excess
     }
 }
 
 #[derive(Clone, Copy, PartialEq)]
-enum Trouble {
+enum Scenario {
     /// Half of the processes are killed and restarted.
     Restarts,
-    /// As `Restarts`, and one of the other processes is configured as the only one.
-    Alone,
-    /// As `Restarts`, and discovery says that the cold backends started long ago. This planted defect must be found.
+    /// As `Restarts`, and one of the other processes is configured as if it were the only one.
+    OneConfiguredAlone,
+    /// As `Restarts`, and discovery says that the cold backends started long ago. The check must report this planted defect.
     WrongStartTime,
 }
 
@@ -77,8 +79,8 @@
     no: u8,
     /// Number of processes.
     n: usize,
-    cold: Cold,
-    trouble: Trouble,
+    slow_start: SlowStart,
+    scenario: Scenario,
     begin: Instant,
     ports: Vec<u16>,
     arrivals: Vec<Arrivals>,
@@ -87,7 +89,7 @@
 }
 
 impl Fleet {
-    fn new(no: u8, n: usize, cold: Cold, trouble: Trouble) -> Fleet {
+    fn new(no: u8, n: usize, slow_start: SlowStart, scenario: Scenario) -> Fleet {
         let begin = Instant::now();
         let mut ports = Vec::new();
         let mut arrivals = Vec::new();
@@ -105,8 +107,8 @@
         Fleet {
             no,
             n,
-            cold,
-            trouble,
+            slow_start,
+            scenario,
             begin,
             ports,
             arrivals,
@@ -115,27 +117,27 @@
         }
     }
 
-    /// Whether a process is configured as the only one. Such a process is not restarted.
-    fn alone(&self, no: usize) -> bool {
-        self.trouble == Trouble::Alone && no == 1
+    /// Whether a process is configured as if it were the only one. Such a process is not restarted.
+    fn is_configured_alone(&self, no: usize) -> bool {
+        self.scenario == Scenario::OneConfiguredAlone && no == 1
     }
 
     /// Starts a process and returns the time until it answered.
     fn start(&mut self, no: usize) -> Duration {
         let begin = Instant::now();
-        let peers: Vec<SocketAddr> = match self.alone(no) {
+        let peers: Vec<SocketAddr> = match self.is_configured_alone(no) {
             true => vec![running::peer_address(self.no, no)],
             false => (0..self.n).map(|n| running::peer_address(self.no, n)).collect(),
         };
         let mut text =
             running::member_config(self.no, no, &peers, self.discovery.port, &self.ports[..BACKENDS]);
-        if self.alone(no) {
+        if self.is_configured_alone(no) {
             text = text.replace(&format!("\"slot_no\":{no}"), "\"slot_no\":0");
         }
         let rules = [
-            ("\"overload_factor\":3.0".into(), format!("\"overload_factor\":{FACTOR}")),
-            ("\"cold_us\":0".into(), format!("\"cold_us\":{}", self.cold.time * 1e6)),
-            ("\"cold_from\":0.19".into(), format!("\"cold_from\":{}", self.cold.from)),
+            ("\"overload_factor\":3.0".into(), format!("\"overload_factor\":{OVERLOAD_FACTOR}")),
+            ("\"cold_us\":0".into(), format!("\"cold_us\":{}", self.slow_start.duration_s * 1e6)),
+            ("\"cold_from\":0.19".into(), format!("\"cold_from\":{}", self.slow_start.initial_share)),
         ];
         let running =
             Running::start(&format!("fleet-{}-{no}", self.no), &running::with_replacements(text, &rules));
@@ -153,9 +155,9 @@
     /// Announces two cold backends through discovery. Returns their start time in seconds since the start of the test.
     fn announce_cold_backends(&self) -> f64 {
         let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_millis();
-        let born = if self.trouble == Trouble::WrongStartTime { 0 } else { now };
-        let born = format!("\"born_ms\":{born}");
-        let entries = known(&self.ports[BACKENDS..]).replace("\"born_ms\":0", &born);
+        let born_ms = if self.scenario == Scenario::WrongStartTime { 0 } else { now };
+        let born_ms = format!("\"born_ms\":{born_ms}");
+        let entries = known(&self.ports[BACKENDS..]).replace("\"born_ms\":0", &born_ms);
         let entries = &entries[entries.find('[').unwrap() + 1..entries.rfind(']').unwrap()];
         let mut list = self.discovery.list.lock().unwrap();
         *list = list.replace("\"seq\":1", "\"seq\":2").replace("]}", &format!(",{entries}]}}"));
@@ -173,8 +175,8 @@
         let mut rng = SmallRng::seed_from_u64(seed);
         let weights: Vec<f64> = (0..self.n).map(|_| rng.random_range(0.2..3.0)).collect();
         let total: f64 = weights.iter().sum();
-        let at: Vec<SocketAddr> = (0..self.n).map(|no| running::client_address(self.no, no)).collect();
-        let alone: Vec<bool> = (0..self.n).map(|no| self.alone(no)).collect();
+        let addresses: Vec<SocketAddr> = (0..self.n).map(|no| running::client_address(self.no, no)).collect();
+        let configured_alone: Vec<bool> = (0..self.n).map(|no| self.is_configured_alone(no)).collect();
         let client = move |t: u32, ids: Arc<AtomicU64>, stop: Arc<AtomicBool>| {
             let mut rng = SmallRng::seed_from_u64(seed << 8 | u64::from(t));
             let mut served = 0;
@@ -191,17 +193,18 @@
                 });
                 let no = no.unwrap_or(0);
                 let id = ids.fetch_add(1, Ordering::SeqCst);
-                if let Entry::Vacant(place) = connections.entry(no) {
-                    match Client::try_connect(at[no]) {
-                        Some(client) => place.insert(client),
+                if let Entry::Vacant(entry) = connections.entry(no) {
+                    match Client::try_connect(addresses[no]) {
+                        Some(client) => entry.insert(client),
                         None => continue, // the process is down
                     };
                 }
                 let Some(client) = connections.get_mut(&no) else { continue };
                 requests += 1;
-                let (spread, first) = if alone[no] { (1, 0) } else { (at.len().min(3), no) };
-                let list = format!("c=sig-check,t=team,d=2000,units=1,spread={spread},first={first}");
-                client.send(&["SVC.QUERY", &format!("{:016x}", id % 97), &format!("{id:016x}"), &list]);
+                let (spread, first) =
+                    if configured_alone[no] { (1, 0) } else { (addresses.len().min(3), no) };
+                let attributes = format!("c=sig-check,t=team,d=2000,units=1,spread={spread},first={first}");
+                client.send(&["SVC.QUERY", &format!("{:016x}", id % 97), &format!("{id:016x}"), &attributes]);
                 match client.reply_text().as_str() {
                     "value" => served += 1,
                     "closed" => drop(connections.remove(&no)),
@@ -221,17 +224,17 @@
     }
 }
 
-/// Runs a fleet of `n` processes. Returns the largest excess over [`Cold::max_requests`] at a cold backend.
-fn run_fleet(n: usize, cold: Cold, trouble: Trouble, seed: u64) -> f64 {
+/// Runs a fleet of `n` processes. Returns the largest excess over [`SlowStart::max_requests`] at a cold backend.
+fn run_fleet(n: usize, slow_start: SlowStart, scenario: Scenario, seed: u64) -> f64 {
     static FLEETS: AtomicU64 = AtomicU64::new(0);
-    let mut fleet = Fleet::new(FLEETS.fetch_add(1, Ordering::SeqCst) as u8, n, cold, trouble);
+    let mut fleet = Fleet::new(FLEETS.fetch_add(1, Ordering::SeqCst) as u8, n, slow_start, scenario);
     for no in 0..n {
         fleet.start(no);
     }
     let stop = Arc::new(AtomicBool::new(false));
     let clients = fleet.load(seed, &stop);
     std::thread::sleep(Duration::from_millis(2500));
-    let born = fleet.announce_cold_backends();
+    let started_at = fleet.announce_cold_backends();
     std::thread::sleep(Duration::from_millis(800));
     let mut ready = Vec::new();
     for no in (0..n).step_by(2) {
@@ -241,7 +244,7 @@
     std::thread::sleep(Duration::from_millis(3000));
     stop.store(true, Ordering::SeqCst);
     let results = clients.into_iter().map(|c| c.join().unwrap());
-    let (served, requests) = results.fold((0, 0), |all, one| (all.0 + one.0, all.1 + one.1));
+    let (served, requests) = results.fold((0, 0), |sum, client| (sum.0 + client.0, sum.1 + client.1));
     ready.sort();
     let ready_p90 = ready[(ready.len() * 9).div_ceil(10) - 1];
     let what = format!("{n} processes, seed {seed}");
@@ -253,68 +256,70 @@
     let mut max_excess = f64::MIN;
     for (no, arrivals) in fleet.arrivals[BACKENDS..].iter().enumerate() {
         let arrivals = arrivals.lock().unwrap();
-        let excess = cold.max_excess(born, &arrivals);
+        let excess = slow_start.max_excess(started_at, &arrivals);
         println!("{what}: {} at cold backend {no}, {excess:.1} beyond the bound", arrivals.len());
         max_excess = max_excess.max(excess);
     }
     max_excess
 }
 
-fn check_cold_backends(n: usize, trouble: Trouble, seed: u64) {
-    let max_excess = run_fleet(n, COLD, trouble, seed);
+fn check_cold_backends(n: usize, scenario: Scenario, seed: u64) {
+    let max_excess = run_fleet(n, SLOW_START, scenario, seed);
     assert!(
         max_excess <= 0.0,
         "{n} processes, seed {seed}: {max_excess:.1} beyond the bound at a cold backend"
     );
 }
 
-/// All processes together send no more requests to a cold backend than [`Cold::max_requests`], while half of the processes are
-/// killed and restarted. 90% of the restarted processes are ready within ten seconds.
+/// All processes together send no more requests to a cold backend than [`SlowStart::max_requests`], while half of the processes
+/// are killed and restarted. 90% of the restarted processes are ready within ten seconds.
 #[test]
 fn all_processes_together_do_not_overload_cold_backends() {
     for n in [3, 20, 30] {
-        check_cold_backends(n, Trouble::Restarts, 1);
+        check_cold_backends(n, Scenario::Restarts, 1);
     }
 }
 
-/// The same if one process is configured as the only one.
+/// The same if one process is configured as if it were the only one.
 #[test]
 fn a_process_configured_as_the_only_one_does_not_overload_cold_backends() {
-    check_cold_backends(20, Trouble::Alone, 1);
+    check_cold_backends(20, Scenario::OneConfiguredAlone, 1);
 }
 
-/// The same on twenty seeds. Run manually, because it takes a quarter of an hour and needs the machine to itself.
+/// The same with twenty seeds, with and without such a process. Run manually, because it takes a quarter of an hour and needs
+/// the machine to itself.
 #[test]
 #[ignore = "a quarter of an hour"]
 fn all_processes_together_do_not_overload_cold_backends_on_twenty_seeds() {
     for n in [3, 20, 30] {
-        for trouble in [Trouble::Restarts, Trouble::Alone] {
+        for scenario in [Scenario::Restarts, Scenario::OneConfiguredAlone] {
             for seed in 0..20 {
-                check_cold_backends(n, trouble, seed);
+                check_cold_backends(n, scenario, seed);
             }
         }
     }
 }
 
-/// The check reports one request more than the maximum in a window, but not the maximum itself, in one window or in each of
-/// two.
+/// [`SlowStart::max_excess`] reports a window with one request more than the maximum. It does not report one window, or two
+/// separate ones, with exactly the maximum.
 #[test]
 fn the_check_is_exact_at_the_bound() {
-    let max = COLD.max_requests(0.1).floor() as usize;
+    let max = SLOW_START.max_requests(0.1).floor() as usize;
     assert_eq!(max, 14); // n = 7.2, plus 2 sqrt(n) + 2
     let at = |n: usize, at: f64| (0..n).map(move |i| at + i as f64 / 1e4).collect::<Vec<f64>>();
-    assert!(COLD.max_excess(5.0, &at(max, 5.1)) <= 0.0);
-    assert!(COLD.max_excess(5.0, &at(max + 1, 5.1)) > 0.0);
-    assert!(COLD.max_excess(5.0, &[at(max, 5.1), at(max, 7.2)].concat()) <= 0.0);
+    assert!(SLOW_START.max_excess(5.0, &at(max, 5.1)) <= 0.0);
+    assert!(SLOW_START.max_excess(5.0, &at(max + 1, 5.1)) > 0.0);
+    assert!(SLOW_START.max_excess(5.0, &[at(max, 5.1), at(max, 7.2)].concat()) <= 0.0);
     let both = [at(max, 5.1), at(5, 7.05)].concat();
-    assert!(COLD.max_excess(5.0, &both) > 0.0, "a window that overlaps both groups");
-    assert!(COLD.max_excess(5.0, &at(30, 16.0)) <= 0.0, "a warm backend");
+    assert!(SLOW_START.max_excess(5.0, &both) > 0.0, "a window that overlaps both groups");
+    assert!(SLOW_START.max_excess(5.0, &at(30, 16.0)) <= 0.0, "a warm backend");
 }
 
-/// The check reports processes that do not know that backends are cold. Such backends get the load of a warm one, which is
-/// twice what the coldest here may get, whatever share of their load the processes admit.
+/// The check reports processes that do not know that backends are cold. Each cold backend then gets as much load as a warm one,
+/// which is twice as much as the coldest backend of this test may get, for any share of the load that the processes admit.
 #[test]
 fn a_fleet_with_wrong_start_times_is_reported() {
-    let max_excess = run_fleet(21, Cold { from: 0.05, ..COLD }, Trouble::WrongStartTime, 1);
+    let max_excess =
+        run_fleet(21, SlowStart { initial_share: 0.05, ..SLOW_START }, Scenario::WrongStartTime, 1);
     assert!(max_excess > 0.0, "excess {max_excess:.1}");
 }
--- a/crates/cli/tests/running/links.rs
+++ b/crates/cli/tests/running/links.rs
@@ -61,8 +61,8 @@
         self.cut.lock().unwrap().insert((from, to));
     }
 
-    /// Drops all datagrams between these processes and all others, in both directions.
-    pub fn part(&self, side: &[usize]) {
+    /// Separates the processes in `side` from all others: drops all datagrams between them, in both directions.
+    pub fn partition(&self, side: &[usize]) {
         for other in (0..self.addresses.len()).filter(|n| !side.contains(n)) {
             for one in side {
                 self.cut(*one, other);
--- a/crates/cli/tests/running/mod.rs
+++ b/crates/cli/tests/running/mod.rs
@@ -1,4 +1,4 @@
-//! Runs `chalkgap platform` in processes of their own.
+//! Starts `chalkgap platform` processes.
 #![allow(dead_code)] // not every test binary uses all of it
 
 use crate::common;
@@ -9,9 +9,12 @@
 use std::process::{Child, Command, Stdio};
 use std::time::{Duration, Instant};
 
+/// A running `chalkgap platform` process. Killed when dropped.
 pub struct Running {
     pub child: Child,
+    /// Address on which it listens for clients.
     pub address: SocketAddr,
+    /// Path of its configuration file, which is removed when this is dropped.
     pub file: PathBuf,
 }
 
@@ -44,7 +47,7 @@
     (address(fleet, no), 7946).into()
 }
 
-/// Replaces texts in a configuration. Panics if one does not occur.
+/// Makes replacements in a configuration, each as (old text, new text). Panics if an old text does not occur.
 pub fn with_replacements(mut text: String, changes: &[(String, String)]) -> String {
     for (from, to) in changes {
         assert!(text.contains(from), "{from}");
@@ -72,6 +75,7 @@
 }
 
 impl Running {
+    /// Starts a process with the configuration `text` and waits until it logs the address on which it listens.
     pub fn start(name: &str, text: &str) -> Running {
         let file = file(name, text);
         let mut child = command().env("RELAY_CONFIG", &file).spawn().unwrap();
