--- a/crates/gateway/src/ledger/usage_lookup.rs
+++ b/crates/gateway/src/ledger/usage_lookup.rs
@@ -1,4 +1,4 @@
-//! Asks nodes about requests whose end was not seen.
+//! Queries nodes about requests whose result is unknown.
 
 use super::{lock, LedgerHandle};
 use crate::telemetry::add;
@@ -7,28 +7,28 @@
 use chalkgap_runtime::Micros;
 use chalkgap_transport::{unary, while_alive};
 use chalkgap_wire::grpc;
-use chalkgap_wire::truth::{Answer, Fate, Question, ASK, MOST};
+use chalkgap_wire::truth::{Answer, ExecutionStatus, Question, ASK, MAX_REQUESTS};
 use prost::Message;
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// How often unsettled requests are checked.
+/// Interval between two checks for lookups that are due.
 const CHECK_MICROS: Micros = 100_000;
-/// Nodes that are asked at once: each call takes a descriptor for a moment.
+/// Maximum number of nodes that are queried concurrently. Each call uses a file descriptor.
 const MAX_NODES: usize = 8;
-/// How long a node may take to answer.
+/// Timeout of a query.
 const CALL_TIMEOUT_MICROS: Micros = 2_000_000;
-/// Bytes of a node's answer.
+/// Maximum size of a node's answer.
 const MAX_ANSWER_BYTES: usize = 64 << 10;
 
-/// Asks regularly; calls in flight are cancelled when `alive` is closed.
+/// Queries nodes at intervals. Calls in flight are cancelled when `alive` is closed.
 pub(super) async fn run(ledger: Arc<LedgerHandle>, alive: Receiver<()>) {
     loop {
         ledger.runtime.sleep_until(ledger.runtime.now() + CHECK_MICROS).await;
-        let lookups = lock(&ledger.recorder).lookups_due(ledger.runtime.now(), MOST, MAX_NODES);
+        let lookups = lock(&ledger.recorder).lookups_due(ledger.runtime.now(), MAX_REQUESTS, MAX_NODES);
         let mut calls = Vec::new();
         for (node, requests) in lookups {
-            let call = ask_node(ledger.clone(), node, requests);
+            let call = query_node(ledger.clone(), node, requests);
             calls.push(ledger.runtime.spawn(Box::pin(while_alive(alive.clone(), call))));
         }
         for call in calls {
@@ -37,7 +37,7 @@
     }
 }
 
-async fn ask_node(ledger: Arc<LedgerHandle>, node: String, requests: Vec<LookupRequest>) {
+async fn query_node(ledger: Arc<LedgerHandle>, node: String, requests: Vec<LookupRequest>) {
     add(&ledger.telemetry.ledger_asked);
     let Ok(address) = node.parse::<SocketAddr>() else { return };
     let question = Question { requests: requests.iter().map(|lookup| lookup.request.clone()).collect() };
@@ -45,24 +45,24 @@
     let until = ledger.runtime.now() + CALL_TIMEOUT_MICROS;
     let answer = unary::call(&ledger.runtime, address, ASK, question, MAX_ANSWER_BYTES, until).await;
     let answer = answer.ok().and_then(|message| Answer::decode(message).ok());
-    let Some(answer) = answer.filter(|answer| answer.fates.len() == requests.len()) else {
+    let Some(answer) = answer.filter(|answer| answer.statuses.len() == requests.len()) else {
         return add(&ledger.telemetry.ledger_unanswered);
     };
     let now = ledger.runtime.now();
     {
         let mut recorder = lock(&ledger.recorder);
-        for (lookup, fate) in requests.iter().zip(&answer.fates) {
-            recorder.lookup_answered(now, lookup.id, &node, status_of(*fate));
+        for (lookup, status) in requests.iter().zip(&answer.statuses) {
+            recorder.lookup_answered(now, lookup.id, &node, status_of(*status));
         }
     }
     ledger.wake_writer();
 }
 
-fn status_of(fate: i32) -> RequestStatus {
-    match Fate::try_from(fate) {
-        Ok(Fate::Never) => RequestStatus::NeverRan,
-        Ok(Fate::Running) => RequestStatus::Running,
-        Ok(Fate::Ran) => RequestStatus::Ran,
-        Ok(Fate::Unknown) | Err(_) => RequestStatus::Unknown,
+fn status_of(status: i32) -> RequestStatus {
+    match ExecutionStatus::try_from(status) {
+        Ok(ExecutionStatus::Never) => RequestStatus::NeverRan,
+        Ok(ExecutionStatus::Running) => RequestStatus::Running,
+        Ok(ExecutionStatus::Ran) => RequestStatus::Ran,
+        Ok(ExecutionStatus::Unknown) | Err(_) => RequestStatus::Unknown,
     }
 }
--- a/crates/platform/src/connection_limits.rs
+++ b/crates/platform/src/connection_limits.rs
@@ -1,18 +1,18 @@
-//! How an ingress splits its descriptors, and whom its connection gate admits.
+//! How an ingress divides its file descriptors, and the limits of its connection gate.
 
 use chalkgap::frontend::ConnectionGateConfig;
 use chalkgap_admission::minimum_throughput::MinimumThroughput;
 use chalkgap_admission::KnownClientLimits;
-use chalkgap_admission::{Caps, DescriptorReservations, GivesWay};
+use chalkgap_admission::{Caps, DescriptorReservations, IdleEviction};
 use chalkgap_runtime::Micros;
 
-/// Descriptors for the runtime, listeners, discovery and standard streams.
+/// Number of descriptors for the runtime, listeners, discovery and standard streams.
 const OWN_DESCRIPTORS: u64 = 20;
-/// How long a client that has sent no command, or is idle, may stay when descriptors are short.
+/// When descriptors are short, a client that has been silent since it connected, or idle, for this time may be evicted.
 const EVICTABLE_AFTER_MICROS: Micros = 50_000;
 
-/// Clients use at most a third of the descriptors for requests, and backends get as many; the rest is for connections that
-/// are idle or never send a request.
+/// Divides the descriptors: about a third is for connections to backends, and as many are for client connections with requests.
+/// The others are for client connections that are idle or never send a request.
 pub(crate) fn descriptor_split(descriptors: u64) -> DescriptorReservations {
     let spare = (descriptors / 20).max(8);
     let nodes = descriptors * 35 / 100;
@@ -27,13 +27,15 @@
     }
 }
 
-/// All clients come through one proxy, so their addresses do not tell them apart: no limit is by address.
+/// Returns the limits of the connection gate. There are no limits by address, because all clients connect through one proxy and
+/// share its address.
 ///
-/// A connection with an open request is never evicted. Of the others the longest idle one is, however short that is: it
-/// costs its client a connection, where a rejected newcomer loses a request.
+/// A connection with a pending request is never evicted. Of the others, the one that has been idle the longest is evicted
+/// first, even if it has been idle for only a short time: its client loses an idle connection, whereas a rejected new client
+/// would lose a request.
 pub(crate) fn gate_config(descriptors: u64) -> ConnectionGateConfig {
     ConnectionGateConfig {
-        split: descriptor_split(descriptors),
+        reservations: descriptor_split(descriptors),
         max_descriptors: descriptors,
         caps: Caps {
             per_address: u32::MAX,
@@ -42,13 +44,13 @@
             handshakes: u32::MAX / 2,
             handshakes_per_address: u32::MAX / 2,
             reserve: 0.0,
-            preferred: 0.0,
-            remembered: 64,
-            words_per_s: 200.0,
-            gives_way: Some(GivesWay {
-                from: descriptors / 4,
-                silent: EVICTABLE_AFTER_MICROS,
-                idle: EVICTABLE_AFTER_MICROS,
+            preferred_reserve: 0.0,
+            max_remembered_addresses: 64,
+            rejection_responses_per_second: 200.0,
+            idle_eviction: Some(IdleEviction {
+                min_open_connections: descriptors / 4,
+                handshake_after: EVICTABLE_AFTER_MICROS,
+                idle_after: EVICTABLE_AFTER_MICROS,
             }),
         },
         known_clients: KnownClientLimits { max_addresses: 64, max_per_account: 4, remember_for: 60_000_000 },
