--- a/crates/core/src/load_balancing.rs
+++ b/crates/core/src/load_balancing.rs
@@ -19,9 +19,9 @@
 
 /// Minimum number of endpoints that a gateway compares.
 const MIN_CANDIDATES: usize = 2;
-/// Number of further endpoints that a gateway compares, multiplied by the number of endpoints per gateway.
+/// A gateway compares [`MIN_CANDIDATES`] endpoints, plus this many times the number of endpoints per gateway.
 const CANDIDATES_PER_ENDPOINT_SHARE: usize = 3;
-/// Maximum number of draws in a sample, for each endpoint to choose from.
+/// Maximum number of draws in a sample, as a multiple of the number of endpoints in the pool.
 const MAX_DRAWS_PER_ENDPOINT: usize = 4;
 /// Maximum number of outliers that are evaluated for each healthy candidate wanted.
 const OUTLIERS_PER_CANDIDATE: usize = 4;
--- a/crates/core/src/load_shedding.rs
+++ b/crates/core/src/load_shedding.rs
@@ -21,7 +21,7 @@
 use crate::random::unit_hash;
 use crate::Gateway;
 
-/// Share of green and amber customers whose requests pass at steps 0 to 3.
+/// Share of amber customers whose requests pass at steps 0 to 3; from [`FIRST_STEP_FOR_GREEN`] on, also of green ones.
 const PASSING_SHARES: [f64; 4] = [1.0, 0.9, 0.7, 0.5];
 /// First step at which green customers are shed as well.
 const FIRST_STEP_FOR_GREEN: usize = 2;
--- a/crates/core/src/retry.rs
+++ b/crates/core/src/retry.rs
@@ -21,8 +21,8 @@
 
 /// Number of retries that each first attempt adds to the budget.
 const RETRIES_PER_REQUEST: f64 = 0.1;
-/// Maximum number of retries saved up in the budgets of all gateways together. With ten at each gateway, a fleet of
-/// many gateways could start a retry storm.
+/// Maximum number of retries saved up in the budgets of all gateways together, but at least one per gateway. With ten
+/// at each gateway, a fleet of many gateways could start a retry storm.
 const FLEET_RETRY_BURST: f64 = 30.0;
 /// Minimum cost of a retry after an attempt that failed early.
 const MIN_RETRY_COST: f64 = 0.2;
@@ -192,11 +192,13 @@
     /// Records the silence of an endpoint as a failure, and ejects the endpoint if it is suspected to have failed.
     fn record_silence(&mut self, overdue: &OverdueAttempt) {
         let now = self.now;
-        let is_due = overdue.is_silent && (overdue.is_suspect || now < overdue.hedge_at);
+        // The check at the silence timeout counts the silence as a failure. The check at `hedge_at` must not count it
+        // again, unless the endpoint has become suspect since.
+        let counts_as_failure = overdue.is_silent && (overdue.is_suspect || now < overdue.hedge_at);
         let states = &mut self.endpoints.states;
         let Some(state) = states.get_mut(&overdue.backend) else { return };
         let detector: &mut OutlierDetector = &mut state.outlier_detectors[overdue.class];
-        if !is_due || now < detector.ejected_until {
+        if !counts_as_failure || now < detector.ejected_until {
             return;
         }
         if overdue.is_suspect {
--- a/crates/core/src/slow_start.rs
+++ b/crates/core/src/slow_start.rs
@@ -96,12 +96,12 @@
         Permission { capacity, may_send }
     }
 
-    /// Returns whether the draw lets this gateway send a request in the current window. On average, as many gateways
-    /// win as the endpoint can serve requests in a window; `expected` is this gateway's part of these, in requests.
+    /// Decides by a pseudo-random draw whether this gateway may send the endpoint one request in the current window.
+    /// `expected`: requests per window that this gateway should send to the endpoint on average. All gateways together
+    /// may send at least one per window on average, however small `expected` is.
     fn wins_draw(&self, backend: BackendId, expected: f64, window: Micros) -> bool {
         let gateway = u64::from(self.self_id.0);
-        // A gateway sends its requests to its preferred endpoints only, so that each of these gets a larger share of
-        // them.
+        // A gateway prefers a few endpoints, so each of them gets a larger share of its requests.
         let preferred = self.ready_count.clamp(1, PREFERRED_ENDPOINTS);
         let concentration = self.ready_count as f64 / preferred as f64;
         // The windows of different gateways start at different times.
--- a/crates/core/tests/retry.rs
+++ b/crates/core/tests/retry.rs
@@ -104,7 +104,7 @@
 }
 
 /// The timeout that ends the hold of a request stays scheduled after an owner's reply admitted the request. When it
-/// fires, it must not cancel the attempt, which is 0.1 s old by then, as unresponsive.
+/// fires, the attempt is only 0.1 s old and must not be cancelled as unresponsive.
 #[test]
 fn the_timeout_of_a_held_request_cancels_no_attempt() {
     let mut fleet = Fleet::without_hedging(60, 4);
