--- a/crates/admission/src/decide.rs
+++ b/crates/admission/src/decide.rs
@@ -255,8 +255,8 @@
 
     /// Records that a request has ended.
     ///
-    /// `served` is set if the request was served within quota: the account, and whether its plan is preferred. `None`: the
-    /// request was rejected, failed or was cancelled; `rejected` is set in the first case.
+    /// `served`: the account and whether its plan is preferred, if the request was served within quota. `rejected`:
+    /// whether the request was rejected; false if it was served, failed or was cancelled.
     pub fn request_ended(&mut self, now: Micros, id: ConnId, served: Option<(u64, bool)>, rejected: bool) {
         self.time_without_stalls(now);
         let Some(connection) = self.connections.get_mut(&id) else { return };
--- a/crates/admission/src/decide/close.rs
+++ b/crates/admission/src/decide/close.rs
@@ -69,6 +69,7 @@
     /// Records that a connection is closed, and its descriptor free.
     pub fn closed(&mut self, now: Micros, id: ConnId) {
         self.time_without_stalls(now);
+        // Releases the handshake counts of a connection that closes before its handshake is complete.
         self.handshake_completed(now, id);
         let Some(connection) = self.connections.remove(&id) else { return };
         self.closing -= u64::from(connection.stage != Stage::Serving);
--- a/crates/admission/src/known_clients.rs
+++ b/crates/admission/src/known_clients.rs
@@ -17,11 +17,12 @@
 /// Minimum time between two updates of an address, so that not every request writes to the table.
 const UPDATE_INTERVAL: Micros = 1_000_000;
 
-/// A known address. The field names are part of the snapshot format.
+/// A known address. The serialized field names are part of the snapshot format.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 struct Entry {
     address: IpAddr,
-    served: Micros,
+    #[serde(rename = "served")]
+    last_served_at: Micros,
     account: u64,
     preferred: bool,
 }
@@ -76,7 +77,7 @@
         let address = canonical(address);
         if let Some(entry) = self.entries.get(&address) {
             let is_same = entry.account == account && entry.preferred >= preferred;
-            if is_same && now < entry.served + UPDATE_INTERVAL {
+            if is_same && now < entry.last_served_at + UPDATE_INTERVAL {
                 return;
             }
         }
@@ -85,7 +86,7 @@
         if self.limits.max_addresses == 0 || self.limits.max_per_account == 0 {
             return;
         }
-        self.entries.insert(address, Entry { address, served: now, account, preferred });
+        self.entries.insert(address, Entry { address, last_served_at: now, account, preferred });
         self.by_last_served.insert((now, address));
         self.by_account.entry(account).or_default().insert((now, address));
     }
@@ -105,9 +106,9 @@
 
     fn remove(&mut self, address: IpAddr) {
         let Some(entry) = self.entries.remove(&address) else { return };
-        self.by_last_served.remove(&(entry.served, address));
+        self.by_last_served.remove(&(entry.last_served_at, address));
         if let Some(own) = self.by_account.get_mut(&entry.account) {
-            own.remove(&(entry.served, address));
+            own.remove(&(entry.last_served_at, address));
             if own.is_empty() {
                 self.by_account.remove(&entry.account);
             }
@@ -128,7 +129,7 @@
     }
 
     fn is_expired(&self, now: Micros, entry: &Entry) -> bool {
-        now > entry.served.saturating_add(self.limits.remember_for)
+        now > entry.last_served_at.saturating_add(self.limits.remember_for)
     }
 
     /// Returns the number of addresses in the table, expired ones included.
--- a/crates/admission/src/known_clients/snapshot.rs
+++ b/crates/admission/src/known_clients/snapshot.rs
@@ -46,8 +46,8 @@
         }
         let entries: Vec<Entry> = serde_json::from_slice(json).map_err(|_| SnapshotError::Format)?;
         for entry in entries {
-            if entry.served <= now && !self.is_expired(now, &entry) {
-                self.record_served(entry.served, entry.address, entry.account, entry.preferred);
+            if entry.last_served_at <= now && !self.is_expired(now, &entry) {
+                self.record_served(entry.last_served_at, entry.address, entry.account, entry.preferred);
             }
         }
         Ok(self.entries.len())
--- a/crates/admission/tests/decider.rs
+++ b/crates/admission/tests/decider.rs
@@ -569,11 +569,18 @@
     Admit(u8),
     CompleteHandshake(u8),
     StartRequest(u8),
-    EndRequest(u8, Option<bool>, bool),
+    EndRequest {
+        connection: u8,
+        /// Whether the plan is preferred, if the request was served.
+        preferred: Option<bool>,
+        rejected: bool,
+    },
     Close(u8),
     StartLinger(u8),
     SetBudget(u8),
-    Wait(u32),
+    Wait {
+        micros: u32,
+    },
 }
 
 /// How far the close of a connection has progressed.
@@ -598,11 +605,11 @@
         3 => any::<u8>().prop_map(Step::CompleteHandshake),
         3 => any::<u8>().prop_map(Step::StartRequest),
         3 => (any::<u8>(), any::<Option<bool>>(), any::<bool>())
-            .prop_map(|(n, served, rejected)| Step::EndRequest(n, served, rejected)),
+            .prop_map(|(connection, preferred, rejected)| Step::EndRequest { connection, preferred, rejected }),
         3 => any::<u8>().prop_map(Step::Close),
         2 => any::<u8>().prop_map(Step::StartLinger),
         1 => (5u8..40).prop_map(Step::SetBudget),
-        1 => (0u32..3_000_000).prop_map(Step::Wait),
+        1 => (0u32..3_000_000).prop_map(|micros| Step::Wait { micros }),
     ]
 }
 
@@ -659,9 +666,9 @@
                         open[i].stage = Stage::Serving;
                     }
                 },
-                Step::EndRequest(n, served, rejected) => if let Some(i) = pick(n).filter(|i| open[*i].open_requests > 0) {
-                    let rejected = rejected && served.is_none();
-                    let served = served.map(|preferred| (u64::from(n), preferred));
+                Step::EndRequest { connection: n, preferred, rejected } => if let Some(i) = pick(n).filter(|i| open[*i].open_requests > 0) {
+                    let rejected = rejected && preferred.is_none();
+                    let served = preferred.map(|preferred| (u64::from(n), preferred));
                     admission.request_ended(now, open[i].id, served, rejected);
                     open[i].open_requests -= 1;
                 },
@@ -680,7 +687,7 @@
                         connection.stage = Stage::Closing;
                     }
                 }
-                Step::Wait(duration) => now += u64::from(duration),
+                Step::Wait { micros } => now += u64::from(micros),
             }
             for id in admission.take_lingering_to_abort() {
                 let connection = open.iter_mut().find(|c| c.id == id).expect("an open connection");
