--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -66,7 +66,7 @@
                     instance.gateway.handle(now, event, &mut self.actions);
                     reply.push(number, &self.actions);
                 }
-                None => eprintln!("{}", record.error("ingress", FieldError::UnknownInstance)),
+                None => eprintln!("{}", record.error("ingress", FieldError::UnknownInstance(number))),
             },
         }
         Ok(())
--- a/crates/simulator-adapter/src/wire/error.rs
+++ b/crates/simulator-adapter/src/wire/error.rs
@@ -36,6 +36,6 @@
     #[error("{0}")]
     Settings(SettingsError),
     /// The event is for a gateway that is not running.
-    #[error("no such instance is running; ignored")]
-    UnknownInstance,
+    #[error("no such instance: {0}; event ignored")]
+    UnknownInstance(u16),
 }
