--- a/crates/gateway/src/connection_gate/permit.rs
+++ b/crates/gateway/src/connection_gate/permit.rs
@@ -25,7 +25,7 @@
     Served {
         /// The account's number.
         account: u64,
-        /// Whether the account's plan is one of the most expensive ones.
+        /// Whether the account's plan is preferred (has the highest price).
         preferred: bool,
     },
     /// The request was rejected.
--- a/crates/gateway/src/discovery/service.rs
+++ b/crates/gateway/src/discovery/service.rs
@@ -22,7 +22,8 @@
 const MAX_BACKOFF: Micros = 5_000_000;
 /// Maximum time for connecting, in microseconds.
 const CONNECT_TIMEOUT: Micros = 5_000_000;
-/// Time without data after which the connection is pinged, and after the same time again closed, in microseconds.
+/// Time without data after which the connection is pinged, and after the same time again closed, in microseconds. Before
+/// the service's SETTINGS have arrived, the connection is closed without a ping.
 const PING_AFTER: Micros = 5_000_000;
 
 /// Why a call to the discovery service ended.
@@ -36,12 +37,16 @@
     InvalidList(String),
     #[error("{0}")]
     Status(Status),
-    #[error("service reset the call: {0}")]
+    /// The service reset the call, or announced with GOAWAY that it closes the connection.
+    #[error("service reset the call or sent GOAWAY: {0}")]
     Reset(chalkgap_wire::http2::Code),
     #[error("service ended the call")]
     Ended,
-    #[error("no data from the service")]
+    /// No data arrived for [`PING_AFTER`], and none for the same time after a ping. A connection without the service's
+    /// SETTINGS is closed without a ping.
+    #[error("timed out waiting for data from the service")]
     Silent,
+    /// The connection was closed, or the instance is stopping.
     #[error("connection closed")]
     Closed,
     #[error("instance stopped")]
--- a/crates/gateway/src/frontends/context.rs
+++ b/crates/gateway/src/frontends/context.rs
@@ -72,7 +72,7 @@
         RequestId(self.next_request.fetch_add(1, Ordering::Relaxed))
     }
 
-    /// Returns whether the plan of a request has the highest priority factor.
+    /// Returns whether the account's plan is preferred (has the highest price).
     pub(crate) fn is_preferred(&self, request: &PendingRequest) -> bool {
         self.settings.preferred[usize::from(request.customer.plan)]
     }
--- a/crates/gateway/src/settings/compiled.rs
+++ b/crates/gateway/src/settings/compiled.rs
@@ -45,7 +45,7 @@
     pub keys: Vec<KeyRule>,
     /// Index of each zone by name.
     pub zones: HashMap<String, u8>,
-    /// Whether the plan has the highest priority factor, by index of the plan. All false if all factors are equal.
+    /// Whether the plan is preferred (has the highest price), by index of the plan. All false if all prices are equal.
     pub preferred: Vec<bool>,
     /// Address blocks whose clients always count as known.
     pub named: Vec<CidrBlock>,
@@ -90,7 +90,7 @@
             keys: settings.classes.iter().map(key_rule).collect(),
             classes: classes.into_indices(),
             zones: zones.into_indices(),
-            preferred: most_expensive(&settings.plans),
+            preferred: preferred_plans(&settings.plans),
             named,
             accounts,
             default_plan: default_plan.map(|index| index as u16),
@@ -209,7 +209,7 @@
     CustomerId(u64::from_le_bytes(first_bytes) & ((1 << CUSTOMER_ID_BITS) - 1))
 }
 
-fn most_expensive(plans: &[Plan]) -> Vec<bool> {
+fn preferred_plans(plans: &[Plan]) -> Vec<bool> {
     let highest = plans.iter().map(|plan| plan.price).fold(f64::MIN, f64::max);
     let prices_differ = plans.iter().any(|plan| plan.price < highest);
     plans.iter().map(|plan| prices_differ && plan.price >= highest).collect()
