--- a/crates/ledger/src/entry.rs
+++ b/crates/ledger/src/entry.rs
@@ -81,7 +81,8 @@
 pub struct Entry {
     /// The id of the entry.
     pub id: EntryId,
-    /// Time of writing by the clock of the ingress, where it never decreases. Determines the billing period.
+    /// Time of writing by the clock of the ingress. It never decreases from one entry to the next in the log of an
+    /// ingress, even if the clock is set back. Determines the billing period.
     pub at: Micros,
     /// What the entry records.
     pub body: EntryBody,
--- a/crates/ledger/src/export.rs
+++ b/crates/ledger/src/export.rs
@@ -168,8 +168,8 @@
             state.blocked = None;
             return None;
         }
-        let undone_since = state.undone_since(&position, now);
-        if now < undone_since + takeover_delay {
+        let unchanged_since = state.unchanged_since(&position, now);
+        if now < unchanged_since + takeover_delay {
             return None;
         }
         if let Some(batch) = position.pending {
@@ -238,8 +238,9 @@
 }
 
 impl StreamState {
-    /// Returns the time since which the work at a position is due.
-    fn undone_since(&mut self, position: &StreamPosition, now: Micros) -> Micros {
+    /// Returns the time since which the due work of this stream has not changed; `now` if it is new or has changed since
+    /// the last call.
+    fn unchanged_since(&mut self, position: &StreamPosition, now: Micros) -> Micros {
         let work = Work { acknowledged: position.acknowledged, has_pending: position.pending.is_some() };
         let since = self.undone.filter(|undone| undone.work == work).map_or(now, |undone| undone.since);
         self.undone = Some(UndoneWork { work, since });
@@ -255,7 +256,7 @@
     })
 }
 
-/// Bills lines of periods that earlier batches have covered in the current period.
+/// Sets [`Line::billed`] to the current period in lines whose own period is already covered by earlier batches.
 fn billed_in(mut lines: Vec<Line>, current_period: u64, covered_until: Option<u64>) -> Vec<Line> {
     for line in &mut lines {
         if covered_until.is_some_and(|covered| line.period <= covered) {
