--- a/crates/platform/src/backend_reply.rs
+++ b/crates/platform/src/backend_reply.rs
@@ -4,9 +4,9 @@
 use chalkgap_core::{LoadReport, Outcome};
 use chalkgap_resp::{decode_reply, Limits, Value};
 
-/// Limits of a reply, which is an array of a value, figures and a load report. The protocol allows values of up to 64 KiB. As
-/// backends exceed that, longer values are accepted as well and passed to the client. The memory of all partly received
-/// replies is limited by [`MemoryBudget`](crate::memory_budget::MemoryBudget).
+/// Limits of a reply, which is an array of a value, an element that is ignored, and a load report. The protocol allows
+/// values of up to 64 KiB. As backends exceed that, longer values are accepted as well and passed to the client. The memory of
+/// all partly received replies is limited by [`MemoryBudget`](crate::memory_budget::MemoryBudget).
 pub const REPLY_LIMITS: Limits = Limits {
     max_elements: 4,
     max_depth: 2,
@@ -60,7 +60,7 @@
         Value::Array(Some(elements)) => {
             let mut elements = elements.into_iter();
             let Some(Value::Bulk(Some(value))) = elements.next() else { return None };
-            // The value is valid even if the figures or the load report are malformed.
+            // The value is valid even if the second element or the load report is malformed.
             let load_report = match elements.nth(1) {
                 Some(Value::Bulk(Some(text))) => parse_load_report(&text, load_report_fields),
                 _ => None,
--- a/crates/platform/src/endpoint_set.rs
+++ b/crates/platform/src/endpoint_set.rs
@@ -172,8 +172,11 @@
         for (backend, started_at) in no_longer_listed {
             self.withdrawn.insert(backend, Withdrawal { started_at, withdrawn_at: now });
         }
+        // During a rollback no withdrawal expires: the current list may be outdated, and would otherwise make the withdrawn
+        // backends available again.
         let rolled_back = self.rolled_back_at.is_some();
         self.withdrawn.retain(|_, w| rolled_back || now < w.withdrawn_at + WITHDRAWAL_MICROS);
+        // Limits the size of the map. Those with the lowest backend ids are dropped, regardless of their age.
         while self.withdrawn.len() > MAX_ENDPOINTS {
             self.withdrawn.pop_first();
         }
--- a/crates/platform/src/request_parser.rs
+++ b/crates/platform/src/request_parser.rs
@@ -192,9 +192,9 @@
 
 /// Checks that an idempotency key is given if, and only if, the class requires one.
 fn check_key(class: ClassEntry, key: Option<Attribute<'_>>) -> Result<(), InvalidRequest> {
-    let has_key = matches!(class.retry_safety, RetrySafety::IdempotencyKey { .. });
+    let requires_key = matches!(class.retry_safety, RetrySafety::IdempotencyKey { .. });
     let is_valid = key.is_none_or(|key| parse_hex(key.value).is_some());
-    if has_key != key.is_some() || !is_valid {
+    if requires_key != key.is_some() || !is_valid {
         return Err(InvalidRequest::IdempotencyKey);
     }
     Ok(())
--- a/crates/platform/tests/common/mod.rs
+++ b/crates/platform/tests/common/mod.rs
@@ -17,7 +17,7 @@
     max_line_bytes: 600,
     max_item_bytes: 1 << 18,
 };
-/// A valid reply of a backend: the value, no figures, and a load report.
+/// A valid reply of a backend: the value, a null second element, and a load report.
 pub const GOOD_REPLY: &[u8] = b"*3\r\n$5\r\nvalue\r\n$-1\r\n$7\r\ndepth=2\r\n";
 /// Upper bound of each wait in a test.
 pub const TEST_TIMEOUT: Duration = Duration::from_secs(20);
--- a/crates/platform/tests/state_machines/backend_replies.rs
+++ b/crates/platform/tests/state_machines/backend_replies.rs
@@ -25,7 +25,7 @@
         decode(&[&good[..], b"noise"].concat()),
         Some((Outcome::Ok, "value".into(), Some(2.0), false))
     );
-    // A load report or figures that cannot be decoded do not affect the reply.
+    // A malformed second element or load report does not affect the outcome and the value.
     for report in ["depth=x", "depth=nan", "depth=-1", "what", "depth=1,other=2"] {
         let bytes = format!("*3\r\n$5\r\nvalue\r\n$2\r\n?!\r\n${}\r\n{report}\r\n", report.len());
         assert_eq!(decode(bytes.as_bytes()), Some((Outcome::Ok, "value".into(), None, true)), "{report}");
