--- a/crates/gateway/src/frontends/mqtt/connect.rs
+++ b/crates/gateway/src/frontends/mqtt/connect.rs
@@ -17,7 +17,7 @@
 const TAKEOVER_TIMEOUT: Micros = 2_000_000;
 /// Interval between checks of whether the former owner has released the session.
 const TAKEOVER_POLL_INTERVAL: Micros = 5000;
-/// Time after which a client may retry if the limit on password hashes is reached.
+/// Time after which a client may retry if the limit on password hashes per second is reached.
 const AUTHENTICATION_RETRY_AFTER: Micros = 1_000_000;
 
 impl MqttConnection {
@@ -30,8 +30,8 @@
             connect.client.is_empty().then(|| format!("{:016x}", self.context.runtime.random()));
         let client = assigned_identifier.as_ref().unwrap_or(&connect.client);
         let key = session_key(connect.user.as_deref().unwrap_or_default(), client);
-        let requested_expiry = session_expiry_property(&connect.properties);
-        self.session_expiry = self.bounded_expiry(requested_session_expiry(&connect));
+        let expiry_property = session_expiry_property(&connect.properties);
+        self.session_expiry = self.bounded_expiry(effective_requested_expiry(&connect));
         let session = self.take_over_session(&key, connect.clean_start).await;
         self.user = connect.user;
         self.session_key = key;
@@ -39,7 +39,7 @@
         let mut properties = self.connack_limits();
         properties.extend(assigned_identifier.map(Property::AssignedClientIdentifier));
         let granted_expiry = (self.session_expiry / 1_000_000) as u32;
-        if requested_expiry.is_some_and(|requested| requested != granted_expiry) {
+        if expiry_property.is_some_and(|requested| requested != granted_expiry) {
             properties.push(Property::SessionExpiry(granted_expiry));
         }
         let max_keep_alive = self.shared.settings.keep_alive_s;
@@ -144,7 +144,7 @@
 
 /// Returns the session expiry interval that a client requests, in seconds. MQTT 3.1.1 has no such interval: a session
 /// that is not clean lasts as long as the settings permit.
-fn requested_session_expiry(connect: &Connect) -> u32 {
+fn effective_requested_expiry(connect: &Connect) -> u32 {
     match connect.version {
         Version::V5 => session_expiry_property(&connect.properties).unwrap_or(0),
         _ if connect.clean_start => 0,
--- a/crates/gateway/src/frontends/mqtt/connection.rs
+++ b/crates/gateway/src/frontends/mqtt/connection.rs
@@ -317,8 +317,8 @@
         sessions.release(&self.session_key, self.connection_number, session, now, &self.shared.settings);
     }
 
-    /// Cancels open publishes of QoS 1, after a connection that ended without DISCONNECT: the client repeats them and
-    /// cannot receive answers to these. Publishes of QoS 0 and 2 continue.
+    /// Cancels open publishes of QoS 1, after a connection that ended without DISCONNECT. The client will send them again
+    /// on its next connection, and answers to the current ones could not reach it. Publishes of QoS 0 and 2 continue.
     async fn cancel_repeatable_publishes(&self) {
         let at_least_once = self.open_publishes.values().filter(|open| open.qos == QoS::AtLeastOnce);
         let ids: Vec<RequestId> = at_least_once.map(|open| open.id).collect();
