--- a/crates/wire/src/grpc.rs
+++ b/crates/wire/src/grpc.rs
@@ -87,7 +87,9 @@
     pub fn from_fields(fields: &[Field]) -> Status {
         let text = |name: &str| fields.iter().find(|f| f.name == name).map(|f| &f.value);
         let number = text("grpc-status").and_then(|v| std::str::from_utf8(v).ok()?.parse().ok());
-        let Some(number) = number else { return Status::new(Code::Unknown, "trailers without grpc-status") };
+        let Some(number) = number else {
+            return Status::new(Code::Unknown, "trailers without a valid grpc-status");
+        };
         let message = text("grpc-message").map(|v| percent_decode(v)).unwrap_or_default();
         Status::new(Code::from_number(number), message)
     }
--- a/crates/wire/src/mqtt/packet.rs
+++ b/crates/wire/src/mqtt/packet.rs
@@ -89,7 +89,7 @@
 pub struct Ack {
     /// Packet identifier.
     pub packet: u16,
-    /// Reason code, which MQTT 3.1.1 does not have: always 0.
+    /// Reason code; always 0 in MQTT 3.1.1, which has none.
     pub code: u8,
     pub properties: Properties,
 }
