--- a/crates/platform/tests/recorded_documents.rs
+++ b/crates/platform/tests/recorded_documents.rs
@@ -124,7 +124,8 @@
     recorded::check_text("lists.txt", &text);
 }
 
-/// Errors about a configuration name the field and what was expected there.
+/// Errors about a configuration name the field and what was expected there. `complaints.txt` records the error for each bad
+/// value, or `taken` if the value was accepted.
 #[test]
 fn configuration_errors_are_as_recorded() {
     let good: serde_json::Value = serde_json::from_slice(&document("config.json")).unwrap();
