--- a/crates/cli/src/tools.rs
+++ b/crates/cli/src/tools.rs
@@ -146,7 +146,7 @@
                     Ok(node) => node,
                     Err(e) => return fail(Exit::System, format!("{listen}: {e}")),
                 };
-                node.faults(Faults { fail: fail_share, halfway, hang, ..Faults::default() });
+                node.set_faults(Faults { fail: fail_share, halfway, hang, ..Faults::default() });
                 println!("{}", serde_json::json!({"node": node.address().to_string()}));
                 while !matches!(signals.next().await, Some(Ok(Signal::Term | Signal::Int)) | None) {}
                 Exit::Success
--- a/crates/fault-injection/src/drill/mod.rs
+++ b/crates/fault-injection/src/drill/mod.rs
@@ -199,7 +199,7 @@
             let consumer = Consumer::start(runtime.clone(), at, batch_store.clone(), day.seed);
             let consumer = consumer.map_err(io_error("billing consumer"))?;
             // Some calls are refused, some get no reply: the ingress has to retry them, and each batch counts once.
-            consumer.faults(billing::Faults { refuse: 0.1, silent: 0.1 });
+            consumer.set_faults(billing::Faults { refuse: 0.1, silent: 0.1 });
             billing = Some((consumer, batch_store));
             for n in 0..numbers {
                 ledgers.insert(n, free_port()?);
--- a/crates/fault-injection/src/drill/processes.rs
+++ b/crates/fault-injection/src/drill/processes.rs
@@ -242,7 +242,7 @@
         machine.slow_start_window = if cold { cold_us } else { 0 };
         let node = Node::start(self.runtime.clone(), slot.address, machine, self.journal.clone());
         let node = node.map_err(io_error(format!("node at {}", slot.address)))?;
-        node.faults(slot.faults.clone());
+        node.set_faults(slot.faults.clone());
         slot.started_ms = if cold { node.started_at() / 1000 } else { 0 };
         slot.state = 0;
         slot.node = Some(node);
@@ -253,7 +253,7 @@
         if let Some(slot) = lock(&self.nodes).get_mut(n) {
             change(&mut slot.faults);
             if let Some(node) = &slot.node {
-                node.faults(slot.faults.clone());
+                node.set_faults(slot.faults.clone());
             }
         }
     }
--- a/crates/gateway/tests/ledger/main.rs
+++ b/crates/gateway/tests/ledger/main.rs
@@ -106,7 +106,7 @@
         settings.ledger = Some(ledger_settings(&folder, "0", Some(ExportTo::Folder(delivered.0.clone()))));
         let fixture = Fixture::start(system, settings, vec![Machine::default(), Machine::default()]).await;
         let faulty = Faults { halfway: 0.3, fail: 0.2, ..Faults::default() };
-        fixture.nodes.iter().for_each(|n| n.faults(faulty.clone()));
+        fixture.nodes.iter().for_each(|n| n.set_faults(faulty.clone()));
         for n in 0..150 {
             let class = ["sig-check", "report-upload", "referral"][n as usize % 3];
             fixture.client.call(&client_request(n, "big", class)).await;
@@ -136,7 +136,7 @@
         let folder = Directory::new();
         let batch_store = BatchStore::default();
         let consumer = Consumer::start(system.clone(), free_address(), batch_store.clone(), seed).unwrap();
-        consumer.faults(ConsumerFaults { refuse: 0.2, silent: 0.2 });
+        consumer.set_faults(ConsumerFaults { refuse: 0.2, silent: 0.2 });
         let execution_logs: Vec<ExecutionLog> = (0..3).map(|_| ExecutionLog::default()).collect();
         let journal = Journal::default();
         let node = |log: &ExecutionLog| {
@@ -145,7 +145,7 @@
         };
         let nodes: Vec<Node> = execution_logs.iter().map(node).collect();
         let faults = Faults { halfway: 0.1, fail: 0.1, ..Faults::default() };
-        nodes.iter().for_each(|n| n.faults(faults.clone()));
+        nodes.iter().for_each(|n| n.set_faults(faults.clone()));
         let addresses: BTreeMap<u16, SocketAddr> = (0..3).map(|n| (n, free_address())).collect();
         let settings: Vec<Settings> = (0..3u16)
             .map(|n| {
@@ -360,7 +360,7 @@
         ledger.truth_ms = 200;
         settings.ledger = Some(ledger);
         let fixture = Fixture::start(system, settings, vec![Machine::default()]).await;
-        fixture.nodes[0].faults(Faults { halfway: 1.0, forgets: true, ..Faults::default() });
+        fixture.nodes[0].set_faults(Faults { halfway: 1.0, forgets: true, ..Faults::default() });
         assert!(matches!(
             fixture.client.call(&client_request(1, "big", "referral")).await.answer,
             Answer::Failed { .. }
@@ -371,7 +371,7 @@
         .await;
         sleep_ms(&fixture.runtime, 1500).await; // past the end of its period
         assert!(units_billed(&batch_store).is_empty());
-        fixture.nodes[0].faults(Faults::default());
+        fixture.nodes[0].set_faults(Faults::default());
         eventually(&fixture.runtime, "the correction is billed", || {
             units_billed(&batch_store) == units_executed(&fixture.execution_logs)
         })
--- a/crates/gateway/tests/mqtt.rs
+++ b/crates/gateway/tests/mqtt.rs
@@ -258,7 +258,7 @@
 fn a_qos_2_request_runs_once_over_a_reconnect() {
     run(|system| async move {
         let fixture = start(system).await;
-        fixture.nodes.iter().for_each(|n| n.faults(Faults::default()));
+        fixture.nodes.iter().for_each(|n| n.set_faults(Faults::default()));
         let (mut client, _) = RawClient::open(&fixture, connect_packet(Version::V5, "c")).await;
         client.send(&Packet::Publish(publish(UNSAFE_TOPIC, QoS::ExactlyOnce, 7, 1))).await;
         eventually(&fixture.runtime, "the request arrived at a node", || {
@@ -293,7 +293,7 @@
 fn a_halfway_failure_is_reported_again_to_a_repeated_publish() {
     run(|system| async move {
         let fixture = start(system).await;
-        fixture.nodes.iter().for_each(|n| n.faults(Faults { halfway: 1.0, ..Faults::default() }));
+        fixture.nodes.iter().for_each(|n| n.set_faults(Faults { halfway: 1.0, ..Faults::default() }));
         let (mut client, _) = RawClient::open(&fixture, connect_packet(Version::V5, "c")).await;
         for dup in [false, true] {
             client
@@ -311,7 +311,7 @@
         assert!(matches!(client.next().await, Some(Packet::PubRec(Ack { packet: 7, .. }))));
         // A refusal in 3.1.1 closes the connection, and the client may send the message again.
         let (mut client, _) = RawClient::open(&fixture, connect_packet(Version::V311, "old")).await;
-        fixture.nodes.iter().for_each(|n| n.faults(Faults::default()));
+        fixture.nodes.iter().for_each(|n| n.set_faults(Faults::default()));
         let mut answered = 0;
         for n in 1..20 {
             client
@@ -345,7 +345,7 @@
         assert_eq!(first.next().await, None);
         second.send(&Packet::PingReq).await;
         assert_eq!(second.next().await, Some(Packet::PingResp));
-        fixture.nodes.iter().for_each(|n| n.faults(Faults { hang: true, ..Faults::default() }));
+        fixture.nodes.iter().for_each(|n| n.set_faults(Faults { hang: true, ..Faults::default() }));
         for n in 1..=5 {
             second.send(&Packet::Publish(publish(UNSAFE_TOPIC, QoS::AtLeastOnce, n, n.into()))).await;
         }
--- a/crates/gateway/tests/simulated_runtime.rs
+++ b/crates/gateway/tests/simulated_runtime.rs
@@ -39,7 +39,7 @@
         let work = [("sig-check".to_owned(), 20_000.0), ("referral".to_owned(), 30_000.0)];
         let machine = Machine { work: work.into_iter().collect(), seed, ..Machine::default() };
         let node = Node::start(node_host, node_address, machine, journal.clone()).unwrap();
-        node.faults(Faults { halfway: 0.1, ..Faults::default() });
+        node.set_faults(Faults { halfway: 0.1, ..Faults::default() });
         let client_runtime: Shared = client_host;
         let mut call = 0;
         for incarnation in 0..2 {
--- a/crates/gateway/tests/whole_path.rs
+++ b/crates/gateway/tests/whole_path.rs
@@ -80,7 +80,7 @@
 fn requests_that_a_node_fails_are_retried_on_another() {
     run(|system| async move {
         let fixture = Fixture::start(system, settings(), vec![Machine::default(), Machine::default()]).await;
-        fixture.nodes[0].faults(Faults { fail: 1.0, ..Faults::default() });
+        fixture.nodes[0].set_faults(Faults { fail: 1.0, ..Faults::default() });
         for n in 0..20 {
             let result = fixture.client.call(&client_request(n, "big", "sig-check")).await;
             assert_eq!(result.answer, Answer::Served, "call {n}: {}", result.message);
@@ -95,7 +95,7 @@
     run(|system| async move {
         let fixture = Fixture::start(system, settings(), vec![Machine::default(), Machine::default()]).await;
         let halfway = Faults { halfway: 1.0, ..Faults::default() };
-        fixture.nodes.iter().for_each(|n| n.faults(halfway.clone()));
+        fixture.nodes.iter().for_each(|n| n.set_faults(halfway.clone()));
         for n in 0..5 {
             let result = fixture.client.call(&client_request(n, "big", "referral")).await;
             assert_eq!(result.answer, Answer::Failed { code: 14 });
@@ -131,7 +131,7 @@
 fn unsafe_requests_to_a_node_without_settings_are_sent_to_another() {
     run(|system| async move {
         let fixture = Fixture::start(system, settings(), vec![Machine::default(), Machine::default()]).await;
-        fixture.nodes[0].faults(Faults { mute: true, ..Faults::default() });
+        fixture.nodes[0].set_faults(Faults { mute: true, ..Faults::default() });
         for n in 0..6 {
             let result = fixture.client.call(&client_request(n, "big", "referral")).await;
             assert_eq!(result.answer, Answer::Served, "call {n}: {}", result.message);
@@ -143,7 +143,7 @@
 fn requests_to_a_hanging_node_fail_at_their_deadline() {
     run(|system| async move {
         let fixture = Fixture::start(system, settings(), vec![Machine::default()]).await;
-        fixture.nodes[0].faults(Faults { hang: true, ..Faults::default() });
+        fixture.nodes[0].set_faults(Faults { hang: true, ..Faults::default() });
         let request =
             chalkgap_testbed::client::Request { timeout: 400_000, ..client_request(1, "big", "referral") };
         let result = fixture.client.call(&request).await;
--- a/crates/testbed/src/billing.rs
+++ b/crates/testbed/src/billing.rs
@@ -106,7 +106,7 @@
     }
 
     /// Replaces its faults.
-    pub fn faults(&self, faults: Faults) {
+    pub fn set_faults(&self, faults: Faults) {
         *lock(&self.faults) = faults;
     }
 }
--- a/crates/testbed/src/node/engine.rs
+++ b/crates/testbed/src/node/engine.rs
@@ -65,7 +65,7 @@
         let work = mean * spread / self.machine.speed * tail_factor;
         let capacity_share = self.capacity_share(now);
         if capacity_share < 1.0 {
-            self.overloaded |= self.overloads(work, capacity_share, now);
+            self.overloaded |= self.record_work(work, capacity_share, now);
         }
         work * self.faults.slow.max(1.0) / capacity_share
     }
@@ -101,7 +101,9 @@
         machine.slow_start_min_capacity + progress / machine.slow_start_window as f64
     }
 
-    fn overloads(&mut self, work: f64, capacity_share: f64, now: Micros) -> bool {
+    /// Records arriving work, in microseconds on a core at full capacity. Returns whether the work that arrived within
+    /// `overload_window` exceeds `overload_factor` times the node's capacity in that time.
+    fn record_work(&mut self, work: f64, capacity_share: f64, now: Micros) -> bool {
         let window = self.machine.overload_window;
         self.recent_work.push_back(RecentWork { arrived_at: now, micros: work });
         while self.recent_work.front().is_some_and(|recent| now - recent.arrived_at > window) {
--- a/crates/testbed/src/node/mod.rs
+++ b/crates/testbed/src/node/mod.rs
@@ -59,7 +59,7 @@
     }
 
     /// Replaces its faults.
-    pub fn faults(&self, faults: Faults) {
+    pub fn set_faults(&self, faults: Faults) {
         lock(&self.engine).faults = faults;
     }
 
