--- a/crates/gateway/tests/mqtt.rs
+++ b/crates/gateway/tests/mqtt.rs
@@ -227,8 +227,8 @@
             .properties
             .find(|p| matches!(p, Property::AssignedClientIdentifier(_)).then_some(()))
             .is_some());
-        // Rejected: a topic that no filter matches, a topic that is charged to the user by a client without a user name, and an
-        // unknown account. A retained message ends the connection.
+        // Rejected: a topic that no filter matches, a topic under `mine/`, which charges the client's user, from a client without
+        // a user name, and an unknown account. A retained message ends the connection.
         for (topic, expected) in [
             ("elsewhere", NOT_AUTHORIZED),
             ("mine/sig-check", NOT_AUTHORIZED),
