--- a/crates/fault-injection/src/audit.rs
+++ b/crates/fault-injection/src/audit.rs
@@ -13,6 +13,19 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::net::SocketAddr;
 
+/// Number of the rule that a call gets exactly one final answer, by its deadline, and OK only if a node served it. Frontends
+/// keep to their protocol.
+const RULE_ONE_FINAL_ANSWER: u8 = 1;
+/// Number of the rule that a request is sent and run again only as its class allows ([`Repeat`]), and is not refused after it
+/// was sent unless it is safe to repeat. Every attempt names its ingress.
+const RULE_SAFE_REPEATS: u8 = 2;
+/// Number of the rule that an ingress sends no new requests to a node that accepts none, after [`AuditConfig::drain_grace`].
+const RULE_DRAINING: u8 = 3;
+/// Number of the rule that nodes are not overloaded during their slow start.
+const RULE_SLOW_START: u8 = 4;
+/// Number of the rule that accounts do not exceed the ceiling of their plan by more than its slack.
+const RULE_CEILING: u8 = 5;
+
 /// When a request may be sent to a node again after its first attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Repeat {
@@ -163,7 +176,7 @@
                 let ingress = request.split('-').next().and_then(|n| n.parse().ok());
                 let Some(ingress): Option<u16> = ingress else {
                     report(
-                        2,
+                        RULE_SAFE_REPEATS,
                         *at,
                         format!(
                             "call {call}: attempt without an ingress number in its request id ({request:?})"
@@ -175,7 +188,7 @@
                 if closed_at.is_some_and(|t| *at > t + config.drain_grace + config.tolerance) {
                     let late_ms = (*at - closed_at.unwrap_or(*at)) / 1000;
                     report(
-                        3,
+                        RULE_DRAINING,
                         *at,
                         format!(
                             "ingress {ingress} sent call {call} to {node} {late_ms} ms after it was informed that \
@@ -209,7 +222,7 @@
                 let delayed_units = plan.ceiling.0 * config.tolerance as f64 / 1e6;
                 if plan.ceiling.0 > 0.0 && bucket.ceiling < -(plan.slack + delayed_units + 1e-9) {
                     report(
-                        5,
+                        RULE_CEILING,
                         *at,
                         format!(
                             "account {}: ceiling exceeded by {:.2} units, call {call}",
@@ -220,7 +233,7 @@
             }
             Seen::Ran { call, .. } => *ran.entry(*call).or_default() += 1,
             Seen::Fell { node } => {
-                report(4, *at, format!("node {node} was overloaded during its slow start"))
+                report(RULE_SLOW_START, *at, format!("node {node} was overloaded during its slow start"))
             }
             Seen::Told { ingress, node, ready } => {
                 if *ready {
@@ -230,12 +243,12 @@
                 }
             }
             Seen::Broke { ingress, what } => {
-                report(1, *at, format!("ingress {ingress} broke the protocol: {what}"))
+                report(RULE_ONE_FINAL_ANSWER, *at, format!("ingress {ingress} broke the protocol: {what}"))
             }
             Seen::Stalled { ingress, until } => stalls.push((*at, *until, *ingress)),
             Seen::Killed { ingress } => {
                 killed.push((*at, *ingress));
-                closed.retain(|k, _| k.0 != *ingress); // a restarted ingress gets the node list again
+                closed.retain(|(informed, _), _| informed != ingress); // a restarted ingress gets the node list again
             }
         }
     }
@@ -251,20 +264,27 @@
             .filter(|l| matches!(l.1, Answer::Served | Answer::Refused { .. } | Answer::Failed { .. }));
         let finals: Vec<&(Micros, &Answer)> = finals.collect();
         if finals.len() > 1 {
-            report(1, finals[1].0, format!("call {call}: {} final answers", finals.len()));
+            report(
+                RULE_ONE_FINAL_ANSWER,
+                finals[1].0,
+                format!("call {call}: {} final answers", finals.len()),
+            );
         }
         let repeat = config.classes.get(sent_call.class).copied().unwrap_or(Repeat::Once);
         match finals.first() {
             None => {
                 let not_taken = call_answers.iter().any(|l| *l.1 == Answer::NotTaken);
                 let end = call_answers.first().map_or(Micros::MAX, |l| l.0);
-                let ingress_killed = killed.iter().any(|k| {
-                    k.1 == sent_call.ingress && k.0 + config.tolerance >= sent_call.at && k.0 <= end
+                let ingress_killed = killed.iter().any(|&(killed_at, ingress)| {
+                    ingress == sent_call.ingress
+                        && killed_at + config.tolerance >= sent_call.at
+                        && killed_at <= end
                 });
                 if not_taken && attempts.is_empty() {
                     verdict.not_taken += 1;
-                } else if stalls.iter().any(|s| s.2 == sent_call.ingress && sent_call.at <= s.1 && end >= s.0)
-                    && sent_call.deadline < end
+                } else if stalls.iter().any(|&(stall_start, stall_end, ingress)| {
+                    ingress == sent_call.ingress && sent_call.at <= stall_end && end >= stall_start
+                }) && sent_call.deadline < end
                 {
                     verdict.stalled += 1; // the client gave up before the ingress resumed
                 } else if ingress_killed {
@@ -275,7 +295,7 @@
                         .map(|l| format!("{:?}", l.1))
                         .unwrap_or_else(|| "nothing".into());
                     report(
-                        1,
+                        RULE_ONE_FINAL_ANSWER,
                         end.min(sent_call.deadline),
                         format!("call {call}: no final answer, its client received {received}"),
                     );
@@ -285,11 +305,11 @@
                 if *at > sent_call.deadline {
                     // A stopped process cannot answer. A call that was sent, or reached its deadline, while the ingress
                     // was stopped is no violation if the ingress answers it as soon as it resumes.
-                    let delayed_by = |s: &(Micros, Micros, u16)| {
-                        s.2 == sent_call.ingress
-                            && sent_call.at <= s.1
-                            && sent_call.deadline + config.min_timeout >= s.0
-                            && *at <= s.1 + config.tolerance
+                    let delayed_by = |&(stall_start, stall_end, ingress): &(Micros, Micros, u16)| {
+                        ingress == sent_call.ingress
+                            && sent_call.at <= stall_end
+                            && sent_call.deadline + config.min_timeout >= stall_start
+                            && *at <= stall_end + config.tolerance
                     };
                     if stalls.iter().any(delayed_by) {
                         verdict.stalled += 1;
@@ -305,7 +325,7 @@
                             "call {call} (class {class}, ingress {ingress}, timeout {timeout_ms} ms, attempts arrived \
                              after {arrivals:?} ms): answered {late} us after its deadline, {answer:?}"
                         );
-                        report(1, *at, what);
+                        report(RULE_ONE_FINAL_ANSWER, *at, what);
                     }
                 }
                 match answer {
@@ -313,7 +333,11 @@
                         verdict.served += 1;
                         served.push(at - sent_call.at);
                         if attempts.is_empty() {
-                            report(1, *at, format!("call {call}: served, but it arrived at no node"));
+                            report(
+                                RULE_ONE_FINAL_ANSWER,
+                                *at,
+                                format!("call {call}: served, but it arrived at no node"),
+                            );
                         }
                     }
                     Answer::Refused { .. } => {
@@ -321,7 +345,7 @@
                         refused.push(at - sent_call.at);
                         if !attempts.is_empty() && repeat != Repeat::Safe {
                             report(
-                                2,
+                                RULE_SAFE_REPEATS,
                                 *at,
                                 format!(
                                     "call {call}: refused after it was sent to a node (class {})",
@@ -341,25 +365,41 @@
             Repeat::Once => {
                 if attempts.len() > 1 {
                     report(
-                        2,
+                        RULE_SAFE_REPEATS,
                         attempts[1].0,
                         format!("call {call}: must run once, sent {} times", attempts.len()),
                     );
                 }
                 if ran.get(call).is_some_and(|n| *n > 1) {
-                    report(2, sent_call.at, format!("call {call}: must run once, ran more than once"));
+                    report(
+                        RULE_SAFE_REPEATS,
+                        sent_call.at,
+                        format!("call {call}: must run once, ran more than once"),
+                    );
                 }
             }
             Repeat::Cell(window) => {
                 let cells: BTreeSet<&str> = attempts.iter().map(|t| t.2).collect();
                 if cells.len() > 1 {
-                    report(2, attempts[1].0, format!("call {call}: keyed, sent outside of cell {cell}"));
+                    report(
+                        RULE_SAFE_REPEATS,
+                        attempts[1].0,
+                        format!("call {call}: keyed, sent outside of cell {cell}"),
+                    );
                 }
                 if let Some(late) = attempts.iter().find(|t| t.0 > first_at + window + config.tolerance) {
-                    report(2, late.0, format!("call {call}: keyed, sent again after its window"));
+                    report(
+                        RULE_SAFE_REPEATS,
+                        late.0,
+                        format!("call {call}: keyed, sent again after its window"),
+                    );
                 }
                 if ran.get(call).is_some_and(|n| *n > 1) {
-                    report(2, sent_call.at, format!("call {call}: keyed, ran {} times", ran[call]));
+                    report(
+                        RULE_SAFE_REPEATS,
+                        sent_call.at,
+                        format!("call {call}: keyed, ran {} times", ran[call]),
+                    );
                 }
             }
         }
--- a/crates/fault-injection/src/drill/mod.rs
+++ b/crates/fault-injection/src/drill/mod.rs
@@ -18,7 +18,7 @@
 use chalkgap_testbed::network::{LinkFaults, Network, Party, Relay, StreamRelay};
 use chalkgap_testbed::node::{Cell, ExecutionLog, Faults, Machine};
 use chalkgap_testbed::registry::Registry;
-use processes::{end, free_port, free_udp, IngressSlot, IngressState, NodeSlot};
+use processes::{end, free_port, free_udp, IngressSlot, IngressState, NodeSlot, NODE_READY};
 use std::collections::{BTreeMap, HashMap};
 use std::io;
 use std::net::SocketAddr;
@@ -331,7 +331,15 @@
                     let at = proxied(ingress, Party::Node(n), address)?;
                     node_addresses.insert((ingress, address.to_string()), at.to_string());
                 }
-                nodes.push(NodeSlot { machine, zone, address, node: None, faults, state: 0, started_ms: 0 });
+                nodes.push(NodeSlot {
+                    machine,
+                    zone,
+                    address,
+                    node: None,
+                    faults,
+                    state: NODE_READY,
+                    started_ms: 0,
+                });
             }
         }
         let registry_address = registry.address();
@@ -363,6 +371,7 @@
         }))
     }
 
+    /// Waits for a number of seconds.
     async fn pause(&self, seconds: f64) {
         self.runtime.sleep_until(self.runtime.now() + (seconds * 1e6) as Micros).await;
     }
--- a/crates/fault-injection/src/drill/troubles.rs
+++ b/crates/fault-injection/src/drill/troubles.rs
@@ -1,6 +1,6 @@
 //! Injects the troubles of a day.
 
-use super::processes::{signal, IngressState};
+use super::processes::{signal, IngressState, NODE_DRAINING, NODE_REMOVED};
 use super::{io_error, lock, DrillError, DrillRun};
 use crate::day::{Kind, Trouble};
 use crate::fleet::FleetAction;
@@ -17,6 +17,9 @@
 use std::sync::atomic::Ordering;
 use std::sync::Arc;
 
+/// Time in seconds from the removal of a node from the node list to its restart, in [`Kind::NodeRoll`].
+const NODE_RESTART_SECONDS: f64 = 0.2;
+
 impl DrillRun {
     /// Returns the numbers below `count` that a trouble affects: those that it lists, or a random share.
     fn affected(&self, trouble: &Trouble, count: usize, seed: u64) -> Vec<usize> {
@@ -236,7 +239,7 @@
             }
             Kind::LateTail => {
                 let late = |faults: &mut LinkFaults| {
-                    faults.delay.1 = faults.delay.1.max(20_000);
+                    faults.delay.1 = faults.delay.1.max(20_000); // 20 ms
                     faults.tail = trouble.strength;
                 };
                 self.disturb_links(trouble, &late).await;
@@ -265,7 +268,7 @@
                 let list = self.affected(trouble, nodes, seed);
                 for n in &list {
                     let mut nodes = lock(&self.nodes);
-                    (nodes[*n].node, nodes[*n].state) = (None, 2);
+                    (nodes[*n].node, nodes[*n].state) = (None, NODE_REMOVED);
                 }
                 self.publish_late().await;
                 self.pause(trouble.lasts).await;
@@ -276,15 +279,15 @@
             }
             Kind::NodeRoll => {
                 for n in self.affected(trouble, nodes, seed) {
-                    lock(&self.nodes)[n].state = 1;
+                    lock(&self.nodes)[n].state = NODE_DRAINING;
                     self.publish();
                     self.pause(trouble.lasts).await;
                     {
                         let mut nodes = lock(&self.nodes);
-                        (nodes[n].node, nodes[n].state) = (None, 2);
+                        (nodes[n].node, nodes[n].state) = (None, NODE_REMOVED);
                     }
                     self.publish();
-                    self.pause(0.2).await;
+                    self.pause(NODE_RESTART_SECONDS).await;
                     self.start_node(n, true)?;
                     self.publish_late().await;
                 }
