--- a/crates/fault-injection/src/audit.rs
+++ b/crates/fault-injection/src/audit.rs
@@ -152,6 +152,7 @@
     let mut answers: BTreeMap<u64, Vec<(Micros, &Answer)>> = BTreeMap::new();
     let mut arrived: BTreeMap<u64, Vec<(Micros, SocketAddr, &str)>> = BTreeMap::new();
     let mut ran: BTreeMap<u64, u64> = BTreeMap::new();
+    // Time and ingress of each kill.
     let mut killed: Vec<(Micros, u16)> = Vec::new();
     // Start, end and ingress of each stall.
     let mut stalls: Vec<(Micros, Micros, u16)> = Vec::new();
