--- a/crates/fault-injection/src/drill/mod.rs
+++ b/crates/fault-injection/src/drill/mod.rs
@@ -18,7 +18,7 @@
 use chalkgap_testbed::network::{LinkFaults, Network, Party, Relay, StreamRelay};
 use chalkgap_testbed::node::{Cell, ExecutionLog, Faults, Machine};
 use chalkgap_testbed::registry::Registry;
-use processes::{end, free_port, free_udp, IngressSlot, IngressState, NodeSlot};
+use processes::{end, free_port, free_udp, IngressSlot, IngressState, NodeSlot, NODE_READY};
 use std::collections::{BTreeMap, HashMap};
 use std::io;
 use std::net::SocketAddr;
@@ -199,7 +199,7 @@
             let consumer = Consumer::start(runtime.clone(), at, batch_store.clone(), day.seed);
             let consumer = consumer.map_err(io_error("billing consumer"))?;
             // Some calls are refused, some get no reply: the ingress has to retry them, and each batch counts once.
-            consumer.faults(billing::Faults { refuse: 0.1, silent: 0.1 });
+            consumer.set_faults(billing::Faults { refuse: 0.1, silent: 0.1 });
             billing = Some((consumer, batch_store));
             for n in 0..numbers {
                 ledgers.insert(n, free_port()?);
@@ -331,7 +331,15 @@
                     let at = proxied(ingress, Party::Node(n), address)?;
                     node_addresses.insert((ingress, address.to_string()), at.to_string());
                 }
-                nodes.push(NodeSlot { machine, zone, address, node: None, faults, state: 0, started_ms: 0 });
+                nodes.push(NodeSlot {
+                    machine,
+                    zone,
+                    address,
+                    node: None,
+                    faults,
+                    state: NODE_READY,
+                    started_ms: 0,
+                });
             }
         }
         let registry_address = registry.address();
@@ -363,6 +371,7 @@
         }))
     }
 
+    /// Waits for a number of seconds.
     async fn pause(&self, seconds: f64) {
         self.runtime.sleep_until(self.runtime.now() + (seconds * 1e6) as Micros).await;
     }
